--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -203,6 +203,6 @@
 
 // removeUpstream stops sending to an upstream.
 func (c *control) removeUpstream(id, why string) {
-	c.d.table.Remove(id)
+	c.d.table.RemoveUpstream(id)
 	c.d.events.Info("upstream gone", "upstream", id, "reason", why)
 }
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -65,7 +65,7 @@
 	c.d.newHosts.fire()
 	bounds := c.d.settings.Load().Bounds
 	c.d.retries.SetSlack(bounds.RetrySlack, c.members.Count())
-	c.d.table.SetMaxShift(bounds.MaxShift)
+	c.d.table.SetMaxRegionShift(bounds.MaxShift)
 	c.d.shares.SetSlack(bounds.RateSlack)
 }
 
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -67,7 +67,7 @@
 		return
 	}
 	c.writeGuide()
-	memory := c.d.table.Memory(now)
+	memory := c.d.table.LearnedState(now)
 	if len(memory.Upstreams) == 0 {
 		return
 	}
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -216,7 +216,7 @@
 		c.d.events.Info("zone taken back", "zone", zone)
 	}
 	c.digest.SetZone(zone, empty)
-	c.d.table.Evacuate(c.d.now(), c.zones)
+	c.d.table.SetEvacuatedZones(c.d.now(), c.zones)
 }
 
 // confirmedAsOf notes that what is known was what the store held at a time.
@@ -263,7 +263,7 @@
 		return
 	}
 	c.digest.SetUpstream(u)
-	if c.d.table.Put(now, u) {
+	if c.d.table.PutUpstream(now, u) {
 		c.d.events.Info("upstream", "upstream", u.ID, "service", u.Service, "zone", u.Zone, "address", u.Address,
 			"state", u.State, "cold", u.ColdFor, "born", u.Born, "revision", u.Revision)
 	}
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -32,32 +32,32 @@
 
 // receive reads an upstream's answer and gives it to the caller, if it is one.
 func (h *Handler) receive(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice, began time.Time, reply *h1.Reply) (outcome, *answer) {
-	said := h.Codec.Answer(reply.Response)
+	said := h.Codec.ParseResponse(reply.Response)
 	report := place.Report{
-		Took: h.Now().Sub(began), Connect: reply.Connect, Load: said.Load, HasLoad: said.HasLoad, ColdFor: said.ColdFor,
+		TimeToHeader: h.Now().Sub(began), ConnectTime: reply.Connect, Load: said.Load, HasLoad: said.HasLoad, ColdFor: said.ColdFor,
 	}
 	if problem := invalidAnswer(reply.Response, said); problem != "" {
-		reply.Close(said.KeepFor)
+		reply.Close(said.KeepAlive)
 		return h.recordNoAnswer(ctx, q, c, &h1.SpoiledError{Problem: problem}), nil
 	}
 	kept, err := io.ReadAll(io.LimitReader(reply, maxBufferedAnswer+1))
 	if err != nil {
-		reply.Close(said.KeepFor)
+		reply.Close(said.KeepAlive)
 		return h.recordNoAnswer(ctx, q, c, err), nil
 	}
-	report.Bytes = len(kept)
+	report.ResponseBytes = len(kept)
 	a := &answer{status: reply.StatusCode, header: reply.Header, body: kept}
 	if len(kept) > maxBufferedAnswer {
 		err := h.stream(w, a, reply)
-		reply.Close(said.KeepFor)
+		reply.Close(said.KeepAlive)
 		return h.streamed(ctx, q, c, report, err), nil
 	}
-	reply.Close(said.KeepFor)
+	reply.Close(said.KeepAlive)
 	return h.conclude(w, q, c, said, report, a)
 }
 
 // conclude decides what an answer that is here whole means.
-func (h *Handler) conclude(w http.ResponseWriter, q *request, c place.Choice, said traffic.Answer, report place.Report, a *answer) (outcome, *answer) {
+func (h *Handler) conclude(w http.ResponseWriter, q *request, c place.Choice, said traffic.Response, report place.Report, a *answer) (outcome, *answer) {
 	end := done
 	switch {
 	case said.Misdirected:
@@ -68,16 +68,16 @@
 		report.Result, end = place.Failed, failed
 	}
 	h.Table.Done(h.Now(), c, report)
-	q.attempts.placed = newPlaced(c, report.Took)
+	q.attempts.placed = newPlaced(c, report.TimeToHeader)
 	h.Log.Debug("upstream answered", "id", q.ID, "route", q.route.Name, "object", q.Object, "upstream", c.ID, "zone", c.Zone,
-		"status", a.status, "took", report.Took, "expected", c.Expected, "expected_wait", c.Wait, "warm", c.Warm,
-		"running", said.Load.Running, "waiting", said.Load.Waiting, "bytes", report.Bytes)
+		"status", a.status, "took", report.TimeToHeader, "expected", c.ExpectedLatency, "expected_wait", c.ExpectedQueueing, "warm", c.Warm,
+		"running", said.Load.Running, "waiting", said.Load.Waiting, "bytes", report.ResponseBytes)
 	switch end {
 	case done:
 		h.writeAnswer(w, q, a)
 	case shed:
 		h.Log.Info("upstream refused", "id", q.ID, "upstream", c.ID, "status", a.status, "running", said.Load.Running,
-			"waiting", said.Load.Waiting, "slots", said.Load.Slots, "expected_wait", c.Wait)
+			"waiting", said.Load.Waiting, "slots", said.Load.Slots, "expected_wait", c.ExpectedQueueing)
 	case failed:
 		h.Log.Info("upstream failed", "id", q.ID, "upstream", c.ID, "status", a.status)
 	}
@@ -85,7 +85,7 @@
 }
 
 // invalidAnswer says what is wrong with an answer that cannot be the upstream's own.
-func invalidAnswer(r *http.Response, said traffic.Answer) string {
+func invalidAnswer(r *http.Response, said traffic.Response) string {
 	switch {
 	case said.Encoded:
 		return "encoded body"
@@ -136,9 +136,9 @@
 		h.Table.Done(h.Now(), c, report)
 		return done
 	case errors.As(err, &caller) || ctx.Err() != nil:
-		h.Table.Done(h.Now(), c, place.Report{Result: place.Left})
+		h.Table.Done(h.Now(), c, place.Report{Result: place.Canceled})
 	default:
-		h.Table.Done(h.Now(), c, place.Report{Result: place.Lost})
+		h.Table.Done(h.Now(), c, place.Report{Result: place.NoResponse})
 	}
 	h.Log.Info("answer broken off", "id", q.ID, "upstream", c.ID, "error", err)
 	panic(http.ErrAbortHandler)
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -86,7 +86,7 @@
 
 func newPlaced(c place.Choice, took time.Duration) *Placed {
 	return &Placed{
-		Expected: c.Expected, ExpectedWait: c.Wait, Took: took, Waited: max(took-(c.Expected-c.Wait), 0),
+		Expected: c.ExpectedLatency, ExpectedWait: c.ExpectedQueueing, Took: took, Waited: max(took-(c.ExpectedLatency-c.ExpectedQueueing), 0),
 	}
 }
 
@@ -131,7 +131,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q := &request{Request: h.Codec.Request(r), arrived: h.Now()}
+	q := &request{Request: h.Codec.ParseRequest(r), arrived: h.Now()}
 	var end func()
 	q.http, end = spans{h.Tracer}.entry(r, q.ID)
 	defer end()
@@ -229,10 +229,10 @@
 	if bound := h.Bounds().KeysFor; bound > 0 && age > bound {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
-	if q.Key == "" {
+	if q.APIKey == "" {
 		return deny(http.StatusUnauthorized, CauseNoKey)
 	}
-	if q.customer = state.Catalog.Customer(q.Key); q.customer == nil {
+	if q.customer = state.Catalog.Customer(q.APIKey); q.customer == nil {
 		return deny(http.StatusUnauthorized, CauseUnknownKey)
 	}
 	return nil
@@ -249,7 +249,7 @@
 	if bound := h.Bounds().KeysFor; bound > 0 && state.age(h.Now()) > bound {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
-	if owner := state.Catalog.Customer(q.Key); owner == nil || owner.Name != q.customer.Name {
+	if owner := state.Catalog.Customer(q.APIKey); owner == nil || owner.Name != q.customer.Name {
 		return denied(http.StatusUnauthorized, CauseUnknownKey)
 	}
 	return nil
@@ -306,7 +306,7 @@
 	if f.retryAfter > 0 {
 		// It comes back on a new connection; this one would stay open for nothing.
 		w.Header().Set("Connection", "close")
-		h.Codec.Refusal(w.Header(), f.retryAfter)
+		h.Codec.SetRetryAfter(w.Header(), f.retryAfter)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(f.status)
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -83,9 +83,9 @@
 		object = ""
 	}
 	return place.Query{
-		Service: q.service, Route: q.route.Name, Object: object, Homes: homes, Bound: bound,
-		Tried: q.attempts.tried, BodyBytes: len(q.body.buffered), Priority: catalog.Priority(q.route, q.customer),
-		Over: q.over, Target: q.route.Target, Remaining: q.until.Sub(h.Now()),
+		Service: q.service, Route: q.route.Name, Object: object, AllowedRegions: homes, RegionRestricted: bound,
+		Excluded: q.attempts.tried, BodyBytes: len(q.body.buffered), Priority: catalog.Priority(q.route, q.customer),
+		OverRate: q.over, Target: q.route.Target, Remaining: q.until.Sub(h.Now()),
 	}
 }
 
@@ -123,12 +123,12 @@
 	if q.attempts.sends > 0 || len(q.attempts.tried) > 0 {
 		return q.notServed()
 	}
-	var full *place.FullError
+	var full *place.QueueLimitError
 	if errors.As(err, &full) {
-		return unavailable(CauseOverloaded, h.retryAfterQueue(full.Wait)).withReason(err)
+		return unavailable(CauseOverloaded, h.retryAfterQueue(full.ExpectedQueueing)).withReason(err)
 	}
-	var none *place.NoneError
-	if errors.As(err, &none) && none.Reason != place.NoneKnown {
+	var none *place.NoUpstreamError
+	if errors.As(err, &none) && none.Reason != place.NotRegistered {
 		return unavailable(CauseNoUpstream, retryCold).withReason(err)
 	}
 	return unavailable(CauseNoUpstream, 2*retryCold).withReason(err)
@@ -179,7 +179,7 @@
 func (h *Handler) send(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice) (end outcome, kept *answer) {
 	began := h.Now()
 	q.attempts.tried = append(q.attempts.tried, c.ID)
-	q.attempts.longestWait = max(q.attempts.longestWait, c.Wait)
+	q.attempts.longestWait = max(q.attempts.longestWait, c.ExpectedQueueing)
 	out := h.outgoing(q, c, began)
 	ended := spans{h.Tracer}.upstream(ctx, out.Header, c)
 	defer func() { ended(end) }()
@@ -197,21 +197,21 @@
 }
 
 func (h *Handler) outgoing(q *request, c place.Choice, now time.Time) *h1.Request {
-	f := traffic.Forward{Remaining: q.until.Sub(now), Instance: c.ID, DropKey: h.State().Catalog.Keyed}
+	f := traffic.Forward{Remaining: q.until.Sub(now), ExpectedInstance: c.ID, DropAPIKey: h.State().Catalog.Keyed}
 	if q.customer != nil {
 		f.Customer = q.customer.Name
 	}
 	return &h1.Request{
 		Method: q.http.Method, Target: target(q.http), Host: q.http.Host,
-		Header: h.Codec.Forward(q.http.Header, f), Body: q.body.reader(), Length: q.body.length, Once: !q.route.Kind.Idempotent(),
-		Matches: func(r *http.Response) bool { return h.Codec.Answer(r).ID == q.ID },
+		Header: h.Codec.ForwardHeader(q.http.Header, f), Body: q.body.reader(), Length: q.body.length, Once: !q.route.Kind.Idempotent(),
+		Matches: func(r *http.Response) bool { return h.Codec.ParseResponse(r).ID == q.ID },
 	}
 }
 
 func (h *Handler) notSent(ctx context.Context, q *request, c place.Choice, err *h1.UnsentError) (outcome, *answer) {
 	report := place.Report{Result: place.Unreachable}
 	if ctx.Err() != nil || !err.Dial {
-		report.Result = place.Left
+		report.Result = place.Canceled
 	}
 	h.Table.Done(h.Now(), c, report)
 	if ctx.Err() != nil {
@@ -225,10 +225,10 @@
 // recordNoAnswer notes that the answer of an upstream is lost.
 func (h *Handler) recordNoAnswer(ctx context.Context, q *request, c place.Choice, err error) outcome {
 	if ctx.Err() != nil {
-		h.Table.Done(h.Now(), c, place.Report{Result: place.Left})
+		h.Table.Done(h.Now(), c, place.Report{Result: place.Canceled})
 		return late
 	}
-	h.Table.Done(h.Now(), c, place.Report{Result: place.Lost})
+	h.Table.Done(h.Now(), c, place.Report{Result: place.NoResponse})
 	h.Log.Info("answer lost", "id", q.ID, "upstream", c.ID, "zone", c.Zone, "took", h.Now().Sub(q.arrived), "error", err)
 	return lost
 }
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -10,16 +10,16 @@
 	// Object is the affinity key; "" if the route has none.
 	Object string
 	// Homes are the regions that may run it, if Bound.
-	Homes []string
-	Bound bool
+	AllowedRegions   []string
+	RegionRestricted bool
 	// Tried are the upstreams that are not to be asked again.
-	Tried []string
+	Excluded []string
 	// BodyBytes of the request.
 	BodyBytes int
 	// Priority ranks the request; 0 is the most urgent.
 	Priority int
 	// Over says that the customer asks for more than its rate.
-	Over bool
+	OverRate bool
 	// Target is the time within which an answer has its full use, and Remaining
 	// the time within which it has any.
 	Target    time.Duration
@@ -34,8 +34,8 @@
 	Region  string
 	// Expected is the time until the answer, and Wait the part of it that is
 	// spent in the upstream's queue.
-	Expected time.Duration
-	Wait     time.Duration
+	ExpectedLatency  time.Duration
+	ExpectedQueueing time.Duration
 
 	// Warm says that the upstream has answered about the object lately, as far as is known.
 	Warm bool
@@ -53,22 +53,22 @@
 // Reasons.
 const (
 	// NoneKnown: no upstream of the service is registered where it may run.
-	NoneKnown Reason = "no-upstream"
+	NotRegistered Reason = "no-upstream"
 	// NoneOpen: those that are registered are evacuated or draining.
-	NoneOpen Reason = "all-closed"
+	AllClosed Reason = "all-closed"
 	// NoneReachable: those that are open have failed lately.
-	NoneReachable Reason = "all-ejected"
+	AllEjected Reason = "all-ejected"
 	// NoneWarm: those that are left are cold and have had their share.
-	NoneWarm Reason = "all-cold"
+	AllCold Reason = "all-cold"
 )
 
 // NoneError says that a request cannot be placed now.
-type NoneError struct {
+type NoUpstreamError struct {
 	Service string
 	Reason  Reason
 }
 
-func (e *NoneError) Error() string { return "place: " + e.Service + ": " + string(e.Reason) }
+func (e *NoUpstreamError) Error() string { return "place: " + e.Service + ": " + string(e.Reason) }
 
 type candidate struct {
 	*upstream
@@ -88,7 +88,7 @@
 	object := objectOf(q.Route, q.Object)
 	s := t.survey(now, q, object)
 	if len(s.candidates) == 0 {
-		return Choice{}, &NoneError{q.Service, s.reason}
+		return Choice{}, &NoUpstreamError{q.Service, s.reason}
 	}
 	t.estimate(now, q, object, s)
 	t.limitShift(now, s)
@@ -104,7 +104,7 @@
 		c := list[i]
 		c.standing.observe(now, c.wait)
 		if allowed := t.queueLimit(now, q, c); c.wait > allowed {
-			return Choice{}, &FullError{q.Service, c.wait, allowed}
+			return Choice{}, &QueueLimitError{q.Service, c.wait, allowed}
 		}
 		if c.cold && !c.slowStart.take(now, t.coldRate(c.Service)) {
 			last := len(list) - 1
@@ -119,11 +119,11 @@
 		c.load.inflight++
 		t.shares.observe(now, c.region)
 		return Choice{
-			ID: c.ID, Address: c.Address, Zone: c.Zone, Region: c.region, Expected: c.finish, Wait: c.wait,
+			ID: c.ID, Address: c.Address, Zone: c.Zone, Region: c.region, ExpectedLatency: c.finish, ExpectedQueueing: c.wait,
 			upstream: c.upstream, object: object, route: q.Route, Warm: warm, cold: c.cold,
 		}, nil
 	}
-	return Choice{}, &NoneError{q.Service, NoneWarm}
+	return Choice{}, &NoUpstreamError{q.Service, AllCold}
 }
 
 // cheapest is the index of the candidate of least cost; among equals that of the
@@ -154,7 +154,7 @@
 	if inTime := inTimeWait(target, rest); rest < target && c.standing.wait(now) > inTime {
 		wait = min(wait, inTime)
 	}
-	if q.Over {
+	if q.OverRate {
 		return min(wait, time.Duration(overRateQueuePart*float64(inTimeWait(target, rest))))
 	}
 	return wait
--- a/internal/place/holders_test.go
+++ b/internal/place/holders_test.go
@@ -17,7 +17,7 @@
 	now := time.Unix(1000, 0)
 	table := NewTable(Host{Instance: "me", Zone: "z", Region: "r"}, map[string]string{"z": "r"})
 	put := func(id string) {
-		table.Put(now, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "z", Slots: 4, State: catalog.StateReady, Born: 1})
+		table.PutUpstream(now, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "z", Slots: 4, State: catalog.StateReady, Born: 1})
 	}
 	put("stays")
 	put("leaves")
@@ -32,12 +32,12 @@
 			late = append(late, c)
 			continue
 		}
-		table.Done(now, c, Report{Result: Answered, Took: time.Millisecond})
+		table.Done(now, c, Report{Result: Succeeded, TimeToHeader: time.Millisecond})
 	}
 	g.Expect(late).NotTo(BeEmpty())
-	table.Remove("leaves")
+	table.RemoveUpstream("leaves")
 	for _, c := range late {
-		table.Done(now, c, Report{Result: Answered, Took: time.Millisecond})
+		table.Done(now, c, Report{Result: Succeeded, TimeToHeader: time.Millisecond})
 	}
 	held := 0
 	for _, list := range table.holders {
--- a/internal/place/hot_test.go
+++ b/internal/place/hot_test.go
@@ -57,7 +57,7 @@
 	for i := range 4 {
 		u := upstream(fmt.Sprint("u-", i), "a1")
 		upstreams[u.ID] = &queueingUpstream{free: make([]time.Time, u.Slots)}
-		table.Put(start, u)
+		table.PutUpstream(start, u)
 	}
 	type open struct {
 		at     time.Time
@@ -74,7 +74,7 @@
 				continue
 			}
 			told := traffic.Load{Running: 1 + upstreams[o.choice.ID].busy(o.at, work), Slots: 4}
-			table.Done(o.at, o.choice, place.Report{Result: place.Answered, Took: o.took, HasLoad: true, Load: told})
+			table.Done(o.at, o.choice, place.Report{Result: place.Succeeded, TimeToHeader: o.took, HasLoad: true, Load: told})
 		}
 		running = left
 	}
@@ -82,9 +82,9 @@
 	for i := range 5 * capacity * 3 / 2 {
 		now = start.Add(time.Duration(i) * time.Second * 2 / (3 * capacity))
 		finish()
-		who, q := &hot, place.Query{Service: "s", Route: "r", Target: target, Remaining: 2 * time.Second, Over: over}
+		who, q := &hot, place.Query{Service: "s", Route: "r", Target: target, Remaining: 2 * time.Second, OverRate: over}
 		if i%3 == 0 {
-			who, q.Over = &within, false
+			who, q.OverRate = &within, false
 		}
 		who.sent++
 		c, err := table.Choose(now, q)
--- a/internal/place/memory.go
+++ b/internal/place/memory.go
@@ -4,55 +4,55 @@
 
 // Memory is what a table has learned that is still true after all entry hosts
 // have started again: upstreams live on.
-type Memory struct {
-	Upstreams []UpstreamMemory
-	Routes    []RouteMemory
+type LearnedState struct {
+	Upstreams []UpstreamState
+	Routes    []RouteState
 }
 
 // UpstreamMemory is one run of an upstream.
-type UpstreamMemory struct {
-	ID      string
-	Born    int64
-	Objects []ObjectMemory
+type UpstreamState struct {
+	ID        string
+	StartedAt int64
+	Objects   []WarmObject
 }
 
 // ObjectMemory is an object that is warm at an upstream.
-type ObjectMemory struct {
+type WarmObject struct {
 	Object Object
 	// Age is the time since the upstream was last asked about it.
 	Age time.Duration
 }
 
 // RouteMemory is what a route's requests take.
-type RouteMemory struct {
+type RouteState struct {
 	Name string
 	// Warm and Cold are the times that work takes; 0: not known.
 	Warm, Cold time.Duration
 	// Bytes of an answer.
-	Bytes int
+	ResponseBytes int
 }
 
 // Memory returns what this host knows.
-func (t *Table) Memory(now time.Time) Memory {
+func (t *Table) LearnedState(now time.Time) LearnedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var m Memory
+	var m LearnedState
 	for _, w := range t.byID {
 		if known := w.memory(now); len(known.Objects) > 0 {
 			m.Upstreams = append(m.Upstreams, known)
 		}
 	}
 	for name, w := range t.serviceTimes {
-		m.Routes = append(m.Routes, RouteMemory{Name: name, Warm: w.warm.value, Cold: w.cold.value, Bytes: int(t.links.answerBytes[name])})
+		m.Routes = append(m.Routes, RouteState{Name: name, Warm: w.warm.value, Cold: w.cold.value, ResponseBytes: int(t.links.answerBytes[name])})
 	}
 	return m
 }
 
-func (w *upstream) memory(now time.Time) UpstreamMemory {
-	out := UpstreamMemory{ID: w.ID, Born: w.Born}
+func (w *upstream) memory(now time.Time) UpstreamState {
+	out := UpstreamState{ID: w.ID, StartedAt: w.Born}
 	for object, known := range w.warm {
-		if age := now.Sub(known.at); known.answered && age < WarmFor {
-			out.Objects = append(out.Objects, ObjectMemory{object, age})
+		if age := now.Sub(known.at); known.answered && age < WarmTTL {
+			out.Objects = append(out.Objects, WarmObject{object, age})
 		}
 	}
 	return out
@@ -61,28 +61,28 @@
 // Restore takes over what was known before this process began, and returns the
 // number of objects. What was learned since goes before it, and an upstream that
 // has started again holds nothing of before.
-func (t *Table) Restore(now time.Time, m Memory) int {
+func (t *Table) Restore(now time.Time, m LearnedState) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	objects := 0
 	for _, known := range m.Upstreams {
-		if w := t.byID[known.ID]; w != nil && w.Born == known.Born {
+		if w := t.byID[known.ID]; w != nil && w.Born == known.StartedAt {
 			objects += t.restoreObjects(now, w, known.Objects)
 		}
 	}
 	for _, r := range m.Routes {
 		getOrCreate(t.serviceTimes, r.Name).restore(r)
-		if _, ok := t.links.answerBytes[r.Name]; !ok && r.Bytes > 0 {
-			t.links.answerBytes[r.Name] = float64(r.Bytes)
+		if _, ok := t.links.answerBytes[r.Name]; !ok && r.ResponseBytes > 0 {
+			t.links.answerBytes[r.Name] = float64(r.ResponseBytes)
 		}
 	}
 	return objects
 }
 
-func (t *Table) restoreObjects(now time.Time, w *upstream, objects []ObjectMemory) int {
+func (t *Table) restoreObjects(now time.Time, w *upstream, objects []WarmObject) int {
 	n := 0
 	for _, o := range objects {
-		if _, ok := w.warm[o.Object]; ok || o.Age >= WarmFor || len(w.warm) >= maxWarmObjects {
+		if _, ok := w.warm[o.Object]; ok || o.Age >= WarmTTL || len(w.warm) >= maxWarmObjects {
 			continue
 		}
 		t.applyWarm(now, now.Add(-o.Age), w, o.Object)
--- a/internal/place/memory_test.go
+++ b/internal/place/memory_test.go
@@ -14,30 +14,30 @@
 func TestRecalledObjectsStayWhereTheyWere(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(*place.Table, *place.Memory)
+		change func(*place.Table, *place.LearnedState)
 		stays  bool
 	}{
-		{"upstreams lived on", func(*place.Table, *place.Memory) {}, true},
-		{"upstream started again", func(tb *place.Table, _ *place.Memory) {
+		{"upstreams lived on", func(*place.Table, *place.LearnedState) {}, true},
+		{"upstream started again", func(tb *place.Table, _ *place.LearnedState) {
 			u := upstream("a1-9", "a1")
 			u.Born = 2
-			tb.Put(start, u)
+			tb.PutUpstream(start, u)
 		}, false},
-		{"used too long ago", func(_ *place.Table, m *place.Memory) { m.Upstreams[0].Objects[0].Age = time.Minute }, false},
+		{"used too long ago", func(_ *place.Table, m *place.LearnedState) { m.Upstreams[0].Objects[0].Age = time.Minute }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			// The upstream that answers is not the first in rank among those of later.
 			before := newTable(t, "a1")
-			before.Put(start, upstream("a1-9", "a1"))
+			before.PutUpstream(start, upstream("a1-9", "a1"))
 			g.Expect(ask(t, before, start, query("object")).ID).To(Equal("a1-9"))
 			g.Expect(ask(t, full(t, "a1"), start, query("object")).ID).NotTo(Equal("a1-9"))
-			m := before.Memory(start)
+			m := before.LearnedState(start)
 			g.Expect(m.Upstreams).To(HaveLen(1))
 
 			after := full(t, "a1")
-			after.Put(start, upstream("a1-9", "a1"))
+			after.PutUpstream(start, upstream("a1-9", "a1"))
 			c.change(after, &m)
 			g.Expect(after.Restore(start, m)).To(Equal(map[bool]int{true: 1}[c.stays]))
 			choice := ask(t, after, start, query("object"))
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -35,7 +35,7 @@
 	table := newTable(t, zone)
 	for _, z := range []string{"a1", "a2", "b1", "b2"} {
 		for i := range 4 {
-			table.Put(start, upstream(fmt.Sprintf("%s-%d", z, i), z))
+			table.PutUpstream(start, upstream(fmt.Sprintf("%s-%d", z, i), z))
 		}
 	}
 	return table
@@ -54,7 +54,7 @@
 	if c.Warm {
 		took = 300 * time.Millisecond
 	}
-	table.Done(now, c, place.Report{Result: place.Answered, Took: took, Bytes: 1000})
+	table.Done(now, c, place.Report{Result: place.Succeeded, TimeToHeader: took, ResponseBytes: 1000})
 	return c
 }
 
@@ -112,26 +112,26 @@
 		reason place.Reason
 		zones  []string
 	}{
-		{"zone evacuated", func(tb *place.Table) { tb.Evacuate(start, map[string]bool{"a1": true}) }, nil, "", []string{"a2", "b1", "b2"}},
+		{"zone evacuated", func(tb *place.Table) { tb.SetEvacuatedZones(start, map[string]bool{"a1": true}) }, nil, "", []string{"a2", "b1", "b2"}},
 		{"all evacuated", func(tb *place.Table) {
-			tb.Evacuate(start, map[string]bool{"a1": true, "a2": true, "b1": true, "b2": true})
-		}, nil, place.NoneOpen, nil},
-		{"home in b", func(*place.Table) {}, func(q *place.Query) { q.Bound, q.Homes = true, []string{"b"} }, "", []string{"b1", "b2"}},
-		{"homes that exclude each other", func(*place.Table) {}, func(q *place.Query) { q.Bound = true }, place.NoneKnown, nil},
-		{"service unknown", func(*place.Table) {}, func(q *place.Query) { q.Service = "none" }, place.NoneKnown, nil},
+			tb.SetEvacuatedZones(start, map[string]bool{"a1": true, "a2": true, "b1": true, "b2": true})
+		}, nil, place.AllClosed, nil},
+		{"home in b", func(*place.Table) {}, func(q *place.Query) { q.RegionRestricted, q.AllowedRegions = true, []string{"b"} }, "", []string{"b1", "b2"}},
+		{"homes that exclude each other", func(*place.Table) {}, func(q *place.Query) { q.RegionRestricted = true }, place.NotRegistered, nil},
+		{"service unknown", func(*place.Table) {}, func(q *place.Query) { q.Service = "none" }, place.NotRegistered, nil},
 		{"draining", func(tb *place.Table) {
 			for _, z := range []string{"a1", "a2", "b1"} {
 				for i := range 4 {
 					u := upstream(fmt.Sprintf("%s-%d", z, i), z)
 					u.State = catalog.StateDraining
-					tb.Put(start, u)
+					tb.PutUpstream(start, u)
 				}
 			}
 		}, nil, "", []string{"b2"}},
 		{"removed", func(tb *place.Table) {
 			for _, z := range []string{"a1", "a2", "b2"} {
 				for i := range 4 {
-					tb.Remove(fmt.Sprintf("%s-%d", z, i))
+					tb.RemoveUpstream(fmt.Sprintf("%s-%d", z, i))
 				}
 			}
 		}, nil, "", []string{"b1"}},
@@ -148,7 +148,7 @@
 				}
 				choice, err := table.Choose(start, q)
 				if c.reason != "" {
-					var none *place.NoneError
+					var none *place.NoUpstreamError
 					g.Expect(errors.As(err, &none)).To(BeTrue(), "%v", err)
 					g.Expect(none.Reason).To(Equal(c.reason))
 					continue
@@ -178,12 +178,12 @@
 		table.SetHosts(hosts)
 		u := upstream("cold", "a1")
 		u.ColdFor = 3 * time.Second
-		table.Put(start, u)
+		table.PutUpstream(start, u)
 		for ms := range 3000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			if choice, err := table.Choose(now, query(fmt.Sprint(ms))); err == nil {
 				sent++
-				table.Done(now, choice, place.Report{Result: place.Answered})
+				table.Done(now, choice, place.Report{Result: place.Succeeded})
 			}
 		}
 		_, err := table.Choose(start.Add(3*time.Second), query("x"))
@@ -200,14 +200,14 @@
 	table := newTable(t, "a1")
 	other := place.Host{Instance: "zone-mate", Zone: "b1", Region: "b"}
 	table.SetHosts([]place.Host{other})
-	table.Put(start, upstream("x", "b1"))
+	table.PutUpstream(start, upstream("x", "b1"))
 	c, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
 	table.Done(start, c, place.Report{Result: place.Unreachable})
 	later := start.Add(2 * time.Second)
 	_, err = table.Choose(later, query("1"))
 	g.Expect(err).To(HaveOccurred(), "in doubt: its zone's host tries first")
-	table.Put(later, upstream("x", "b1"))
+	table.PutUpstream(later, upstream("x", "b1"))
 	_, err = table.Choose(later, query("1"))
 	g.Expect(err).NotTo(HaveOccurred(), "its heartbeat says that it lives and is warm")
 }
@@ -224,14 +224,14 @@
 		now = now.Add(20 * time.Millisecond)
 		c, err := table.Choose(now, query("1"))
 		g.Expect(err).NotTo(HaveOccurred())
-		result := place.Answered
+		result := place.Succeeded
 		if c.ID == sick {
 			sent++
 			if i%2 == 0 {
 				result = place.Failed
 			}
 		}
-		table.Done(now, c, place.Report{Result: result, Took: 100 * time.Millisecond})
+		table.Done(now, c, place.Report{Result: result, TimeToHeader: 100 * time.Millisecond})
 	}
 	g.Expect(sent).To(BeNumerically("<", 100))
 }
@@ -242,7 +242,7 @@
 func TestFullUpstreamsRefuse(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
-	table.Put(start, upstream("x", "a1"))
+	table.PutUpstream(start, upstream("x", "a1"))
 	admitted := map[int]int{}
 	for i := range 400 {
 		q := query("1")
@@ -251,9 +251,9 @@
 			admitted[q.Priority]++
 			continue
 		} else {
-			var full *place.FullError
+			var full *place.QueueLimitError
 			g.Expect(errors.As(err, &full)).To(BeTrue(), "%v", err)
-			g.Expect(full.Wait).To(BeNumerically(">", full.Allowed))
+			g.Expect(full.ExpectedQueueing).To(BeNumerically(">", full.Limit))
 		}
 	}
 	g.Expect(admitted[0]).To(BeNumerically(">", admitted[1]))
@@ -281,13 +281,13 @@
 	table := newTable(t, "a1")
 	u := upstream("x", "a1")
 	u.Slots = 1
-	table.Put(start, u)
+	table.PutUpstream(start, u)
 	c, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
-	table.Done(start, c, place.Report{Result: place.Answered, HasLoad: true, Load: traffic.Load{Running: 1, Slots: 1}})
+	table.Done(start, c, place.Report{Result: place.Succeeded, HasLoad: true, Load: traffic.Load{Running: 1, Slots: 1}})
 	next, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(next.Wait).To(BeZero())
+	g.Expect(next.ExpectedQueueing).To(BeZero())
 }
 
 // Callers of a region multiply from one second to the next, and its own
@@ -296,7 +296,7 @@
 func TestRegionsShiftBySteps(t *testing.T) {
 	g := NewWithT(t)
 	table := full(t, "a1")
-	table.SetMaxShift(0.15)
+	table.SetMaxRegionShift(0.15)
 	now := start
 	// A table whose object has homes in both regions and little load.
 	share := func(perSecond int, hold time.Duration) float64 {
@@ -308,7 +308,7 @@
 		far, all := 0, 0
 		for end := now.Add(2 * time.Second); now.Before(end); now = now.Add(time.Second / time.Duration(perSecond)) {
 			for len(running) > 0 && !running[0].until.After(now) {
-				table.Done(now, running[0].c, place.Report{Result: place.Answered, Took: 100 * time.Millisecond})
+				table.Done(now, running[0].c, place.Report{Result: place.Succeeded, TimeToHeader: 100 * time.Millisecond})
 				running = running[1:]
 			}
 			c, err := table.Choose(now, query(fmt.Sprint(all%50)))
@@ -338,7 +338,7 @@
 	table := place.NewTable(place.Host{Instance: "me", Zone: "a1", Region: "a"}, zones)
 	for i := range upstreams {
 		zone := []string{"a1", "a2", "b1", "b2"}[i%4]
-		table.Put(start, upstream(fmt.Sprint("u", i), zone))
+		table.PutUpstream(start, upstream(fmt.Sprint("u", i), zone))
 	}
 	objects := make([]string, max(64, upstreams))
 	for i := range objects {
@@ -351,7 +351,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		table.Done(now, c, place.Report{Result: place.Answered, Took: 100 * time.Millisecond, Bytes: 1000})
+		table.Done(now, c, place.Report{Result: place.Succeeded, TimeToHeader: 100 * time.Millisecond, ResponseBytes: 1000})
 	}
 }
 
@@ -379,20 +379,20 @@
 	g := NewWithT(t)
 	table := newTable(t, "a1")
 	const way, work = 200 * time.Millisecond, 100 * time.Millisecond
-	table.Put(start, upstream("far", "b1"))
+	table.PutUpstream(start, upstream("far", "b1"))
 	for i := range 30 {
 		c, err := table.Choose(start, query("1"))
 		g.Expect(err).NotTo(HaveOccurred())
-		report := place.Report{Result: place.Answered, Took: way + work, Bytes: 1000}
+		report := place.Report{Result: place.Succeeded, TimeToHeader: way + work, ResponseBytes: 1000}
 		if i%3 == 0 {
-			report.Connect = way
-			report.Took += way
+			report.ConnectTime = way
+			report.TimeToHeader += way
 		}
 		table.Done(start, c, report)
 	}
 	c, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(c.Expected).To(BeNumerically("~", way+work, 20*time.Millisecond))
+	g.Expect(c.ExpectedLatency).To(BeNumerically("~", way+work, 20*time.Millisecond))
 }
 
 // A sale begins: many callers ask for the same cold animals at once. While the
@@ -427,7 +427,7 @@
 	for _, result := range []place.Result{place.Shed, place.Unreachable, place.Misdirected} {
 		g := NewWithT(t)
 		table := newTable(t, "a1")
-		table.Put(start, upstream("x", "a1"))
+		table.PutUpstream(start, upstream("x", "a1"))
 		c, err := table.Choose(start, query("1"))
 		g.Expect(err).NotTo(HaveOccurred())
 		table.Done(start, c, place.Report{Result: result})
@@ -443,7 +443,7 @@
 func TestRefusalLeavesWhatIsWarm(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
-	table.Put(start, upstream("x", "a1"))
+	table.PutUpstream(start, upstream("x", "a1"))
 	ask(t, table, start, query("1"))
 	c, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -470,9 +470,9 @@
 	for range 3 {
 		round()
 	}
-	table.Put(now, upstream("a1-new", "a1"))
+	table.PutUpstream(now, upstream("a1-new", "a1"))
 	g.Expect(round()).To(BeZero(), "the usual choice comes first")
-	table.Put(now, upstream("a1-new", "a1"))
+	table.PutUpstream(now, upstream("a1-new", "a1"))
 	got := 0
 	for range 3 {
 		got += round()
@@ -497,13 +497,13 @@
 				took = 300 * time.Millisecond
 			}
 			load := traffic.Load{Running: 1, Slots: 4}
-			table.Done(now, c, place.Report{Result: place.Answered, Took: took, Bytes: 1000, HasLoad: told, Load: load})
+			table.Done(now, c, place.Report{Result: place.Succeeded, TimeToHeader: took, ResponseBytes: 1000, HasLoad: told, Load: load})
 		}
 		longest := time.Duration(0)
 		for range 30 {
 			c, err := table.Choose(now, query("0"))
 			g.Expect(err).NotTo(HaveOccurred())
-			longest = max(longest, c.Wait)
+			longest = max(longest, c.ExpectedQueueing)
 		}
 		return longest
 	}
--- a/internal/place/queuelimit.go
+++ b/internal/place/queuelimit.go
@@ -96,13 +96,13 @@
 }
 
 // FullError says that a request would wait too long at every upstream.
-type FullError struct {
+type QueueLimitError struct {
 	Service string
 	// Wait is the shortest that there is, and Allowed what the request may wait.
-	Wait    time.Duration
-	Allowed time.Duration
+	ExpectedQueueing time.Duration
+	Limit            time.Duration
 }
 
-func (e *FullError) Error() string {
-	return "place: " + e.Service + ": would wait " + e.Wait.String() + ", may wait " + e.Allowed.String()
+func (e *QueueLimitError) Error() string {
+	return "place: " + e.Service + ": would wait " + e.ExpectedQueueing.String() + ", may wait " + e.Limit.String()
 }
--- a/internal/place/regionshift.go
+++ b/internal/place/regionshift.go
@@ -75,7 +75,7 @@
 
 // SetMaxShift says by how much the share of a region may grow from one span of
 // two seconds to the next; 0: without bound.
-func (t *Table) SetMaxShift(most float64) {
+func (t *Table) SetMaxRegionShift(most float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.maxShift = most
--- a/internal/place/servicetime.go
+++ b/internal/place/servicetime.go
@@ -90,7 +90,7 @@
 }
 
 // restore takes over what was known before, if nothing is known yet.
-func (w *serviceTime) restore(r RouteMemory) {
+func (w *serviceTime) restore(r RouteState) {
 	w.warm.restore(r.Warm)
 	w.cold.restore(r.Cold)
 }
--- a/internal/place/standing_test.go
+++ b/internal/place/standing_test.go
@@ -127,7 +127,7 @@
 		for n := range o.upstreams {
 			id := fmt.Sprint("u-", n)
 			f.ups[id] = &slots{known: map[string]bool{}}
-			t.Put(start, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "a1", Slots: overloadSlots, State: catalog.StateReady})
+			t.PutUpstream(start, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "a1", Slots: overloadSlots, State: catalog.StateReady})
 		}
 		f.tables = append(f.tables, t)
 	}
@@ -144,7 +144,7 @@
 		}
 		load := f.ups[r.c.ID].load(r.at)
 		load.Running++
-		r.table.Done(r.at, r.c, Report{Result: Answered, Took: r.took, HasLoad: true, Load: load})
+		r.table.Done(r.at, r.c, Report{Result: Succeeded, TimeToHeader: r.took, HasLoad: true, Load: load})
 	}
 	f.open = left
 }
--- a/internal/place/survey.go
+++ b/internal/place/survey.go
@@ -61,7 +61,7 @@
 func (t *Table) survey(now time.Time, q Query, object Object) *survey {
 	t.refreshZonePaths(q)
 	s := &t.scratch
-	s.candidates, s.reason, s.localFailure = s.candidates[:0], NoneKnown, false
+	s.candidates, s.reason, s.localFailure = s.candidates[:0], NotRegistered, false
 	key := uint64(object)
 	if object == 0 {
 		t.sequence++
@@ -73,23 +73,23 @@
 		if l.local && w.health.failedSince(now, failoverFor) {
 			s.localFailure = true
 		}
-		if q.Bound && !slices.Contains(q.Homes, w.region) || slices.Contains(q.Tried, w.ID) {
+		if q.RegionRestricted && !slices.Contains(q.AllowedRegions, w.region) || slices.Contains(q.Excluded, w.ID) {
 			continue
 		}
 		if l.closed || w.State != catalog.StateReady {
-			s.reason = NoneOpen
+			s.reason = AllClosed
 			continue
 		}
 		c := candidate{upstream: w, path: l, weight: weight(key, w.id), cold: w.isCold(now)}
 		if c.cold && !t.isSlowStartSender(w) {
-			if s.reason != NoneReachable {
-				s.reason = NoneWarm
+			if s.reason != AllEjected {
+				s.reason = AllCold
 			}
 			continue
 		}
 		if !w.health.usable(now) {
 			ejected = append(ejected, c)
-			s.reason = NoneReachable
+			s.reason = AllEjected
 			continue
 		}
 		l.openSlots += w.Slots
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -86,7 +86,7 @@
 // Evacuate says which zones get nothing new. The upstreams of a zone that comes
 // back count as cold until they say otherwise: nobody has asked them for a
 // while, and their last account is older than that.
-func (t *Table) Evacuate(now time.Time, zones map[string]bool) {
+func (t *Table) SetEvacuatedZones(now time.Time, zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range t.byID {
@@ -113,7 +113,7 @@
 
 // Put takes an upstream's account of itself in, just written. It tells whether
 // the account says anything new beside that the upstream lives.
-func (t *Table) Put(now time.Time, u catalog.Upstream) bool {
+func (t *Table) PutUpstream(now time.Time, u catalog.Upstream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[u.ID]
@@ -145,7 +145,7 @@
 }
 
 // Remove forgets an upstream that is gone.
-func (t *Table) Remove(id string) {
+func (t *Table) RemoveUpstream(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[id]
@@ -180,17 +180,17 @@
 // Results.
 const (
 	// Answered: an answer of its own came whole.
-	Answered Result = iota
+	Succeeded Result = iota
 	// Failed: it answered that it failed.
 	Failed
 	// Shed: it refused without running the request.
 	Shed
 	// Lost: no usable answer came.
-	Lost
+	NoResponse
 	// Unreachable: no connection could be made.
 	Unreachable
 	// Left: the caller has left, or the time was up. It says nothing.
-	Left
+	Canceled
 	// Misdirected: another upstream has the address now.
 	Misdirected
 )
@@ -199,15 +199,15 @@
 type Report struct {
 	Result Result
 	// Took is the time to the answer's header.
-	Took time.Duration
+	TimeToHeader time.Duration
 	// Connect is the part of it that a new connection took; 0: there was one.
-	Connect time.Duration
-	Load    traffic.Load
-	HasLoad bool
+	ConnectTime time.Duration
+	Load        traffic.Load
+	HasLoad     bool
 	// ColdFor, if the upstream says it.
 	ColdFor time.Duration
 	// Bytes of the answer.
-	Bytes int
+	ResponseBytes int
 }
 
 // Done ends a placement.
@@ -219,19 +219,19 @@
 		w.load.observe(now, r.Load)
 	}
 	w.load.inflight--
-	if r.Connect > 0 {
-		t.links.observeRTT(w.region, r.Connect)
+	if r.ConnectTime > 0 {
+		t.links.observeRTT(w.region, r.ConnectTime)
 	}
 	if r.ColdFor > 0 {
 		w.coldUntil = now.Add(r.ColdFor)
 	}
 	switch r.Result {
-	case Answered:
+	case Succeeded:
 		w.health.recordSuccess()
 		t.learn(now, c, r)
 	case Failed:
 		w.health.recordFailure()
-	case Lost:
+	case NoResponse:
 		w.health.recordNoAnswer(now)
 	case Unreachable:
 		w.health.recordUnreachable(now)
@@ -242,7 +242,7 @@
 		w.health.eject(now)
 	case Shed:
 		t.dropUnanswered(w, c.object)
-	case Left:
+	case Canceled:
 	}
 }
 
@@ -252,13 +252,13 @@
 		t.addHolder(w, c.object)
 		w.markAnswered(now, c.object)
 	}
-	t.links.observeAnswerBytes(c.route, r.Bytes)
+	t.links.observeAnswerBytes(c.route, r.ResponseBytes)
 	// Only work that did not wait says how long work takes.
 	queued := r.HasLoad && r.Load.Running+r.Load.Waiting >= r.Load.Slots
 	if queued || c.cold {
 		return
 	}
-	took := max(r.Took-r.Connect-t.links.roundTrip(w.region, w.Zone), time.Millisecond)
+	took := max(r.TimeToHeader-r.ConnectTime-t.links.roundTrip(w.region, w.Zone), time.Millisecond)
 	route := getOrCreate(t.serviceTimes, c.route)
 	if c.Warm || r.HasLoad {
 		// Without a load report a wait cannot be told from cold work.
--- a/internal/place/upstream.go
+++ b/internal/place/upstream.go
@@ -10,7 +10,7 @@
 // warmMost how many objects are remembered for each upstream. Upstreams keep
 // some tens of objects and forget the least recent.
 const (
-	WarmFor        = 20 * time.Second
+	WarmTTL        = 20 * time.Second
 	maxWarmObjects = 64
 )
 
@@ -71,7 +71,7 @@
 // isWarm tells whether the upstream handles an object, or has done so lately.
 func (w *upstream) isWarm(now time.Time, object Object) bool {
 	known, ok := w.warm[object]
-	return ok && now.Sub(known.at) < WarmFor
+	return ok && now.Sub(known.at) < WarmTTL
 }
 
 // hasAnswered tells whether it has done so lately.
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -20,7 +20,7 @@
 	checksumBytes = 8
 	// maxAge is the age from which a snapshot says nothing: upstreams have handled
 	// other objects since.
-	maxAge = place.WarmFor
+	maxAge = place.WarmTTL
 	// mostObjects keeps a snapshot well below the largest value that the store takes;
 	// those that were used longest ago are left out.
 	mostObjects = 40_000
@@ -40,7 +40,7 @@
 func (e *StaleError) Error() string { return fmt.Sprintf("snapshot: %v old", e.Age) }
 
 // Encode writes what is known at the time of day wall.
-func Encode(wall time.Time, m place.Memory) ([]byte, error) {
+func Encode(wall time.Time, m place.LearnedState) ([]byte, error) {
 	s := &Snapshot{Format: format, WrittenMs: wall.UnixMilli()}
 	oldest := oldestKept(m)
 	for _, u := range m.Upstreams {
@@ -48,7 +48,7 @@
 	}
 	for _, r := range m.Routes {
 		s.Routes = append(s.Routes, &Route{
-			Name: r.Name, Bytes: uint32(r.Bytes),
+			Name: r.Name, Bytes: uint32(r.ResponseBytes),
 			WarmUs: uint32(r.Warm.Microseconds()), ColdUs: uint32(r.Cold.Microseconds()),
 		})
 	}
@@ -60,7 +60,7 @@
 }
 
 // oldestKept is the age up to which mostObjects are left.
-func oldestKept(m place.Memory) time.Duration {
+func oldestKept(m place.LearnedState) time.Duration {
 	var ages []time.Duration
 	for _, u := range m.Upstreams {
 		for _, o := range u.Objects {
@@ -74,8 +74,8 @@
 	return ages[mostObjects] - 1
 }
 
-func encodeUpstream(u place.UpstreamMemory, oldest time.Duration) *Upstream {
-	out := &Upstream{Id: u.ID, Born: u.Born}
+func encodeUpstream(u place.UpstreamState, oldest time.Duration) *Upstream {
+	out := &Upstream{Id: u.ID, Born: u.StartedAt}
 	for _, o := range u.Objects {
 		if o.Age > oldest {
 			continue
@@ -88,41 +88,41 @@
 
 // Decode reads a snapshot at the time of day wall, with ages as of then. The
 // clocks of hosts differ: one written in the future counts as just written.
-func Decode(wall time.Time, data []byte) (place.Memory, error) {
+func Decode(wall time.Time, data []byte) (place.LearnedState, error) {
 	if len(data) < checksumBytes {
-		return place.Memory{}, errors.WithStack(ErrBroken)
+		return place.LearnedState{}, errors.WithStack(ErrBroken)
 	}
 	body := data[checksumBytes:]
 	if binary.BigEndian.Uint64(data) != xxhash.Sum64(body) {
-		return place.Memory{}, errors.WithStack(ErrBroken)
+		return place.LearnedState{}, errors.WithStack(ErrBroken)
 	}
 	var s Snapshot
 	if err := proto.Unmarshal(body, &s); err != nil {
-		return place.Memory{}, errors.Wrap(ErrBroken, err.Error())
+		return place.LearnedState{}, errors.Wrap(ErrBroken, err.Error())
 	}
 	if s.Format != format {
-		return place.Memory{}, errors.Wrapf(ErrFormat, "format %d", s.Format)
+		return place.LearnedState{}, errors.Wrapf(ErrFormat, "format %d", s.Format)
 	}
 	age := max(wall.Sub(time.UnixMilli(s.WrittenMs)), 0)
 	if age > maxAge {
-		return place.Memory{}, &StaleError{age}
+		return place.LearnedState{}, &StaleError{age}
 	}
 	return s.memory(age), nil
 }
 
-func (s *Snapshot) memory(age time.Duration) place.Memory {
-	var m place.Memory
+func (s *Snapshot) memory(age time.Duration) place.LearnedState {
+	var m place.LearnedState
 	for _, u := range s.Upstreams {
-		known := place.UpstreamMemory{ID: u.Id, Born: u.Born}
+		known := place.UpstreamState{ID: u.Id, StartedAt: u.Born}
 		for i, o := range u.Objects[:min(len(u.Objects), len(u.AgeMs))] {
 			since := age + time.Duration(u.AgeMs[i])*time.Millisecond
-			known.Objects = append(known.Objects, place.ObjectMemory{Object: place.Object(o), Age: since})
+			known.Objects = append(known.Objects, place.WarmObject{Object: place.Object(o), Age: since})
 		}
 		m.Upstreams = append(m.Upstreams, known)
 	}
 	for _, r := range s.Routes {
-		m.Routes = append(m.Routes, place.RouteMemory{
-			Name: r.Name, Bytes: int(r.Bytes),
+		m.Routes = append(m.Routes, place.RouteState{
+			Name: r.Name, ResponseBytes: int(r.Bytes),
 			Warm: time.Duration(r.WarmUs) * time.Microsecond, Cold: time.Duration(r.ColdUs) * time.Microsecond,
 		})
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,16 +13,16 @@
 
 var written = time.UnixMilli(1_700_000_000_000)
 
-func memory() place.Memory {
-	return place.Memory{
-		Upstreams: []place.UpstreamMemory{{ID: "u-1", Born: 7, Objects: []place.ObjectMemory{
+func memory() place.LearnedState {
+	return place.LearnedState{
+		Upstreams: []place.UpstreamState{{ID: "u-1", StartedAt: 7, Objects: []place.WarmObject{
 			{Object: 1, Age: time.Second}, {Object: 1<<32 - 1, Age: 19 * time.Second},
 		}}},
-		Routes: []place.RouteMemory{{Name: "r", Warm: 108 * time.Millisecond, Cold: 360 * time.Millisecond, Bytes: 5000}},
+		Routes: []place.RouteState{{Name: "r", Warm: 108 * time.Millisecond, Cold: 360 * time.Millisecond, ResponseBytes: 5000}},
 	}
 }
 
-func encoded(t *testing.T, m place.Memory) []byte {
+func encoded(t *testing.T, m place.LearnedState) []byte {
 	data, err := Encode(written, m)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return data
@@ -79,12 +79,12 @@
 // nothing be kept at all.
 func TestLargeSnapshotKeepsWhatWasUsedLast(t *testing.T) {
 	g := NewWithT(t)
-	var m place.Memory
+	var m place.LearnedState
 	const each = 60
 	for i := range mostObjects / each * 2 {
-		u := place.UpstreamMemory{ID: fmt.Sprintf("upstream-%08d", i)}
+		u := place.UpstreamState{ID: fmt.Sprintf("upstream-%08d", i)}
 		for o := range each {
-			u.Objects = append(u.Objects, place.ObjectMemory{Object: place.Object(o), Age: time.Duration(o+1) * 100 * time.Millisecond})
+			u.Objects = append(u.Objects, place.WarmObject{Object: place.Object(o), Age: time.Duration(o+1) * 100 * time.Millisecond})
 		}
 		m.Upstreams = append(m.Upstreams, u)
 	}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -16,7 +16,7 @@
 	// TimeBudget is how long the caller will wait; 0: not said.
 	TimeBudget time.Duration
 	// Key is the customer's.
-	Key string
+	APIKey string
 }
 
 // Forward is what the entry host says to an upstream.
@@ -24,11 +24,11 @@
 	// Remaining is the time that the upstream may use.
 	Remaining time.Duration
 	// Instance is the upstream that is meant: any other one refuses.
-	Instance string
+	ExpectedInstance string
 	// Customer is the tenant's name; "" for a public route.
 	Customer string
 	// DropKey says that the caller's key must not be passed on.
-	DropKey bool
+	DropAPIKey bool
 }
 
 // Load is what an upstream said of its load.
@@ -39,7 +39,7 @@
 }
 
 // Answer is what an upstream's answer says besides status and body.
-type Answer struct {
+type Response struct {
 	// ID of the request that is answered.
 	ID string
 	// Signed says that the answer bears the upstream's signature.
@@ -56,7 +56,7 @@
 	// ColdFor is how long the upstream stays cold; 0 if it does not say.
 	ColdFor time.Duration
 	// KeepFor is how long the upstream keeps the connection; 0: not said.
-	KeepFor time.Duration
+	KeepAlive time.Duration
 	// Instance that answered, where it says so.
 	Instance string
 }
@@ -64,11 +64,11 @@
 // Codec reads and writes these on the wire.
 type Codec interface {
 	// Request reads what the caller says.
-	Request(r *http.Request) Request
+	ParseRequest(r *http.Request) Request
 	// Forward makes the header for an upstream from the caller's.
-	Forward(from http.Header, f Forward) http.Header
+	ForwardHeader(from http.Header, f Forward) http.Header
 	// Answer reads what the upstream says.
-	Answer(r *http.Response) Answer
+	ParseResponse(r *http.Response) Response
 	// Refusal adds to a refusal when to come back.
-	Refusal(h http.Header, comeBack time.Duration)
+	SetRetryAfter(h http.Header, comeBack time.Duration)
 }
