--- a/internal/entry/steer.go
+++ b/internal/entry/steer.go
@@ -18,7 +18,7 @@
 	snap := s.View.Load()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	targets := snap.Steer.Choose(steerRequest(call), time.Now(), rng)
-	s.Retries.First(call.Service)
+	s.Retries.RecordRequest(call.Service)
 	var problem *wire.Problem
 	for i := range targets {
 		target := &targets[i]
@@ -38,7 +38,7 @@
 			s.refundCaps(target, time.Now())
 		}
 		problem = latest.After(problem)
-		if !another(call, latest) || !s.Retries.Affords(call.Service, latest) {
+		if !another(call, latest) || !s.Retries.AllowRetryOn(call.Service, latest) {
 			break
 		}
 	}
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -52,7 +52,7 @@
 	table    *place.Table
 	shares   *share.Shares
 	tokens   *tokens
-	retries  *retry.Window
+	retries  *retry.WindowBudget
 	control  *control
 
 	state     atomic.Pointer[front.State]
@@ -124,7 +124,7 @@
 		events: events, metrics: metrics, tracing: tracing, wire: wire, addresses: addresses, listeners: listeners,
 		conns:   h1.NewPool(h1.Dialer(upstreamDialBound), clock.Now),
 		shares:  share.New(),
-		retries: retry.NewWindow(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
+		retries: retry.NewWindowBudget(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
 		errs:    make(chan error, 4),
 		hurry:   make(chan struct{}, 1),
 		listed:  make(chan struct{}),
@@ -139,7 +139,7 @@
 	d.state.Store(&front.State{})
 	d.directory.Store(&directory{self: d.self})
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	ahead := h1.DialAhead(d.ctx, h1.Dialer(storeDialBound), s.Store)
+	ahead := h1.Preconnect(d.ctx, h1.Dialer(storeDialBound), s.Store)
 	d.store = platform.NewStore("http://"+s.Store, ahead.Dial, metrics.StoreCall)
 	d.control = newControl(d)
 	d.tokens = newTokens(d)
@@ -153,9 +153,9 @@
 func (d *Daemon) Start() {
 	d.startedAt, d.startedWall = d.now(), time.Now()
 	deps := front.Deps{
-		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, Shares: d.tokens,
-		Retries: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
-		Refresh: d.refresh, Updates: d.fresh.next, Starting: d.starting, Overcrowded: d.crowded,
+		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, RateLimiter: d.tokens,
+		RetryBudget: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
+		Refresh: d.refresh, Updates: d.fresh.next, StartupTimeLeft: d.starting, DisableKeepAlive: d.crowded,
 	}
 	if d.settings.Load().TraceFile != "" {
 		deps.Tracer = d.tracing.Tracer
@@ -233,7 +233,7 @@
 	}
 	if l == d.listeners[d.addresses.Callers] {
 		server.ConnState = d.callerConns.track
-		server.ConnContext = front.WithCaller
+		server.ConnContext = front.WithCallerConn
 	}
 	d.servers = append(d.servers, server)
 	go func() {
@@ -252,7 +252,7 @@
 	if !b.StrictRevocation || b.Revoke.Value() == 0 {
 		return front.Bounds{}
 	}
-	return front.Bounds{KeysFor: max(b.Revoke.Value()-watchSilence-keyMargin, tickEvery)}
+	return front.Bounds{KeyMaxAge: max(b.Revoke.Value()-watchSilence-keyMargin, tickEvery)}
 }
 
 func (d *Daemon) resolve(region, _ string) platform.Directions {
--- a/internal/entryhost/metrics.go
+++ b/internal/entryhost/metrics.go
@@ -49,11 +49,11 @@
 	set := d.metrics.Set
 	set.GetOrCreateCounter(fmt.Sprintf(`balsambarrow_answers_total{route=%q,status="%d",cause=%q}`, o.Route, o.Status, cause)).Inc()
 	set.GetOrCreateHistogram(fmt.Sprintf(`balsambarrow_answer_seconds{route=%q}`, o.Route)).Update(o.Took.Seconds())
-	d.observePlaced(o.Route, o.Placed)
+	d.observePlaced(o.Route, o.Latency)
 }
 
 // observePlaced counts what was expected of an upstream beside what came of it.
-func (d *Daemon) observePlaced(route string, p *front.Placed) {
+func (d *Daemon) observePlaced(route string, p *front.LatencyComparison) {
 	if p == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 		d.metrics.Set.GetOrCreateHistogram(name).Update(took.Seconds())
 	}
 	update("answer", "expected", p.Expected)
-	update("answer", "actual", p.Took)
-	update("wait", "expected", p.ExpectedWait)
-	update("wait", "actual", p.Waited)
+	update("answer", "actual", p.Actual)
+	update("wait", "expected", p.ExpectedQueueing)
+	update("wait", "actual", p.ActualQueueing)
 }
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -72,7 +72,7 @@
 // publishState tells what requests go by.
 func (c *control) publishState() {
 	next := front.State{
-		Catalog: c.catalog, ConfirmedAt: c.confirmedAt, Listed: c.listed, Leaving: c.leaving, Standby: !c.activation.active,
+		Catalog: c.catalog, ConfirmedAt: c.confirmedAt, UpstreamsKnown: c.listed, Leaving: c.leaving, Standby: !c.activation.active,
 	}
 	if next == c.published.state {
 		return
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -31,14 +31,14 @@
 }
 
 // receive reads an upstream's answer and gives it to the caller, if it is one.
-func (h *Handler) receive(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice, began time.Time, reply *h1.Reply) (outcome, *answer) {
+func (h *Handler) receive(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice, began time.Time, reply *h1.Response) (outcome, *answer) {
 	said := h.Codec.Answer(reply.Response)
 	report := place.Report{
-		Took: h.Now().Sub(began), Connect: reply.Connect, Load: said.Load, HasLoad: said.HasLoad, ColdFor: said.ColdFor,
+		Took: h.Now().Sub(began), Connect: reply.ConnectTime, Load: said.Load, HasLoad: said.HasLoad, ColdFor: said.ColdFor,
 	}
 	if problem := invalidAnswer(reply.Response, said); problem != "" {
 		reply.Close(said.KeepFor)
-		return h.recordNoAnswer(ctx, q, c, &h1.SpoiledError{Problem: problem}), nil
+		return h.recordNoAnswer(ctx, q, c, &h1.InvalidResponseError{Problem: problem}), nil
 	}
 	kept, err := io.ReadAll(io.LimitReader(reply, maxBufferedAnswer+1))
 	if err != nil {
@@ -107,12 +107,12 @@
 	// A failed write means that the caller has left.
 	_, _ = w.Write(a.body)
 	took := h.Now().Sub(q.arrived)
-	h.Observe(Observation{Route: q.route.Name, Status: a.status, Took: took, Bytes: len(a.body), Sends: q.attempts.sends, Placed: q.attempts.placed})
+	h.Observe(Observation{Route: q.route.Name, Status: a.status, Took: took, Bytes: len(a.body), Sends: q.attempts.sends, Latency: q.attempts.placed})
 	late := q.route.Target > 0 && took > q.route.Target
 	if q.attempts.sends > 1 || late || a.status >= http.StatusInternalServerError || h.answerCount.Add(1)%answerLogSample == 0 {
 		h.Log.Info("answered", "id", q.ID, "route", q.route.Name, "status", a.status, "took", took,
 			"target", q.route.Target, "sends", q.attempts.sends, "tried", q.attempts.tried, "expected", q.attempts.placed.Expected,
-			"expected_wait", q.attempts.placed.ExpectedWait, "upstream_took", q.attempts.placed.Took, "waited", q.attempts.placed.Waited)
+			"expected_wait", q.attempts.placed.ExpectedQueueing, "upstream_took", q.attempts.placed.Actual, "waited", q.attempts.placed.ActualQueueing)
 	}
 }
 
@@ -166,6 +166,6 @@
 // moveHeader moves an upstream's headers but those of the connection to it: that
 // it closes says nothing about the connection to the caller.
 func moveHeader(to, from http.Header) {
-	h1.StripHops(from)
+	h1.RemoveHopByHop(from)
 	maps.Copy(to, from)
 }
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -36,7 +36,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, denied(http.StatusRequestEntityTooLarge, CauseTooLarge)
 	case err != nil && r.Context().Err() != nil:
-		return nil, &refusal{cause: CauseLeft}
+		return nil, &refusal{cause: CauseCallerLeft}
 	case err != nil:
 		return nil, denied(http.StatusBadRequest, CauseBadBody)
 	case len(kept) <= maxBufferedBody:
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -10,8 +10,8 @@
 
 type callerKey struct{}
 
-// WithCaller is a server's ConnContext: requests then know their connection.
-func WithCaller(ctx context.Context, c net.Conn) context.Context {
+// WithCallerConn is a server's ConnContext: requests then know their connection.
+func WithCallerConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, callerKey{}, c)
 }
 
@@ -26,5 +26,5 @@
 		return true
 	}
 	c, ok := r.Context().Value(callerKey{}).(net.Conn)
-	return ok && h1.Closed(c)
+	return ok && h1.ClosedByPeer(c)
 }
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -24,8 +24,8 @@
 	Warn(kind string, pairs ...any)
 }
 
-// Shares admits customers' requests within their rates.
-type Shares interface {
+// RateLimiter admits customers' requests within their rates.
+type RateLimiter interface {
 	Admit(now time.Time, c *catalog.Customer) share.Verdict
 	// Undo gives the token of a request back that certainly did not run.
 	Refund(customer string)
@@ -33,14 +33,14 @@
 
 // Deps are what the front works with.
 type Deps struct {
-	State   func() *State
-	Codec   traffic.Codec
-	Pool    *h1.Pool
-	Table   *place.Table
-	Shares  Shares
-	Retries *retry.Window
-	Bounds  func() Bounds
-	Log     Log
+	State       func() *State
+	Codec       traffic.Codec
+	Pool        *h1.Pool
+	Table       *place.Table
+	RateLimiter RateLimiter
+	RetryBudget *retry.WindowBudget
+	Bounds      func() Bounds
+	Log         Log
 	// Observe is told of each answered request.
 	Observe func(Observation)
 	Now     func() time.Time
@@ -49,11 +49,11 @@
 	Refresh func() <-chan struct{}
 	// Updates returns a channel that is closed when something newer is known.
 	Updates func() <-chan struct{}
-	// Starting is the time for which the host may still be about to learn what it needs
+	// StartupTimeLeft is the time for which the host may still be about to learn what it needs
 	// for its first requests; 0 or less: it is not.
-	Starting func() time.Duration
-	// Overcrowded tells whether callers should not keep their connections.
-	Overcrowded func() bool
+	StartupTimeLeft func() time.Duration
+	// DisableKeepAlive tells whether callers should not keep their connections.
+	DisableKeepAlive func() bool
 	// Tracer writes a span for each hop. Default nil: none.
 	Tracer trace.Tracer
 }
@@ -69,24 +69,24 @@
 	Bytes int
 	// Sends is the number of upstreams that were asked.
 	Sends int
-	// Placed is how the choice of the upstream that answered was borne out; nil where
+	// Latency is how the choice of the upstream that answered was borne out; nil where
 	// none did.
-	Placed *Placed
+	Latency *LatencyComparison
 }
 
-// Placed is what the choice of an upstream went by beside what came of it.
-type Placed struct {
+// LatencyComparison is what the choice of an upstream went by beside what came of it.
+type LatencyComparison struct {
 	// Expected is the time until the answer, ExpectedWait the part of it that was to
 	// be spent in the upstream's queue.
-	Expected, ExpectedWait time.Duration
+	Expected, ExpectedQueueing time.Duration
 	// Took is the time until the answer's header, and Waited the part of it beyond
 	// the work and the way that were expected.
-	Took, Waited time.Duration
+	Actual, ActualQueueing time.Duration
 }
 
-func newPlaced(c place.Choice, took time.Duration) *Placed {
-	return &Placed{
-		Expected: c.Expected, ExpectedWait: c.Wait, Took: took, Waited: max(took-(c.Expected-c.Wait), 0),
+func newPlaced(c place.Choice, took time.Duration) *LatencyComparison {
+	return &LatencyComparison{
+		Expected: c.Expected, ExpectedQueueing: c.Wait, Actual: took, ActualQueueing: max(took-(c.Expected-c.Wait), 0),
 	}
 }
 
@@ -126,7 +126,7 @@
 	// longestWait is the longest queue that was met.
 	longestWait time.Duration
 	// placed is how the last choice was borne out by an answer.
-	placed *Placed
+	placed *LatencyComparison
 }
 
 // ServeHTTP implements http.Handler.
@@ -135,7 +135,7 @@
 	var end func()
 	q.http, end = spans{h.Tracer}.entry(r, q.ID)
 	defer end()
-	if h.State().Leaving || h.Overcrowded() {
+	if h.State().Leaving || h.DisableKeepAlive() {
 		// The caller finds another host, or makes a new connection, for its next
 		// request.
 		w.Header().Set("Connection", "close")
@@ -151,9 +151,9 @@
 
 // admit decides whether the request may be sent to an upstream at all.
 func (h *Handler) admit(w http.ResponseWriter, q *request) *refusal {
-	state := h.awaitState(q, h.Starting(), h.Updates, func(s *State) bool { return !s.starting() })
+	state := h.awaitState(q, h.StartupTimeLeft(), h.Updates, func(s *State) bool { return !s.starting() })
 	if state == nil {
-		return unavailable(CauseNoCatalog, retrySoon)
+		return unavailable(CauseNoConfiguration, retrySoon)
 	}
 	if state.Standby && state.age(q.arrived) > standbyMaxAge {
 		state = h.awaitState(q, refreshFor, h.Refresh, func(s *State) bool { return s.age(h.Now()) <= standbyMaxAge })
@@ -171,7 +171,7 @@
 	}
 	q.body = body
 	if q.customer != nil {
-		v := h.Shares.Admit(h.Now(), q.customer)
+		v := h.RateLimiter.Admit(h.Now(), q.customer)
 		if !v.Admitted {
 			h.Log.Info("over rate", "id", q.ID, "customer", q.customer.Name, "rate", q.customer.Rate,
 				"part", v.Part, "demand", v.Demand, "version", state.Catalog.Version)
@@ -215,7 +215,7 @@
 	age := state.age(q.arrived)
 	deny := func(status int, cause Cause) *refusal {
 		if age > denyMaxAge {
-			return unavailable(CauseBehind, retrySoon)
+			return unavailable(CauseConfigurationStale, retrySoon)
 		}
 		return denied(status, cause)
 	}
@@ -226,7 +226,7 @@
 	if !state.Catalog.Keyed || q.route.Public {
 		return nil
 	}
-	if bound := h.Bounds().KeysFor; bound > 0 && age > bound {
+	if bound := h.Bounds().KeyMaxAge; bound > 0 && age > bound {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
 	if q.Key == "" {
@@ -246,7 +246,7 @@
 		return nil
 	}
 	state := h.State()
-	if bound := h.Bounds().KeysFor; bound > 0 && state.age(h.Now()) > bound {
+	if bound := h.Bounds().KeyMaxAge; bound > 0 && state.age(h.Now()) > bound {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
 	if owner := state.Catalog.Customer(q.Key); owner == nil || owner.Name != q.customer.Name {
@@ -300,7 +300,7 @@
 	h.Log.Info("refused", "id", q.ID, "route", route, "service", q.service, "status", f.status, "cause", f.cause,
 		"reason", f.reason, "retry_after", f.retryAfter, "took", took, "sends", q.attempts.sends, "tried", q.attempts.tried,
 		"age", h.State().age(h.Now()), "version", h.version())
-	if f.cause == CauseLeft {
+	if f.cause == CauseCallerLeft {
 		panic(http.ErrAbortHandler)
 	}
 	if f.retryAfter > 0 {
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -42,11 +42,11 @@
 	// The caller's leaving ends the context, and with it the upstream's work.
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.until.Sub(h.Now()))
 	defer cancel()
-	h.Retries.First(h.Now(), q.service)
+	h.RetryBudget.RecordRequest(h.Now(), q.service)
 	var kept *answer
 	for unreached := 0; ; {
 		if callerGone(q.http) {
-			return h.finishUnserved(w, q, kept, &refusal{cause: CauseLeft})
+			return h.finishUnserved(w, q, kept, &refusal{cause: CauseCallerLeft})
 		}
 		if refused := h.revalidateKey(q); refused != nil {
 			return h.finishUnserved(w, q, kept, refused)
@@ -102,7 +102,7 @@
 	if end != shed && !q.route.Kind.Idempotent() || !q.body.repeatable() {
 		return why
 	}
-	if q.attempts.sends >= q.route.MaxAttempts || !h.Retries.Again(h.Now(), q.service) {
+	if q.attempts.sends >= q.route.MaxAttempts || !h.RetryBudget.AllowRetry(h.Now(), q.service) {
 		return why
 	}
 	return nil
@@ -112,11 +112,11 @@
 func (q *request) notServed() *refusal {
 	switch {
 	case q.attempts.mayHaveRun:
-		return &refusal{status: http.StatusBadGateway, cause: CauseLost}
+		return &refusal{status: http.StatusBadGateway, cause: CauseResponseLost}
 	case q.attempts.shed:
-		return unavailable(CauseShed, q.attempts.longestWait/2+retrySoon)
+		return unavailable(CauseUpstreamsShed, q.attempts.longestWait/2+retrySoon)
 	}
-	return unavailable(CauseUnreachable, retryCold)
+	return unavailable(CauseUpstreamsUnreachable, retryCold)
 }
 
 func (h *Handler) placementRefusal(q *request, err error) *refusal {
@@ -153,7 +153,7 @@
 		refused = &refusal{status: http.StatusBadGateway, cause: refused.cause}
 	}
 	if q.customer != nil && saysNotRun(refused.status) {
-		h.Shares.Refund(q.customer.Name)
+		h.RateLimiter.Refund(q.customer.Name)
 	}
 	return refused
 }
@@ -167,7 +167,7 @@
 // timedOut is the answer to a request whose time is up.
 func (h *Handler) timedOut(q *request) *refusal {
 	if q.http.Context().Err() != nil {
-		return &refusal{cause: CauseLeft}
+		return &refusal{cause: CauseCallerLeft}
 	}
 	if q.attempts.sends > 0 {
 		return &refusal{status: http.StatusGatewayTimeout, cause: CauseTimeout}
@@ -203,21 +203,21 @@
 	}
 	return &h1.Request{
 		Method: q.http.Method, Target: target(q.http), Host: q.http.Host,
-		Header: h.Codec.Forward(q.http.Header, f), Body: q.body.reader(), Length: q.body.length, Once: !q.route.Kind.Idempotent(),
+		Header: h.Codec.Forward(q.http.Header, f), Body: q.body.reader(), Length: q.body.length, NonIdempotent: !q.route.Kind.Idempotent(),
 		Matches: func(r *http.Response) bool { return h.Codec.Answer(r).ID == q.ID },
 	}
 }
 
 func (h *Handler) notSent(ctx context.Context, q *request, c place.Choice, err *h1.UnsentError) (outcome, *answer) {
 	report := place.Report{Result: place.Unreachable}
-	if ctx.Err() != nil || !err.Dial {
+	if ctx.Err() != nil || !err.DialFailed {
 		report.Result = place.Left
 	}
 	h.Table.Done(h.Now(), c, report)
 	if ctx.Err() != nil {
 		return late, nil
 	}
-	h.Pool.Drop(c.Address)
+	h.Pool.CloseIdle(c.Address)
 	h.Log.Info("upstream unreachable", "id", q.ID, "upstream", c.ID, "zone", c.Zone, "error", err)
 	return unsent, nil
 }
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -13,8 +13,8 @@
 	// ConfirmedAt is the latest time at which Catalog was certainly the newest
 	// version.
 	ConfirmedAt time.Time
-	// Listed says that the upstreams are known.
-	Listed bool
+	// UpstreamsKnown says that the upstreams are known.
+	UpstreamsKnown bool
 	// Leaving says that a planned stop has begun.
 	Leaving bool
 	// Standby says that other hosts take the callers: what this one knows may be
@@ -24,9 +24,9 @@
 
 // Bounds are the times that the front works by.
 type Bounds struct {
-	// KeysFor is how long keys are accepted after ConfirmedAt; 0: without
+	// KeyMaxAge is how long keys are accepted after ConfirmedAt; 0: without
 	// bound.
-	KeysFor time.Duration
+	KeyMaxAge time.Duration
 }
 
 const (
@@ -49,7 +49,7 @@
 
 // starting tells whether the host does not know yet what it needs for any request.
 func (s *State) starting() bool {
-	return s.Catalog == nil || !s.Listed || s.ConfirmedAt.IsZero()
+	return s.Catalog == nil || !s.UpstreamsKnown || s.ConfirmedAt.IsZero()
 }
 
 func (s *State) age(now time.Time) time.Duration { return now.Sub(s.ConfirmedAt) }
--- a/internal/h1/ahead.go
+++ b/internal/h1/ahead.go
@@ -12,17 +12,17 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Ahead has a connection to one address opened before it is asked for, so that the second
+// PreconnectDialer has a connection to one address opened before it is asked for, so that the second
 // call of a process that starts does not wait for it.
-type Ahead struct {
+type PreconnectDialer struct {
 	dial   DialFunc
 	opened chan net.Conn
 }
 
-// DialAhead opens a connection to an address in the background. If nobody asks for it
+// Preconnect opens a connection to an address in the background. If nobody asks for it
 // within aheadFor, it is closed.
-func DialAhead(ctx context.Context, dial DialFunc, address string) *Ahead {
-	a := &Ahead{dial: dial, opened: make(chan net.Conn, 1)}
+func Preconnect(ctx context.Context, dial DialFunc, address string) *PreconnectDialer {
+	a := &PreconnectDialer{dial: dial, opened: make(chan net.Conn, 1)}
 	go func() {
 		c, err := dial(ctx, "tcp", address)
 		if err != nil {
@@ -41,7 +41,7 @@
 }
 
 // Dial returns the connection that was opened ahead, or opens one.
-func (a *Ahead) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (a *PreconnectDialer) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	select {
 	case c := <-a.opened:
 		return c, nil
--- a/internal/h1/ahead_test.go
+++ b/internal/h1/ahead_test.go
@@ -22,7 +22,7 @@
 		dialed.Add(1)
 		return c, err
 	}
-	a := h1.DialAhead(context.Background(), dial, l.Addr().String())
+	a := h1.Preconnect(context.Background(), dial, l.Addr().String())
 	g.Eventually(dialed.Load).Should(Equal(int32(1)))
 	used := 0
 	g.Eventually(func() int32 {
@@ -43,7 +43,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = l.Close() }()
-	a := h1.DialAhead(context.Background(), (&net.Dialer{}).DialContext, "127.0.0.1:1")
+	a := h1.Preconnect(context.Background(), (&net.Dialer{}).DialContext, "127.0.0.1:1")
 	c, err := a.Dial(context.Background(), "tcp", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	_ = c.Close()
--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -38,9 +38,9 @@
 // answer.
 func (c *conn) silent() bool { return c.br.Buffered() == 0 && peek(c.Conn) == nothingCame }
 
-// Closed tells whether the other side has closed a connection, as far as that has
+// ClosedByPeer tells whether the other side has closed a connection, as far as that has
 // arrived and nobody has read it yet.
-func Closed(c net.Conn) bool { return peek(c) == closeCame }
+func ClosedByPeer(c net.Conn) bool { return peek(c) == closeCame }
 
 // arrival is what has arrived on a connection and is not read yet.
 type arrival int
--- a/internal/h1/exchange.go
+++ b/internal/h1/exchange.go
@@ -23,9 +23,9 @@
 	Length int64
 	// Matches tells whether an answer is that of this request.
 	Matches func(*http.Response) bool
-	// Once says that the request must not run twice: it goes on a connection that
+	// NonIdempotent says that the request must not run twice: it goes on a connection that
 	// the upstream has certainly not forgotten, as far as that can be known.
-	Once bool
+	NonIdempotent bool
 }
 
 const (
@@ -42,11 +42,11 @@
 // past is a deadline that ends all reads and writes at once.
 var past = time.Unix(1, 0)
 
-// Reply is an upstream's answer. Its body must be read, and then Close called.
-type Reply struct {
+// Response is an upstream's answer. Its body must be read, and then Close called.
+type Response struct {
 	*http.Response
-	// Connect is how long the connection took to be made; 0: it was there.
-	Connect time.Duration
+	// ConnectTime is how long the connection took to be made; 0: it was there.
+	ConnectTime time.Duration
 
 	pool *Pool
 	conn *conn
@@ -58,10 +58,10 @@
 }
 
 // Send sends a request and returns its answer once its header is there. The
-// error is an *UnsentError or a *LostError. ctx bounds the whole exchange: when
+// error is an *UnsentError or a *NoResponseError. ctx bounds the whole exchange: when
 // it ends, the connection is closed, so that the upstream stops its work.
-func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Reply, error) {
-	c, err := p.take(ctx, address, r.Once)
+func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Response, error) {
+	c, err := p.take(ctx, address, r.NonIdempotent)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	return reply, nil
 }
 
-func (p *Pool) exchange(c *conn, r *Request) (*Reply, error) {
+func (p *Pool) exchange(c *conn, r *Request) (*Response, error) {
 	var head bytes.Buffer
 	writeHead(&head, r)
 	if r.Body != nil && r.Length >= 0 && r.Length <= shortBody {
@@ -91,11 +91,11 @@
 		if n == 0 {
 			return nil, &UnsentError{Address: c.address, Cause: err}
 		}
-		return nil, &LostError{c.address, c.kept, err}
+		return nil, &NoResponseError{c.address, c.kept, err}
 	}
-	reply := &Reply{pool: p, conn: c}
+	reply := &Response{pool: p, conn: c}
 	if !c.kept {
-		reply.Connect = c.roundTrip
+		reply.ConnectTime = c.roundTrip
 	}
 	if r.Body != nil {
 		reply.written = writeBody(c, r)
@@ -103,11 +103,11 @@
 	sent := p.now()
 	if _, err := c.br.Peek(1); err != nil {
 		p.noteUnanswered(c, sent, err)
-		return nil, &LostError{c.address, c.kept, err}
+		return nil, &NoResponseError{c.address, c.kept, err}
 	}
-	resp, err := readAnswer(c, r) //nolint:bodyclose // Reply.Close ends the connection instead
+	resp, err := readAnswer(c, r) //nolint:bodyclose // Response.Close ends the connection instead
 	if err != nil {
-		return nil, &LostError{c.address, c.kept, err}
+		return nil, &NoResponseError{c.address, c.kept, err}
 	}
 	reply.Response = resp
 	return reply, nil
@@ -170,7 +170,7 @@
 		}
 		if resp.StatusCode < http.StatusOK {
 			if resp.StatusCode == http.StatusSwitchingProtocols {
-				return nil, &SpoiledError{"switches protocols"}
+				return nil, &InvalidResponseError{"switches protocols"}
 			}
 			continue
 		}
@@ -178,20 +178,20 @@
 			return resp, nil
 		}
 		if stray++; stray > maxStray || resp.Close {
-			return nil, &SpoiledError{"answers another request"}
+			return nil, &InvalidResponseError{"answers another request"}
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes))
 		if err != nil {
 			return nil, err
 		}
 		if n == maxStrayBytes {
-			return nil, &SpoiledError{"answers another request at length"}
+			return nil, &InvalidResponseError{"answers another request at length"}
 		}
 	}
 }
 
 // Read reads the body. io.EOF says that it is whole.
-func (r *Reply) Read(b []byte) (int, error) {
+func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.Body.Read(b)
 	if errors.Is(err, io.EOF) {
 		r.whole = true
@@ -201,7 +201,7 @@
 
 // Close gives the connection back, or closes it if it cannot be used again.
 // keepFor is how long the upstream says that it keeps it.
-func (r *Reply) Close(keepFor time.Duration) {
+func (r *Response) Close(keepFor time.Duration) {
 	ended := !r.stop()
 	if ended || !r.reusable() {
 		_ = r.conn.Close()
@@ -214,7 +214,7 @@
 // was read to its end, nothing follows it, and the whole body went out. An
 // upstream that answered before it read the body goes on reading it: another
 // request would be taken for the rest of the body.
-func (r *Reply) reusable() bool {
+func (r *Response) reusable() bool {
 	if !r.whole || r.Response.Close || r.conn.br.Buffered() > 0 {
 		return false
 	}
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -111,7 +111,7 @@
 		}
 	})
 	_, err := send(t, newPool(), address, request("1"))
-	var lost *h1.LostError
+	var lost *h1.NoResponseError
 	g.Expect(errors.As(err, &lost)).To(BeTrue(), "%v", err)
 	g.Expect(<-seen).To(Equal("1"))
 	g.Consistently(seen, "50ms").ShouldNot(Receive())
@@ -293,7 +293,7 @@
 	_, err = send(t, newPool(), address, request("1"))
 	var unsent *h1.UnsentError
 	g.Expect(errors.As(err, &unsent)).To(BeTrue(), "%v", err)
-	g.Expect(unsent.Dial).To(BeTrue())
+	g.Expect(unsent.DialFailed).To(BeTrue())
 }
 
 // How long a connection took is told with the first answer on it: it says how far
@@ -309,7 +309,7 @@
 	for i, id := range []string{"1", "2", "3"} {
 		reply, err := p.Send(bounded(t), address, request(id))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(reply.Connect > 0).To(Equal(i == 0), "request %s", id)
+		g.Expect(reply.ConnectTime > 0).To(Equal(i == 0), "request %s", id)
 		_, err = io.ReadAll(reply)
 		g.Expect(err).NotTo(HaveOccurred())
 		reply.Close(10 * time.Second)
@@ -322,7 +322,7 @@
 func (m *moved) now() time.Time            { return time.Unix(1000, m.at.Load()) }
 func (m *moved) advance(d time.Duration)   { m.at.Add(int64(d)) }
 func (m *moved) pool() *h1.Pool            { return h1.NewPool((&net.Dialer{}).DialContext, m.now) }
-func once(id string) *h1.Request           { r := request(id); r.Once = true; return r }
+func once(id string) *h1.Request           { r := request(id); r.NonIdempotent = true; return r }
 func fails(_ string, err error) bool       { return err != nil }
 func succeeds(body string, err error) bool { return err == nil && body == "ok" }
 
@@ -367,7 +367,7 @@
 	clock.advance(4 * time.Second)
 	g.Expect(succeeds(send(t, p, address, once("4")))).To(BeTrue())
 	g.Expect(conns.Load()).To(Equal(int32(2)), "eight seconds are too close to its close")
-	var running [2]*h1.Reply
+	var running [2]*h1.Response
 	for i := range running {
 		var err error
 		running[i], err = p.Send(bounded(t), address, request("5"))
--- a/internal/h1/hops.go
+++ b/internal/h1/hops.go
@@ -12,8 +12,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripHops removes hop-by-hop headers, and those that Connection names.
-func StripHops(h http.Header) {
+// RemoveHopByHop removes hop-by-hop headers, and those that Connection names.
+func RemoveHopByHop(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -58,7 +58,7 @@
 	began := p.now()
 	raw, err := p.dial(ctx, "tcp", address)
 	if err != nil {
-		return nil, &UnsentError{Address: address, Dial: true, Cause: err}
+		return nil, &UnsentError{Address: address, DialFailed: true, Cause: err}
 	}
 	c := newConn(raw, address)
 	c.roundTrip = p.now().Sub(began)
@@ -103,9 +103,9 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Drop closes the idle connections to an address, because its upstream has
+// CloseIdle closes the idle connections to an address, because its upstream has
 // gone or failed.
-func (p *Pool) Drop(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -26,11 +26,11 @@
 // NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{left: reserve} }
 
-// First notes a first try.
-func (b *Budget) First() { b.left = min(b.left+ratio, reserve) }
+// RecordRequest notes a first try.
+func (b *Budget) RecordRequest() { b.left = min(b.left+ratio, reserve) }
 
-// Again takes one try again; false if the budget is spent.
-func (b *Budget) Again() bool {
+// AllowRetry takes one try again; false if the budget is spent.
+func (b *Budget) AllowRetry() bool {
 	if b.left < 1 {
 		return false
 	}
@@ -48,34 +48,34 @@
 // NewBudgets returns full budgets.
 func NewBudgets() *Budgets { return &Budgets{service: map[string]*Budget{}} }
 
-// First notes a first try of a service.
-func (b *Budgets) First(service string) {
+// RecordRequest notes a first try of a service.
+func (b *Budgets) RecordRequest(service string) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).First()
+	b.of(service).RecordRequest()
 }
 
-// Again takes one try again of a service; false if its budget is spent.
-func (b *Budgets) Again(service string) bool {
+// AllowRetry takes one try again of a service; false if its budget is spent.
+func (b *Budgets) AllowRetry(service string) bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Again()
+	return b.of(service).AllowRetry()
 }
 
-// Affords tells whether the service may try again after a problem, and takes
+// AllowRetryOn tells whether the service may try again after a problem, and takes
 // the try. One after which an upstream has seen nothing adds no load to it and
 // is free; an upstream that shed has had the work of it.
-func (b *Budgets) Affords(service string, p *wire.Problem) bool {
+func (b *Budgets) AllowRetryOn(service string, p *wire.Problem) bool {
 	if p.Outcome == wire.OutcomeNotRun && p.Type != wire.TypeUpstreamShed {
 		return true
 	}
-	return b.Again(service)
+	return b.AllowRetry(service)
 }
 
 func (b *Budgets) of(service string) *Budget {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -14,17 +14,17 @@
 	tries := 0
 	const requests = 10_000
 	for range requests {
-		budgets.First("lookup")
+		budgets.RecordRequest("lookup")
 		tries++
 		for range 5 {
-			if !budgets.Again("lookup") {
+			if !budgets.AllowRetry("lookup") {
 				break
 			}
 			tries++
 		}
 	}
 	g.Expect(float64(tries) / requests).To(BeNumerically("<=", 1.11))
-	g.Expect(budgets.Again("report")).To(BeTrue(), "another service has a budget of its own")
+	g.Expect(budgets.AllowRetry("report")).To(BeTrue(), "another service has a budget of its own")
 }
 
 // One upstream of twenty fails until it is ejected. All its requests must be
@@ -33,9 +33,9 @@
 	g := NewWithT(t)
 	b := NewBudget()
 	for n := range 1000 {
-		b.First()
+		b.RecordRequest()
 		if n%20 == 0 {
-			g.Expect(b.Again()).To(BeTrue())
+			g.Expect(b.AllowRetry()).To(BeTrue())
 		}
 	}
 }
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Window bounds the tries again of each service over the fleet: in any span of
+// WindowBudget bounds the tries again of each service over the fleet: in any span of
 // its length, no more than ratio of the requests for the service, and a slack.
 //
 // Load pattern: upstreams that shed or lose answers while callers retry as
@@ -13,7 +13,7 @@
 // full stay full. Each host keeps the ratio for the requests that it sent
 // itself, and its part of the slack, so the sum over all hosts holds without a
 // message between them. It is safe for concurrent use.
-type Window struct {
+type WindowBudget struct {
 	length time.Duration
 	ratio  float64
 
@@ -40,28 +40,28 @@
 
 type slots [slotsPerWindow + 1]slot
 
-// NewWindow returns a budget for spans of the given length.
-func NewWindow(length time.Duration, ratio float64) *Window {
-	return &Window{length: length, ratio: ratio, services: map[string]*slots{}}
+// NewWindowBudget returns a budget for spans of the given length.
+func NewWindowBudget(length time.Duration, ratio float64) *WindowBudget {
+	return &WindowBudget{length: length, ratio: ratio, services: map[string]*slots{}}
 }
 
 // SetSlack says what the whole fleet may try again beyond the ratio in one
 // span, and among how many hosts that is split.
-func (w *Window) SetSlack(slack float64, hosts int) {
+func (w *WindowBudget) SetSlack(slack float64, hosts int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slack = slack * slackPart / float64(max(hosts, 1))
 }
 
-// First notes a request that is sent for the first time.
-func (w *Window) First(now time.Time, service string) {
+// RecordRequest notes a request that is sent for the first time.
+func (w *WindowBudget) RecordRequest(now time.Time, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slot(now, service).first++
 }
 
-// Again takes one try again; false if the budget is spent.
-func (w *Window) Again(now time.Time, service string) bool {
+// AllowRetry takes one try again; false if the budget is spent.
+func (w *WindowBudget) AllowRetry(now time.Time, service string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	current := w.slot(now, service)
@@ -80,11 +80,11 @@
 	return true
 }
 
-func (w *Window) number(now time.Time) int64 {
+func (w *WindowBudget) number(now time.Time) int64 {
 	return now.UnixNano() / (int64(w.length) / slotsPerWindow)
 }
 
-func (w *Window) slot(now time.Time, service string) *slot {
+func (w *WindowBudget) slot(now time.Time, service string) *slot {
 	all := w.services[service]
 	if all == nil {
 		all = &slots{}
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -17,9 +17,9 @@
 	g := NewWithT(t)
 	const hosts, ratio, slack = 10, 0.2, 60.0
 	rng := rand.New(rand.NewPCG(1, 2))
-	var windows []*retry.Window
+	var windows []*retry.WindowBudget
 	for range hosts {
-		w := retry.NewWindow(10*time.Second, ratio)
+		w := retry.NewWindowBudget(10*time.Second, ratio)
 		w.SetSlack(slack, hosts)
 		windows = append(windows, w)
 	}
@@ -35,10 +35,10 @@
 			now = now.Add(700 * time.Millisecond)
 		}
 		w := windows[rng.IntN(hosts)]
-		w.First(now, "s")
+		w.RecordRequest(now, "s")
 		events = append(events, event{now, false})
 		for range 3 {
-			if w.Again(now, "s") {
+			if w.AllowRetry(now, "s") {
 				events = append(events, event{now, true})
 			}
 		}
@@ -64,14 +64,14 @@
 
 func TestWindowForgets(t *testing.T) {
 	g := NewWithT(t)
-	w := retry.NewWindow(10*time.Second, 0.2)
+	w := retry.NewWindowBudget(10*time.Second, 0.2)
 	now := time.Unix(1000, 0)
-	g.Expect(w.Again(now, "s")).To(BeFalse(), "no request, no slack")
+	g.Expect(w.AllowRetry(now, "s")).To(BeFalse(), "no request, no slack")
 	for range 10 {
-		w.First(now, "s")
+		w.RecordRequest(now, "s")
 	}
-	g.Expect(w.Again(now, "s")).To(BeTrue())
-	g.Expect(w.Again(now.Add(5*time.Second), "s")).To(BeFalse())
-	g.Expect(w.Again(now.Add(5*time.Second), "other")).To(BeFalse())
-	g.Expect(w.Again(now.Add(12*time.Second), "s")).To(BeFalse(), "the requests are forgotten too")
+	g.Expect(w.AllowRetry(now, "s")).To(BeTrue())
+	g.Expect(w.AllowRetry(now.Add(5*time.Second), "s")).To(BeFalse())
+	g.Expect(w.AllowRetry(now.Add(5*time.Second), "other")).To(BeFalse())
+	g.Expect(w.AllowRetry(now.Add(12*time.Second), "s")).To(BeFalse(), "the requests are forgotten too")
 }
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -37,7 +37,7 @@
 	ctx, span := r.Tracer.Start(ctx, "handler", trace.WithAttributes(
 		attribute.String("service", call.Service), attribute.String("customer", call.Customer)))
 	defer span.End()
-	r.Retries.First(call.Service)
+	r.Retries.RecordRequest(call.Service)
 	var problem *wire.Problem
 	avoid := ""
 	for range maxAttempts {
@@ -49,7 +49,7 @@
 		}
 		span.AddEvent(latest.Type)
 		problem = latest.After(problem)
-		if !repeatable(call, latest) || !r.Retries.Affords(call.Service, latest) {
+		if !repeatable(call, latest) || !r.Retries.AllowRetryOn(call.Service, latest) {
 			break
 		}
 	}
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -93,7 +93,7 @@
 func StripRequest(h http.Header) {
 	h.Del("Authorization")
 	h.Del("Expect")
-	h1.StripHops(h)
+	h1.RemoveHopByHop(h)
 	StripOwn(h)
 }
 
@@ -102,7 +102,7 @@
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
 	}
-	h1.StripHops(to)
+	h1.RemoveHopByHop(to)
 }
 
 // ownPrefix begins the names of this system's headers, in any case.
