--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -21,7 +21,7 @@
 func (k Kind) Idempotent() bool { return k == KindSafe || k == KindDownload }
 
 // Part is one service of a route and its weight among the route's parts.
-type Part struct {
+type WeightedService struct {
 	Service string
 	// Weight is relative to the other parts; the sum need not be 100.
 	Weight float64
@@ -38,11 +38,11 @@
 	// Timeout is the longest time that a caller is kept waiting; 0: no bound.
 	Timeout time.Duration
 	// Target is the time within which an answer has its full use; 0: unknown.
-	Target time.Duration
+	TargetLatency time.Duration
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
 	// Parts are the services, with the share that each is to get.
-	Parts []Part
+	Services []WeightedService
 	// MaxAttempts bounds the upstreams that one request may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
@@ -63,7 +63,7 @@
 	// callers together.
 	MaxConns int
 	// ColdFor is how long an upstream stays cold after it starts.
-	ColdFor time.Duration
+	ColdStart time.Duration
 	// ColdRate is the number of requests per second that a cold upstream
 	// bears, from all entry hosts together; 0: no bound.
 	ColdRate float64
@@ -101,15 +101,15 @@
 	Limits    Limits
 	// Keyed says that requests carry customers' keys. It is false where the
 	// declaration names no customers at all.
-	Keyed bool
+	RequiresKeys bool
 }
 
 // Catalog is one version of what operators declared, indexed.
 type Catalog struct {
-	Version  uint64
-	Limits   Limits
-	Keyed    bool
-	services map[string]*Service
+	Version      uint64
+	Limits       Limits
+	RequiresKeys bool
+	services     map[string]*Service
 	// byHost holds the routes of each host, longest prefix first.
 	byHost    map[string][]*Route
 	byKey     map[string]*Customer
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -10,17 +10,17 @@
 // InvalidError says that a declaration cannot be used, and where.
 type InvalidError struct {
 	// Place names the entry, such as "route r-1".
-	Place string
+	Entry string
 	// Problem says what is wrong with it.
 	Problem string
 }
 
-func (e *InvalidError) Error() string { return fmt.Sprintf("catalog: %s: %s", e.Place, e.Problem) }
+func (e *InvalidError) Error() string { return fmt.Sprintf("catalog: %s: %s", e.Entry, e.Problem) }
 
 // New checks and indexes a declaration. The error is an *InvalidError.
 func New(d Declaration) (*Catalog, error) {
 	c := &Catalog{
-		Version: d.Version, Limits: d.Limits, Keyed: d.Keyed,
+		Version: d.Version, Limits: d.Limits, RequiresKeys: d.RequiresKeys,
 		services: map[string]*Service{}, byHost: map[string][]*Route{}, byKey: map[string]*Customer{},
 	}
 	for i := range d.Services {
@@ -48,10 +48,10 @@
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") {
 		return &InvalidError{place, "needs a host and a prefix that begins with a slash"}
 	}
-	if len(r.Parts) == 0 {
+	if len(r.Services) == 0 {
 		return &InvalidError{place, "names no service"}
 	}
-	for _, p := range r.Parts {
+	for _, p := range r.Services {
 		if c.services[p.Service] == nil {
 			return &InvalidError{place, "unknown service " + p.Service}
 		}
@@ -93,13 +93,13 @@
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
 // Customer returns whose key it is; nil if nobody's.
-func (c *Catalog) Customer(key string) *Customer { return c.byKey[key] }
+func (c *Catalog) CustomerByKey(key string) *Customer { return c.byKey[key] }
 
 // Customers returns all customers.
 func (c *Catalog) Customers() []*Customer { return c.customers }
 
 // Named returns a customer by its name; nil if there is none.
-func (c *Catalog) Named(name string) *Customer {
+func (c *Catalog) CustomerByName(name string) *Customer {
 	for _, u := range c.customers {
 		if u.Name == name {
 			return u
@@ -110,7 +110,7 @@
 
 // Homes returns the regions that may serve a request: those that both route and
 // customer allow. bound is false where neither limits them.
-func Homes(r *Route, u *Customer) (regions []string, bound bool) {
+func AllowedRegions(r *Route, u *Customer) (regions []string, bound bool) {
 	if u == nil || len(u.Regions) == 0 {
 		return r.Regions, len(r.Regions) > 0
 	}
--- a/internal/catalog/upstream.go
+++ b/internal/catalog/upstream.go
@@ -23,11 +23,11 @@
 	Slots int
 	State State
 	// ColdFor is how much longer it was cold when it wrote.
-	ColdFor time.Duration
+	ColdRemaining time.Duration
 	// Sequence grows with each change that the run writes.
 	Sequence uint64
 	// Born is the start of the run, in Unix milliseconds of its own clock.
-	Born int64
+	StartedMs int64
 	// Revision of the store at which the entry was written.
 	Revision uint64
 }
@@ -36,8 +36,8 @@
 // ID. A write may take effect seconds after it was sent, and so after later
 // ones; the revision alone would take such an old account for the newest.
 func (u Upstream) Newer(other Upstream) bool {
-	if u.Born != other.Born {
-		return u.Born > other.Born
+	if u.StartedMs != other.StartedMs {
+		return u.StartedMs > other.StartedMs
 	}
 	return u.Sequence >= other.Sequence
 }
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -9,9 +9,9 @@
 // Errors of Apply; test with errors.Is.
 var (
 	// ErrOtherBase says that the patch was made from another value.
-	ErrOtherBase = errors.New("delta: patch of another value")
+	ErrBaseMismatch = errors.New("delta: patch of another value")
 	// ErrDamaged says that the patch does not lead to the value that it was made for.
-	ErrDamaged = errors.New("delta: patch damaged")
+	ErrCorrupt = errors.New("delta: patch damaged")
 )
 
 const (
@@ -51,7 +51,7 @@
 		base = nil
 	}
 	if hash(base) != p.Base {
-		return nil, errors.WithStack(ErrOtherBase)
+		return nil, errors.WithStack(ErrBaseMismatch)
 	}
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(most))}
 	if len(base) > 0 {
@@ -64,10 +64,10 @@
 	defer decoder.Close()
 	next, err := decoder.DecodeAll(p.Data, nil)
 	if err != nil {
-		return nil, errors.Wrap(ErrDamaged, err.Error())
+		return nil, errors.Wrap(ErrCorrupt, err.Error())
 	}
 	if hash(next) != p.Result {
-		return nil, errors.WithStack(ErrDamaged)
+		return nil, errors.WithStack(ErrCorrupt)
 	}
 	return next, nil
 }
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -49,12 +49,12 @@
 		patch delta.Patch
 		want  error
 	}{
-		{"another base", declaration(6, 100), good, delta.ErrOtherBase},
-		{"no base", nil, good, delta.ErrOtherBase},
-		{"a byte of the data", base, spoil(func(p *delta.Patch) { p.Data[len(p.Data)/2] ^= 0x55 }), delta.ErrDamaged},
-		{"data cut short", base, spoil(func(p *delta.Patch) { p.Data = p.Data[:len(p.Data)/2] }), delta.ErrDamaged},
-		{"no data", base, spoil(func(p *delta.Patch) { p.Data = nil }), delta.ErrDamaged},
-		{"another result", base, spoil(func(p *delta.Patch) { p.Result ^= 2 }), delta.ErrDamaged},
+		{"another base", declaration(6, 100), good, delta.ErrBaseMismatch},
+		{"no base", nil, good, delta.ErrBaseMismatch},
+		{"a byte of the data", base, spoil(func(p *delta.Patch) { p.Data[len(p.Data)/2] ^= 0x55 }), delta.ErrCorrupt},
+		{"data cut short", base, spoil(func(p *delta.Patch) { p.Data = p.Data[:len(p.Data)/2] }), delta.ErrCorrupt},
+		{"no data", base, spoil(func(p *delta.Patch) { p.Data = nil }), delta.ErrCorrupt},
+		{"another result", base, spoil(func(p *delta.Patch) { p.Result ^= 2 }), delta.ErrCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -70,7 +70,7 @@
 	p, err := delta.New(nil, make([]byte, 8<<20))
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = p.Apply(nil, most)
-	g.Expect(err).To(MatchError(delta.ErrDamaged))
+	g.Expect(err).To(MatchError(delta.ErrCorrupt))
 }
 
 func TestAnyValueComesBack(t *testing.T) {
--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -114,7 +114,7 @@
 		}
 		h := standby.Host{Instance: m.Instance, Zone: m.Zone, Region: m.Region, Capacity: m.Capacity, Load: m.Load}
 		all = append(all, h)
-		if m.Able {
+		if m.Eligible {
 			able = append(able, h)
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 	out := heard[:len(heard):len(heard)]
 	for _, m := range c.members.PresumedStandbys(c.d.self.Region) {
-		m.Able = true
+		m.Eligible = true
 		out = append(out, m)
 	}
 	return out
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -163,7 +163,7 @@
 // ask sends a question to a host.
 func (c *control) ask(now time.Time, host string) {
 	if host != "" {
-		c.askPeer(now, c.members.Address(host), question{})
+		c.askPeer(now, c.members.PeerAddress(host), question{})
 	}
 }
 
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -89,7 +89,7 @@
 	guide  []byte
 	guides []string
 	// snapshots paces those that this host writes.
-	snapshots snapshot.Writer
+	snapshots snapshot.Pacer
 }
 
 func newControl(d *Daemon) *control {
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -47,10 +47,10 @@
 	metrics  *telemetry.Metrics
 	tracing  *telemetry.Tracing
 	store    kv.Store
-	wire     *fleet.Wire
+	wire     *fleet.Transport
 	conns    *h1.Pool
 	table    *place.Table
-	shares   *share.Shares
+	shares   *share.Limiter
 	tokens   *tokens
 	retries  *retry.Window
 	control  *control
--- a/internal/entryhost/directory.go
+++ b/internal/entryhost/directory.go
@@ -52,7 +52,7 @@
 		out = append(out, d.self.Instance)
 	}
 	for _, m := range d.others {
-		if m.Ready && m.SeesStore && !m.Leaving && in(m.Region) {
+		if m.Ready && m.StoreReachable && !m.Leaving && in(m.Region) {
 			out = append(out, m.Instance)
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	for _, m := range d.others {
 		if !m.Leaving && wanted(m.Region, m.Ready) && len(out) < mostNamed {
-			out = append(out, m.Callers)
+			out = append(out, m.CallerAddress)
 		}
 	}
 	return out
--- a/internal/entryhost/guide.go
+++ b/internal/entryhost/guide.go
@@ -66,7 +66,7 @@
 	}
 	for _, m := range d.others {
 		if m.Ready && !m.Leaving {
-			g[m.Region] = append(g[m.Region], guideHost{m.Peers, m.Capacity.Cores, m.Capacity.LinkMbps})
+			g[m.Region] = append(g[m.Region], guideHost{m.PeerAddress, m.Capacity.Cores, m.Capacity.LinkMbps})
 		}
 	}
 	for region, hosts := range g {
@@ -84,7 +84,7 @@
 	}
 	var out []string
 	for _, h := range g[region] {
-		if own.PartOf(h.capacity()) < weakPart {
+		if own.FractionOf(h.capacity()) < weakPart {
 			out = append(out, h.Peers)
 		}
 	}
--- a/internal/entryhost/guide_test.go
+++ b/internal/entryhost/guide_test.go
@@ -15,7 +15,7 @@
 func TestWhoLeavesTheFirstListingToOthers(t *testing.T) {
 	strong, weak := standby.Capacity{Cores: 0.8, LinkMbps: 200}, standby.Capacity{Cores: 0.16, LinkMbps: 20}
 	member := func(peers, region string, ready bool, c standby.Capacity) fleet.Member {
-		return fleet.Member{Peers: peers, Region: region, Ready: ready, Capacity: c}
+		return fleet.Member{PeerAddress: peers, Region: region, Ready: ready, Capacity: c}
 	}
 	d := &directory{
 		self: Self{Host: place.Host{Region: "a"}, Peers: "p1"}, ready: true,
--- a/internal/entryhost/heartbeat.go
+++ b/internal/entryhost/heartbeat.go
@@ -34,7 +34,7 @@
 	}
 	c.briefHeartbeatDue = now.Add(c.members.IntervalToStandby())
 	c.rounds++
-	all := c.toAllHosts || c.rounds%fleet.FarRounds == 0
+	all := c.toAllHosts || c.rounds%fleet.RemoteRegionRounds == 0
 	tells := c.ready || c.toAllHosts
 	c.toAllHosts = false
 	if peers := c.members.StandbyPeers(all); tells && len(peers) > 0 {
@@ -65,7 +65,7 @@
 }
 
 func (c *control) sendHeartbeat(b *fleet.Heartbeat, peers []string) {
-	if err := c.d.wire.Send(b, peers); err != nil {
+	if err := c.d.wire.SendHeartbeat(b, peers); err != nil {
 		c.d.events.Debug("heartbeat not sent", "error", err)
 	}
 }
@@ -79,7 +79,7 @@
 		Sequence: c.sequence, Ready: c.ready, Leaving: c.leaving, Version: c.version(),
 		Able: c.canServe(now), Registered: c.held, SeesStore: !c.storeOut, Digest: c.announcedDigest(),
 		Cores: float32(capacity.Cores), LinkMbps: float32(capacity.LinkMbps),
-		RequestsPerSecond: float32(load.Requests), AnswerMbps: float32(load.AnswerMbps),
+		RequestsPerSecond: float32(load.RequestsPerSecond), AnswerMbps: float32(load.ResponseMbps),
 	}
 }
 
--- a/internal/entryhost/knowledge.go
+++ b/internal/entryhost/knowledge.go
@@ -121,7 +121,7 @@
 // addChanges adds changes to an answer if the link bears it, and else who has them.
 func (c *control) addChanges(a *fleet.ConfirmAnswer, changes []*fleet.Change, from string) {
 	size := proto.Size(&fleet.ConfirmAnswer{Changes: changes})
-	ok, holders := c.fanout.Send(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
+	ok, holders := c.fanout.Allow(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
 	if ok {
 		a.Changes = changes
 	}
--- a/internal/entryhost/meter.go
+++ b/internal/entryhost/meter.go
@@ -40,8 +40,8 @@
 	}
 	const bitsPerMbit = 1e6
 	gain := 1 - math.Exp(-passed.Seconds()/meterMemory.Seconds())
-	m.load.Requests += gain * (m.requests/passed.Seconds() - m.load.Requests)
-	m.load.AnswerMbps += gain * (8*m.bytes/bitsPerMbit/passed.Seconds() - m.load.AnswerMbps)
+	m.load.RequestsPerSecond += gain * (m.requests/passed.Seconds() - m.load.RequestsPerSecond)
+	m.load.ResponseMbps += gain * (8*m.bytes/bitsPerMbit/passed.Seconds() - m.load.ResponseMbps)
 	m.requests, m.bytes, m.at = 0, 0, now
 	return m.load
 }
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -34,7 +34,7 @@
 	}
 	changed := p.generation != c.members.Generation()
 	if changed {
-		p.generation, p.heard = c.members.Generation(), c.members.Present()
+		p.generation, p.heard = c.members.Generation(), c.members.Alive()
 	}
 	c.setReady(now, p.heard)
 	review := now.Sub(p.reviewed) >= reviewEvery
@@ -89,5 +89,5 @@
 		return
 	}
 	p.demand, p.summed = c.members.DemandGeneration(), now
-	c.d.shares.SetOthers(c.members.Demand(), c.buckets(), c.members.Complete())
+	c.d.shares.SetRemoteDemand(c.members.Demand(), c.buckets(), c.members.DemandComplete())
 }
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -33,7 +33,7 @@
 // is held.
 type tokens struct {
 	d     *Daemon
-	spare *share.FallbackBucket
+	spare *share.FallbackBuckets
 
 	mu      sync.Mutex
 	last    uint64
@@ -41,7 +41,7 @@
 }
 
 func newTokens(d *Daemon) *tokens {
-	return &tokens{d: d, spare: share.NewFallbackBucket(), last: randomID(), waiting: map[uint64]chan *fleet.TokenAnswer{}}
+	return &tokens{d: d, spare: share.NewFallbackBuckets(), last: randomID(), waiting: map[uint64]chan *fleet.TokenAnswer{}}
 }
 
 // expect makes room for the answer to a question and returns the question's id.
@@ -55,9 +55,9 @@
 }
 
 // Admit takes one request of a customer.
-func (t *tokens) Admit(now time.Time, c *catalog.Customer) share.Verdict {
+func (t *tokens) Admit(now time.Time, c *catalog.Customer) share.Decision {
 	if c.Rate <= 0 {
-		return share.Verdict{Admitted: true, Part: 1}
+		return share.Decision{Admitted: true, Fraction: 1}
 	}
 	p := t.d.awaitPool()
 	owner := share.ShardOwner(c.Name, p.instances)
@@ -76,9 +76,9 @@
 		t.d.events.Info("owner of a bucket silent", "customer", c.Name, "owner", owner)
 		return t.spare.Admit(now, c, p.hosts)
 	}
-	return share.Verdict{
+	return share.Decision{
 		Admitted: a.Granted, RetryAfter: time.Duration(a.BackMs) * time.Millisecond,
-		Part: float64(a.Part), Demand: float64(a.Demand),
+		Fraction: float64(a.Part), Demand: float64(a.Demand),
 	}
 }
 
@@ -134,7 +134,7 @@
 	if state.Catalog == nil {
 		return
 	}
-	c := state.Catalog.Named(q.Customer)
+	c := state.Catalog.CustomerByName(q.Customer)
 	if c == nil {
 		return
 	}
@@ -144,7 +144,7 @@
 		return
 	}
 	answer := &fleet.TokenAnswer{
-		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Part), Demand: float32(v.Demand),
+		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Fraction), Demand: float32(v.Demand),
 	}
 	if err := t.d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: answer}}, from); err != nil {
 		t.d.events.Debug("token not sent", "error", err)
@@ -182,7 +182,7 @@
 	for _, m := range heard {
 		if m.Ready && m.Registered && !m.Leaving && in(m.Region) {
 			p.instances = append(p.instances, m.Instance)
-			p.peers[m.Instance] = m.Peers
+			p.peers[m.Instance] = m.PeerAddress
 		}
 	}
 }
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -212,7 +212,7 @@
 	s, capacity := r.d.self, r.d.capacity()
 	value, err := json.Marshal(fleet.Registration{
 		Instance: s.Instance, Host: s.Name, Zone: s.Zone, Region: s.Region, Peers: s.Peers,
-		Cores: capacity.Cores, LinkMbps: capacity.LinkMbps, StartedMs: r.d.startedWall.UnixMilli(), Spends: spends,
+		Cores: capacity.Cores, LinkMbps: capacity.LinkMbps, StartedMs: r.d.startedWall.UnixMilli(), HoldsShares: spends,
 	})
 	if err != nil {
 		return errors.WithStack(err)
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -76,7 +76,7 @@
 		c.d.events.Warn("snapshot not encoded", "error", err)
 		return
 	}
-	c.snapshots.Began(now, len(data))
+	c.snapshots.Started(now, len(data))
 	c.d.spawn(func(ctx context.Context) { c.d.writeSnapshot(ctx, data) })
 }
 
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -182,7 +182,7 @@
 		return
 	}
 	c.hostsListed, c.hostsChanged = true, false
-	c.members.List(now, slices.Collect(maps.Values(c.registrations)))
+	c.members.ApplyRegistrations(now, slices.Collect(maps.Values(c.registrations)))
 }
 
 // declare takes a configuration over if it is newer.
@@ -259,13 +259,13 @@
 		return
 	}
 	if !c.roster.Put(u) {
-		c.d.events.Debug("upstream entry old", "upstream", u.ID, "born", u.Born, "sequence", u.Sequence)
+		c.d.events.Debug("upstream entry old", "upstream", u.ID, "born", u.StartedMs, "sequence", u.Sequence)
 		return
 	}
 	c.digest.SetUpstream(u)
 	if c.d.table.Put(now, u) {
 		c.d.events.Info("upstream", "upstream", u.ID, "service", u.Service, "zone", u.Zone, "address", u.Address,
-			"state", u.State, "cold", u.ColdFor, "born", u.Born, "revision", u.Revision)
+			"state", u.State, "cold", u.ColdRemaining, "born", u.StartedMs, "revision", u.Revision)
 	}
 }
 
--- a/internal/fanout/limiter.go
+++ b/internal/fanout/limiter.go
@@ -44,7 +44,7 @@
 // Send tells whether changes of a size that lead to a state may be sent to a host now
 // over a link of the given rate; 0: not known. If not, it returns the addresses of hosts
 // that are likely to have them; none if no other is known.
-func (l *Limiter) Send(now time.Time, state uint64, host string, bytes int, mbps float64) (ok bool, holders []string) {
+func (l *Limiter) Allow(now time.Time, state uint64, host string, bytes int, mbps float64) (ok bool, holders []string) {
 	if l.state != state {
 		l.state, l.holders = state, l.holders[:0]
 	}
--- a/internal/fanout/limiter_test.go
+++ b/internal/fanout/limiter_test.go
@@ -85,7 +85,7 @@
 		case d.question && !has[d.from].IsZero():
 		case d.question && has[d.to].IsZero():
 		case d.question && r.refers:
-			ok, holders := limiters[d.to].Send(d.at, 1, strconv.Itoa(d.from), r.bytes, r.mbps(d.to))
+			ok, holders := limiters[d.to].Allow(d.at, 1, strconv.Itoa(d.from), r.bytes, r.mbps(d.to))
 			size := 100
 			if ok {
 				size = r.bytes
@@ -172,16 +172,16 @@
 	g := NewWithT(t)
 	var l fanout.Limiter
 	now := time.Unix(1000, 0)
-	ok, _ := l.Send(now, 7, "a", 1<<20, 10)
+	ok, _ := l.Allow(now, 7, "a", 1<<20, 10)
 	g.Expect(ok).To(BeTrue(), "one change passes, however large")
 	later := now.Add(100 * time.Millisecond)
-	ok, holders := l.Send(later, 7, "b", 1000, 10)
+	ok, holders := l.Allow(later, 7, "b", 1000, 10)
 	g.Expect(ok).To(BeFalse())
 	g.Expect(holders).To(Equal([]string{"a"}))
-	_, holders = l.Send(later, 7, "a", 1000, 10)
+	_, holders = l.Allow(later, 7, "a", 1000, 10)
 	g.Expect(holders).To(BeEmpty())
-	_, holders = l.Send(later, 8, "b", 1000, 10)
+	_, holders = l.Allow(later, 8, "b", 1000, 10)
 	g.Expect(holders).To(BeEmpty())
-	ok, _ = l.Send(now.Add(10*time.Second), 8, "b", 1000, 10)
+	ok, _ = l.Allow(now.Add(10*time.Second), 8, "b", 1000, 10)
 	g.Expect(ok).To(BeTrue())
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -30,15 +30,15 @@
 func TestSilentHostKeepsItsPart(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
-	m.List(start, []fleet.Registration{registration("a", "host-a")})
+	m.ApplyRegistrations(start, []fleet.Registration{registration("a", "host-a")})
 	m.ApplyHeartbeat(start, beat("a", "host-a", 1))
-	g.Expect(m.Present()).To(HaveLen(1))
+	g.Expect(m.Alive()).To(HaveLen(1))
 	later := start.Add(10 * time.Second)
 	m.Expire(later)
-	g.Expect(m.Present()).To(BeEmpty())
+	g.Expect(m.Alive()).To(BeEmpty())
 	g.Expect(m.Count()).To(Equal(2))
 	g.Expect(m.Demand()).To(HaveKeyWithValue("x", 5.0))
-	m.List(later, nil)
+	m.ApplyRegistrations(later, nil)
 	m.Expire(later)
 	g.Expect(m.Count()).To(Equal(1))
 	g.Expect(m.Demand()).To(BeEmpty())
@@ -51,8 +51,8 @@
 	m := fleet.NewMembers("me", "host-me", "r")
 	m.ApplyHeartbeat(start, beat("a-1", "host-a", 7))
 	m.ApplyHeartbeat(start, beat("a-2", "host-a", 1))
-	m.List(start, []fleet.Registration{registration("a-1", "host-a"), registration("a-2", "host-a"), registration("me-0", "host-me")})
-	heard := m.Present()
+	m.ApplyRegistrations(start, []fleet.Registration{registration("a-1", "host-a"), registration("a-2", "host-a"), registration("me-0", "host-me")})
+	heard := m.Alive()
 	g.Expect(heard).To(HaveLen(1))
 	g.Expect(heard[0].Instance).To(Equal("a-2"))
 	g.Expect(m.Count()).To(Equal(2))
@@ -67,7 +67,7 @@
 	leaving.Ready, leaving.Leaving = false, true
 	m.ApplyHeartbeat(start, leaving)
 	m.ApplyHeartbeat(start, beat("a", "host-a", 8))
-	g.Expect(m.Present()[0].Leaving).To(BeTrue())
+	g.Expect(m.Alive()[0].Leaving).To(BeTrue())
 	m.ApplyHeartbeat(start, beat("me", "host-me", 1))
 	g.Expect(m.Count()).To(Equal(2), "an echo of one's own is nobody")
 }
@@ -82,11 +82,11 @@
 	defer cancel()
 	heard, spoiled := make(chan *fleet.Packet, 8), make(chan error, 8)
 	go b.Receive(ctx, func(p *fleet.Packet, _ string) { heard <- p }, func(err error) { spoiled <- err })
-	g.Expect(a.Send(beat("a", "host-a", 3), []string{b.Address()})).To(Succeed())
+	g.Expect(a.SendHeartbeat(beat("a", "host-a", 3), []string{b.Address()})).To(Succeed())
 	var got *fleet.Packet
 	g.Eventually(heard, "5s").Should(Receive(&got))
 	g.Expect(got.GetHeartbeat().Sequence).To(Equal(uint64(3)))
-	g.Expect(a.Send(beat("a", "host-a", 3), []string{"not an address"})).NotTo(Succeed())
+	g.Expect(a.SendHeartbeat(beat("a", "host-a", 3), []string{"not an address"})).NotTo(Succeed())
 }
 
 // Guards against a host that has just begun to take callers and takes a customer's
@@ -96,14 +96,14 @@
 	m := fleet.NewMembers("me", "host-me", "r")
 	full := beat("a", "host-a", 1)
 	m.ApplyHeartbeat(start, full)
-	g.Expect(m.Complete()).To(BeTrue())
+	g.Expect(m.DemandComplete()).To(BeTrue())
 	brief := beat("a", "host-a", 2)
 	brief.Brief, brief.Demand = true, nil
 	m.ApplyHeartbeat(start, brief)
-	g.Expect(m.Complete()).To(BeFalse())
+	g.Expect(m.DemandComplete()).To(BeFalse())
 	g.Expect(m.Demand()).To(BeEmpty())
 	m.ApplyHeartbeat(start, beat("a", "host-a", 3))
-	g.Expect(m.Complete()).To(BeTrue())
+	g.Expect(m.DemandComplete()).To(BeTrue())
 	g.Expect(m.Demand()).To(HaveKeyWithValue("x", 5.0))
 }
 
@@ -135,7 +135,7 @@
 func TestHostsThatStandByAreTakenToLive(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
-	m.List(start, []fleet.Registration{
+	m.ApplyRegistrations(start, []fleet.Registration{
 		{Instance: "near", Host: "host-near", Region: "r", Peers: "p-near", Cores: 0.8},
 		{Instance: "far", Host: "host-far", Region: "elsewhere", Peers: "p-far"},
 		registration("a", "host-a"),
@@ -149,7 +149,7 @@
 	g.Expect(unheard).To(HaveLen(1))
 	g.Expect(unheard[0].Capacity.Cores).To(Equal(0.8))
 	m.Expire(start.Add(time.Minute))
-	g.Expect(m.Present()).To(BeEmpty())
+	g.Expect(m.Alive()).To(BeEmpty())
 	g.Expect(m.PresumedStandbys("r")).To(HaveLen(1), "a host that took callers and is silent is not")
 }
 
--- a/internal/fleet/interval.go
+++ b/internal/fleet/interval.go
@@ -18,7 +18,7 @@
 	standbyInterval = time.Second
 	// FarRounds is the number of heartbeats to hosts that stand by in a host's region
 	// for one to those of other regions: they need it only if their own region has none.
-	FarRounds = 4
+	RemoteRegionRounds = 4
 	// intervalsMissed is the number of intervals without a heartbeat after which a
 	// host counts as silent.
 	intervalsMissed = 4
@@ -54,7 +54,7 @@
 	case k.Region == m.region:
 		return m.IntervalToStandby()
 	}
-	return FarRounds * m.IntervalToStandby()
+	return RemoteRegionRounds * m.IntervalToStandby()
 }
 
 func (k *Member) isAlive(now time.Time, gap time.Duration) bool {
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -17,17 +17,17 @@
 	Zone     string
 	Region   string
 	// Callers and Peers are its addresses.
-	Callers string
-	Peers   string
-	Ready   bool
-	Leaving bool
-	Version uint64
+	CallerAddress string
+	PeerAddress   string
+	Ready         bool
+	Leaving       bool
+	Version       uint64
 	// Registered says that its registration stood when it told so.
 	Registered bool
 	// SeesStore says that its last call to the store had succeeded.
-	SeesStore bool
+	StoreReachable bool
 	// Able says that it could take callers at once; Ready that it does.
-	Able     bool
+	Eligible bool
 	Capacity standby.Capacity
 	Load     standby.Load
 	// Demand of customers there, in requests per second.
@@ -118,18 +118,18 @@
 // differs tells whether a heartbeat says anything of its host that others go by at
 // once; load and demand change with each.
 func (k *Member) differs(b *Heartbeat) bool {
-	return k.Host != b.Host || k.Zone != b.Zone || k.Region != b.Region || k.Callers != b.Callers || k.Peers != b.Peers ||
-		k.Ready != b.Ready || k.Leaving != b.Leaving || k.Able != b.Able || k.Registered != b.Registered ||
-		k.SeesStore != b.SeesStore
+	return k.Host != b.Host || k.Zone != b.Zone || k.Region != b.Region || k.CallerAddress != b.Callers || k.PeerAddress != b.Peers ||
+		k.Ready != b.Ready || k.Leaving != b.Leaving || k.Eligible != b.Able || k.Registered != b.Registered ||
+		k.StoreReachable != b.SeesStore
 }
 
 func (k *Member) applyHeartbeat(now time.Time, b *Heartbeat) {
 	k.Host, k.Zone, k.Region = b.Host, b.Zone, b.Region
-	k.Callers, k.Peers = b.Callers, b.Peers
+	k.CallerAddress, k.PeerAddress = b.Callers, b.Peers
 	k.Ready, k.Leaving, k.Version = b.Ready, b.Leaving, b.Version
-	k.Able, k.Registered, k.SeesStore = b.Able, b.Registered, b.SeesStore
+	k.Eligible, k.Registered, k.StoreReachable = b.Able, b.Registered, b.SeesStore
 	k.Capacity = standby.Capacity{Cores: float64(b.Cores), LinkMbps: float64(b.LinkMbps)}
-	k.Load = standby.Load{Requests: float64(b.RequestsPerSecond), AnswerMbps: float64(b.AnswerMbps)}
+	k.Load = standby.Load{RequestsPerSecond: float64(b.RequestsPerSecond), ResponseMbps: float64(b.AnswerMbps)}
 	k.sequence, k.heard, k.alive = b.Sequence, now, true
 }
 
--- a/internal/fleet/registration.go
+++ b/internal/fleet/registration.go
@@ -19,7 +19,7 @@
 	// a host, the one that started earlier has ended.
 	StartedMs int64 `json:"started_ms,omitempty"`
 	// Spends says that the host holds shares of customers' rates.
-	Spends bool `json:"spends,omitempty"`
+	HoldsShares bool `json:"spends,omitempty"`
 }
 
 func (r Registration) capacity() standby.Capacity {
@@ -28,19 +28,19 @@
 
 // List takes the registrations in the store over. One of an earlier instance of
 // this host or of a host that is heard again is of a daemon that has ended.
-func (m *Members) List(now time.Time, list []Registration) {
+func (m *Members) ApplyRegistrations(now time.Time, list []Registration) {
 	listed := m.latest(list)
 	for instance, r := range listed {
 		k := m.by[instance]
 		if k == nil {
 			k = &Member{
-				Instance: instance, Host: r.Host, Zone: r.Zone, Region: r.Region, Peers: r.Peers,
+				Instance: instance, Host: r.Host, Zone: r.Zone, Region: r.Region, PeerAddress: r.Peers,
 				Capacity: r.capacity(), heard: now.Add(-rememberFor),
 			}
 			m.by[instance] = k
 			m.generation++
 		}
-		k.spends = r.Spends
+		k.spends = r.HoldsShares
 	}
 	for id, k := range m.by {
 		if _, ok := listed[id]; k.registered != ok {
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -6,7 +6,7 @@
 )
 
 // Present lists the hosts that are there, by instance.
-func (m *Members) Present() []Member {
+func (m *Members) Alive() []Member {
 	var out []Member
 	for _, k := range m.by {
 		if k.alive {
@@ -57,7 +57,7 @@
 
 // Complete tells whether every host that holds shares has told what is asked for
 // there.
-func (m *Members) Complete() bool {
+func (m *Members) DemandComplete() bool {
 	for _, k := range m.by {
 		if k.sequence == 0 && k.spends || k.Ready && !k.complete {
 			return false
@@ -84,16 +84,16 @@
 	out := make([]string, 0, len(m.by))
 	for _, k := range m.by {
 		if which(k) {
-			out = append(out, k.Peers)
+			out = append(out, k.PeerAddress)
 		}
 	}
 	return out
 }
 
 // Address of a member for packets; "" if it is not known.
-func (m *Members) Address(instance string) string {
+func (m *Members) PeerAddress(instance string) string {
 	if k := m.by[instance]; k != nil {
-		return k.Peers
+		return k.PeerAddress
 	}
 	return ""
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -15,7 +15,7 @@
 const maxDatagram = 64 << 10
 
 // Wire sends and receives packets as datagrams, a large one in fragments.
-type Wire struct {
+type Transport struct {
 	conn   *net.UDPConn
 	packer packer
 	// fragmented counts the packets that were sent in fragments.
@@ -23,7 +23,7 @@
 }
 
 // Listen opens the socket at address, IP:port.
-func Listen(address string) (*Wire, error) {
+func Listen(address string) (*Transport, error) {
 	a, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for heartbeats")
 	}
-	w := &Wire{conn: conn}
+	w := &Transport{conn: conn}
 	if w.packer, err = newPacker(); err != nil {
 		return nil, err
 	}
@@ -42,11 +42,11 @@
 }
 
 // Address that heartbeats arrive at.
-func (w *Wire) Address() string { return w.conn.LocalAddr().String() }
+func (w *Transport) Address() string { return w.conn.LocalAddr().String() }
 
 // Send sends a heartbeat to each peer. A heartbeat that cannot be sent is like
 // one that is lost on the way, so only the first error is returned, for the log.
-func (w *Wire) Send(b *Heartbeat, peers []string) error {
+func (w *Transport) SendHeartbeat(b *Heartbeat, peers []string) error {
 	data, err := proto.Marshal(&Packet{Content: &Packet_Heartbeat{b}})
 	if err != nil {
 		return errors.WithStack(err)
@@ -61,7 +61,7 @@
 }
 
 // SendPacket sends one packet to one peer.
-func (w *Wire) SendPacket(p *Packet, peer string) error {
+func (w *Transport) SendPacket(p *Packet, peer string) error {
 	data, err := proto.Marshal(p)
 	if err != nil {
 		return errors.WithStack(err)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (w *Wire) write(data []byte, peer string) error {
+func (w *Transport) write(data []byte, peer string) error {
 	a, err := netip.ParseAddrPort(peer)
 	if err != nil {
 		return errors.WithStack(err)
@@ -97,7 +97,7 @@
 
 // Receive passes packets on, with the address of their sender, until ctx ends.
 // Datagrams that cannot be read are passed to spoiled.
-func (w *Wire) Receive(ctx context.Context, heard func(p *Packet, from string), spoiled func(error)) {
+func (w *Transport) Receive(ctx context.Context, heard func(p *Packet, from string), spoiled func(error)) {
 	stop := context.AfterFunc(ctx, func() { _ = w.conn.Close() })
 	defer stop()
 	buffer := make([]byte, maxDatagram)
--- a/internal/follow/digest.go
+++ b/internal/follow/digest.go
@@ -40,7 +40,7 @@
 
 // SetUpstream notes an upstream's entry.
 func (d *Digest) SetUpstream(u catalog.Upstream) {
-	d.set("upstream/"+u.ID, fmt.Sprint(u.Service, " ", u.Address, " ", u.Zone, " ", u.Slots, " ", u.State, " ", u.ColdFor > 0, " ", u.Born))
+	d.set("upstream/"+u.ID, fmt.Sprint(u.Service, " ", u.Address, " ", u.Zone, " ", u.Slots, " ", u.State, " ", u.ColdRemaining > 0, " ", u.StartedMs))
 }
 
 // SetHost notes an entry host's registration.
--- a/internal/follow/digest_test.go
+++ b/internal/follow/digest_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestDigestTellsWhatDecides(t *testing.T) {
-	u := catalog.Upstream{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Zone: "a1", Slots: 4, State: catalog.StateReady, Sequence: 7, Born: 5}
+	u := catalog.Upstream{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Zone: "a1", Slots: 4, State: catalog.StateReady, Sequence: 7, StartedMs: 5}
 	changed := func(f func(*catalog.Upstream)) catalog.Upstream {
 		c := u
 		f(&c)
@@ -33,8 +33,10 @@
 		{"draining", func(d *follow.Digest) {
 			d.SetUpstream(changed(func(u *catalog.Upstream) { u.State = catalog.StateDraining }))
 		}, false},
-		{"cold", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.ColdFor = time.Second })) }, false},
-		{"started again", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.Born = 6 })) }, false},
+		{"cold", func(d *follow.Digest) {
+			d.SetUpstream(changed(func(u *catalog.Upstream) { u.ColdRemaining = time.Second }))
+		}, false},
+		{"started again", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.StartedMs = 6 })) }, false},
 		{"another service", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.Service = "q" })) }, false},
 		{"gone", func(d *follow.Digest) { d.RemoveUpstream("i-1") }, false},
 		{"another upstream", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.ID = "i-2" })) }, false},
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -14,7 +14,7 @@
 )
 
 func entry(id string, born int64, sequence uint64) catalog.Upstream {
-	return catalog.Upstream{ID: id, Born: born, Sequence: sequence}
+	return catalog.Upstream{ID: id, StartedMs: born, Sequence: sequence}
 }
 
 var start = time.Unix(1000, 0)
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -108,10 +108,10 @@
 	_, _ = w.Write(a.body)
 	took := h.Now().Sub(q.arrived)
 	h.Observe(Observation{Route: q.route.Name, Status: a.status, Took: took, Bytes: len(a.body), Sends: q.attempts.sends, Placed: q.attempts.placed})
-	late := q.route.Target > 0 && took > q.route.Target
+	late := q.route.TargetLatency > 0 && took > q.route.TargetLatency
 	if q.attempts.sends > 1 || late || a.status >= http.StatusInternalServerError || h.answerCount.Add(1)%answerLogSample == 0 {
 		h.Log.Info("answered", "id", q.ID, "route", q.route.Name, "status", a.status, "took", took,
-			"target", q.route.Target, "sends", q.attempts.sends, "tried", q.attempts.tried, "expected", q.attempts.placed.Expected,
+			"target", q.route.TargetLatency, "sends", q.attempts.sends, "tried", q.attempts.tried, "expected", q.attempts.placed.Expected,
 			"expected_wait", q.attempts.placed.ExpectedWait, "upstream_took", q.attempts.placed.Took, "waited", q.attempts.placed.Waited)
 	}
 }
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -26,7 +26,7 @@
 
 // Shares admits customers' requests within their rates.
 type Shares interface {
-	Admit(now time.Time, c *catalog.Customer) share.Verdict
+	Admit(now time.Time, c *catalog.Customer) share.Decision
 	// Undo gives the token of a request back that certainly did not run.
 	Refund(customer string)
 }
@@ -174,10 +174,10 @@
 		v := h.Shares.Admit(h.Now(), q.customer)
 		if !v.Admitted {
 			h.Log.Info("over rate", "id", q.ID, "customer", q.customer.Name, "rate", q.customer.Rate,
-				"part", v.Part, "demand", v.Demand, "version", state.Catalog.Version)
+				"part", v.Fraction, "demand", v.Demand, "version", state.Catalog.Version)
 			return &refusal{status: http.StatusTooManyRequests, cause: CauseOverRate, retryAfter: v.RetryAfter}
 		}
-		q.over = v.Over(q.customer.Rate)
+		q.over = v.OverRate(q.customer.Rate)
 	}
 	q.service = h.split.service(q.route)
 	return nil
@@ -223,7 +223,7 @@
 	if q.route == nil {
 		return deny(http.StatusNotFound, CauseNoRoute)
 	}
-	if !state.Catalog.Keyed || q.route.Public {
+	if !state.Catalog.RequiresKeys || q.route.Public {
 		return nil
 	}
 	if bound := h.Bounds().KeysFor; bound > 0 && age > bound {
@@ -232,7 +232,7 @@
 	if q.Key == "" {
 		return deny(http.StatusUnauthorized, CauseNoKey)
 	}
-	if q.customer = state.Catalog.Customer(q.Key); q.customer == nil {
+	if q.customer = state.Catalog.CustomerByKey(q.Key); q.customer == nil {
 		return deny(http.StatusUnauthorized, CauseUnknownKey)
 	}
 	return nil
@@ -249,7 +249,7 @@
 	if bound := h.Bounds().KeysFor; bound > 0 && state.age(h.Now()) > bound {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
-	if owner := state.Catalog.Customer(q.Key); owner == nil || owner.Name != q.customer.Name {
+	if owner := state.Catalog.CustomerByKey(q.Key); owner == nil || owner.Name != q.customer.Name {
 		return denied(http.StatusUnauthorized, CauseUnknownKey)
 	}
 	return nil
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -77,7 +77,7 @@
 }
 
 func (h *Handler) query(q *request) place.Query {
-	homes, bound := catalog.Homes(q.route, q.customer)
+	homes, bound := catalog.AllowedRegions(q.route, q.customer)
 	object := q.Object
 	if !q.route.Affinity {
 		object = ""
@@ -85,7 +85,7 @@
 	return place.Query{
 		Service: q.service, Route: q.route.Name, Object: object, Homes: homes, Bound: bound,
 		Tried: q.attempts.tried, BodyBytes: len(q.body.buffered), Priority: catalog.Priority(q.route, q.customer),
-		Over: q.over, Target: q.route.Target, Remaining: q.until.Sub(h.Now()),
+		Over: q.over, Target: q.route.TargetLatency, Remaining: q.until.Sub(h.Now()),
 	}
 }
 
@@ -197,7 +197,7 @@
 }
 
 func (h *Handler) outgoing(q *request, c place.Choice, now time.Time) *h1.Request {
-	f := traffic.Forward{Remaining: q.until.Sub(now), Instance: c.ID, DropKey: h.State().Catalog.Keyed}
+	f := traffic.Forward{Remaining: q.until.Sub(now), Instance: c.ID, DropKey: h.State().Catalog.RequiresKeys}
 	if q.customer != nil {
 		f.Customer = q.customer.Name
 	}
--- a/internal/front/split.go
+++ b/internal/front/split.go
@@ -17,7 +17,7 @@
 
 // deal is how far the parts of one route are behind their shares.
 type deal struct {
-	parts  []catalog.Part
+	parts  []catalog.WeightedService
 	credit []float64
 }
 
@@ -25,14 +25,14 @@
 
 // service picks the part whose turn it is.
 func (s *splitter) service(r *catalog.Route) string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := s.routes[r.Name]
-	if d == nil || !same(d.parts, r.Parts) {
-		d = &deal{parts: r.Parts, credit: make([]float64, len(r.Parts))}
+	if d == nil || !same(d.parts, r.Services) {
+		d = &deal{parts: r.Services, credit: make([]float64, len(r.Services))}
 		s.routes[r.Name] = d
 	}
 	return d.next()
@@ -53,7 +53,7 @@
 	return d.parts[best].Service
 }
 
-func same(a, b []catalog.Part) bool {
+func same(a, b []catalog.WeightedService) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/front/split_test.go
+++ b/internal/front/split_test.go
@@ -13,7 +13,7 @@
 func TestSplitKeepsShares(t *testing.T) {
 	g := NewWithT(t)
 	s := newSplitter()
-	route := &catalog.Route{Name: "r", Parts: []catalog.Part{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
+	route := &catalog.Route{Name: "r", Services: []catalog.WeightedService{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	count := func(n int) map[string]int {
 		got := map[string]int{}
 		for range n {
@@ -22,8 +22,8 @@
 		return got
 	}
 	g.Expect(count(20)).To(Equal(map[string]int{"old": 18, "new": 2}))
-	route = &catalog.Route{Name: "r", Parts: []catalog.Part{{Service: "old", Weight: 1}, {Service: "new", Weight: 3}}}
+	route = &catalog.Route{Name: "r", Services: []catalog.WeightedService{{Service: "old", Weight: 1}, {Service: "new", Weight: 3}}}
 	g.Expect(count(40)).To(Equal(map[string]int{"old": 10, "new": 30}))
-	single := &catalog.Route{Name: "one", Parts: []catalog.Part{{Service: "only"}}}
+	single := &catalog.Route{Name: "one", Services: []catalog.WeightedService{{Service: "only"}}}
 	g.Expect(s.service(single)).To(Equal("only"))
 }
--- a/internal/place/holders_test.go
+++ b/internal/place/holders_test.go
@@ -17,7 +17,7 @@
 	now := time.Unix(1000, 0)
 	table := NewTable(Host{Instance: "me", Zone: "z", Region: "r"}, map[string]string{"z": "r"})
 	put := func(id string) {
-		table.Put(now, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "z", Slots: 4, State: catalog.StateReady, Born: 1})
+		table.Put(now, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "z", Slots: 4, State: catalog.StateReady, StartedMs: 1})
 	}
 	put("stays")
 	put("leaves")
--- a/internal/place/memory.go
+++ b/internal/place/memory.go
@@ -49,7 +49,7 @@
 }
 
 func (w *upstream) memory(now time.Time) UpstreamMemory {
-	out := UpstreamMemory{ID: w.ID, Born: w.Born}
+	out := UpstreamMemory{ID: w.ID, Born: w.StartedMs}
 	for object, known := range w.warm {
 		if age := now.Sub(known.at); known.answered && age < WarmFor {
 			out.Objects = append(out.Objects, ObjectMemory{object, age})
@@ -66,7 +66,7 @@
 	defer t.mu.Unlock()
 	objects := 0
 	for _, known := range m.Upstreams {
-		if w := t.byID[known.ID]; w != nil && w.Born == known.Born {
+		if w := t.byID[known.ID]; w != nil && w.StartedMs == known.Born {
 			objects += t.restoreObjects(now, w, known.Objects)
 		}
 	}
--- a/internal/place/memory_test.go
+++ b/internal/place/memory_test.go
@@ -20,7 +20,7 @@
 		{"upstreams lived on", func(*place.Table, *place.Memory) {}, true},
 		{"upstream started again", func(tb *place.Table, _ *place.Memory) {
 			u := upstream("a1-9", "a1")
-			u.Born = 2
+			u.StartedMs = 2
 			tb.Put(start, u)
 		}, false},
 		{"used too long ago", func(_ *place.Table, m *place.Memory) { m.Upstreams[0].Objects[0].Age = time.Minute }, false},
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -19,7 +19,7 @@
 
 func newTable(t *testing.T, zone string) *place.Table {
 	table := place.NewTable(place.Host{Instance: "me", Zone: zone, Region: zones[zone]}, zones)
-	c, err := catalog.New(catalog.Declaration{Services: []catalog.Service{{Name: "s", ColdFor: 3 * time.Second, ColdRate: 6}}})
+	c, err := catalog.New(catalog.Declaration{Services: []catalog.Service{{Name: "s", ColdStart: 3 * time.Second, ColdRate: 6}}})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	table.SetCatalog(c)
 	table.SetHosts([]place.Host{{Instance: "me", Zone: zone, Region: zones[zone]}})
@@ -27,7 +27,7 @@
 }
 
 func upstream(id, zone string) catalog.Upstream {
-	return catalog.Upstream{ID: id, Service: "s", Address: id, Zone: zone, Slots: 4, State: catalog.StateReady, Born: 1}
+	return catalog.Upstream{ID: id, Service: "s", Address: id, Zone: zone, Slots: 4, State: catalog.StateReady, StartedMs: 1}
 }
 
 // full has four upstreams in each zone.
@@ -169,7 +169,7 @@
 		zone := []string{"a1", "a2", "b1", "b2"}[i%4]
 		hosts = append(hosts, place.Host{Instance: fmt.Sprint("h", i), Zone: zone, Region: zones[zone]})
 	}
-	c, err := catalog.New(catalog.Declaration{Services: []catalog.Service{{Name: "s", ColdFor: 3 * time.Second, ColdRate: 6}}})
+	c, err := catalog.New(catalog.Declaration{Services: []catalog.Service{{Name: "s", ColdStart: 3 * time.Second, ColdRate: 6}}})
 	g.Expect(err).NotTo(HaveOccurred())
 	sent := 0
 	for _, h := range hosts {
@@ -177,7 +177,7 @@
 		table.SetCatalog(c)
 		table.SetHosts(hosts)
 		u := upstream("cold", "a1")
-		u.ColdFor = 3 * time.Second
+		u.ColdRemaining = 3 * time.Second
 		table.Put(start, u)
 		for ms := range 3000 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -99,7 +99,7 @@
 
 func (t *Table) coldFor(service string) time.Duration {
 	if s := t.service(service); s != nil {
-		return s.ColdFor
+		return s.ColdStart
 	}
 	return 0
 }
@@ -117,7 +117,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[u.ID]
-	news := w == nil || w.Born != u.Born || w.State != u.State || w.Address != u.Address || w.Service != u.Service
+	news := w == nil || w.StartedMs != u.StartedMs || w.State != u.State || w.Address != u.Address || w.Service != u.Service
 	if w == nil {
 		w = newUpstream(now, u, t.zones[u.Zone])
 		t.byID[u.ID], t.byHash[uint32(w.id)] = w, w
@@ -126,14 +126,14 @@
 		t.replace(now, w, u)
 	}
 	w.zonePath, w.senderGeneration = t.zonePathIndex(u.Zone), 0
-	w.coldUntil = now.Add(u.ColdFor)
+	w.coldUntil = now.Add(u.ColdRemaining)
 	// It is alive, and says itself whether it is cold.
 	w.health.restartDoubtUntil = time.Time{}
 	return news
 }
 
 func (t *Table) replace(now time.Time, w *upstream, u catalog.Upstream) {
-	if w.Born != u.Born || w.Address != u.Address {
+	if w.StartedMs != u.StartedMs || w.Address != u.Address {
 		t.dropHolders(w)
 		w.reset(now)
 	}
--- a/internal/share/pool.go
+++ b/internal/share/pool.go
@@ -33,16 +33,16 @@
 // FallbackBucket admits a few requests where the owner of a customer's bucket does not
 // answer: it has died and is still heard, or is cut off. It is safe for
 // concurrent use.
-type FallbackBucket struct {
+type FallbackBuckets struct {
 	mu       sync.Mutex
 	accounts map[string]*account
 }
 
 // NewFallbackBucket returns empty buckets.
-func NewFallbackBucket() *FallbackBucket { return &FallbackBucket{accounts: map[string]*account{}} }
+func NewFallbackBuckets() *FallbackBuckets { return &FallbackBuckets{accounts: map[string]*account{}} }
 
 // Admit takes one request of a customer, at one of so many hosts.
-func (s *FallbackBucket) Admit(now time.Time, c *catalog.Customer, hosts int) Verdict {
+func (s *FallbackBuckets) Admit(now time.Time, c *catalog.Customer, hosts int) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.accounts[c.Name]
@@ -52,7 +52,7 @@
 	}
 	part := fallbackPart / float64(max(hosts, 1))
 	a.refill(now, now, part*c.Rate, fallbackDepth)
-	v := Verdict{Part: part}
+	v := Decision{Fraction: part}
 	if a.tokens >= 1 {
 		a.tokens--
 		v.Admitted = true
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -19,7 +19,7 @@
 type fleet struct {
 	rng    *rand.Rand
 	now    time.Time
-	hosts  []*share.Shares
+	hosts  []*share.Limiter
 	demand []map[string]float64
 	// cut lists the hosts that hear nobody and are heard by nobody.
 	cut map[int]bool
@@ -69,7 +69,7 @@
 				others[customer] += rate
 			}
 		}
-		s.SetOthers(others, len(f.hosts), true)
+		s.SetRemoteDemand(others, len(f.hosts), true)
 	}
 }
 
@@ -184,7 +184,7 @@
 	now, admitted := time.Unix(1000, 0), 0
 	s.SetLease(now, true)
 	s.SetSlack(slack)
-	s.SetOthers(nil, 3, false)
+	s.SetRemoteDemand(nil, 3, false)
 	c := &catalog.Customer{Name: "hot", Rate: 30, Burst: 30}
 	for range 2000 {
 		now = now.Add(time.Millisecond)
@@ -271,7 +271,7 @@
 	g := NewWithT(t)
 	c := &catalog.Customer{Name: "hot", Rate: 100, Burst: 100}
 	now, admitted := time.Unix(1000, 0), 0
-	spares := []*share.FallbackBucket{share.NewFallbackBucket(), share.NewFallbackBucket(), share.NewFallbackBucket(), share.NewFallbackBucket()}
+	spares := []*share.FallbackBuckets{share.NewFallbackBuckets(), share.NewFallbackBuckets(), share.NewFallbackBuckets(), share.NewFallbackBuckets()}
 	for range 5000 {
 		now = now.Add(time.Millisecond)
 		for _, s := range spares {
--- a/internal/share/shares.go
+++ b/internal/share/shares.go
@@ -36,7 +36,7 @@
 )
 
 // Shares admits customers' requests. It is safe for concurrent use.
-type Shares struct {
+type Limiter struct {
 	mu       sync.Mutex
 	accounts map[string]*account
 	// others is the demand of the other hosts by customer.
@@ -65,8 +65,8 @@
 }
 
 // New returns shares that admit nothing until Hold is called.
-func New() *Shares {
-	return &Shares{accounts: map[string]*account{}, others: map[string]float64{}, owners: 1}
+func New() *Limiter {
+	return &Limiter{accounts: map[string]*account{}, others: map[string]float64{}, owners: 1}
 }
 
 // SetOthers takes over what the other hosts want, by customer, and how many
@@ -74,14 +74,14 @@
 // included. complete says that all hosts have told what they want: until then a
 // host that has just started keeps to its even part, since it would take the
 // demand that it does not know for none.
-func (s *Shares) SetOthers(perSecond map[string]float64, owners int, complete bool) {
+func (s *Limiter) SetRemoteDemand(perSecond map[string]float64, owners int, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.others, s.owners, s.complete = perSecond, max(owners, 1), complete
 }
 
 // SetSlack says how many requests beyond its rate and burst operators grant a customer.
-func (s *Shares) SetSlack(requests float64) {
+func (s *Limiter) SetSlack(requests float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slack = requests
@@ -89,7 +89,7 @@
 
 // SetLease says whether this host may spend: its registration stands, so the others
 // count it.
-func (s *Shares) SetLease(now time.Time, held bool) {
+func (s *Limiter) SetLease(now time.Time, held bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseHeld = held
@@ -99,7 +99,7 @@
 }
 
 // Verdict on one request.
-type Verdict struct {
+type Decision struct {
 	Admitted bool
 	// RetryAfter is when there is likely to be room; set if it is not admitted.
 	RetryAfter time.Duration
@@ -107,27 +107,27 @@
 	NoLease bool
 	// Part is this host's part of the rate, and Demand the rate that it is
 	// asked for, for the log.
-	Part   float64
-	Demand float64
+	Fraction float64
+	Demand   float64
 }
 
 // overPart is how much more than its part a customer asks for that is over its rate.
 const overPart = 1.3
 
 // Over tells whether the customer asks for more than its rate.
-func (v Verdict) Over(rate float64) bool { return rate > 0 && v.Demand > overPart*v.Part*rate }
+func (v Decision) OverRate(rate float64) bool { return rate > 0 && v.Demand > overPart*v.Fraction*rate }
 
 // Admit takes one request of a customer.
-func (s *Shares) Admit(now time.Time, c *catalog.Customer) Verdict {
+func (s *Limiter) Admit(now time.Time, c *catalog.Customer) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(c.Name)
 	a.demand.add(now)
 	if c.Rate <= 0 {
-		return Verdict{Admitted: true, Part: 1}
+		return Decision{Admitted: true, Fraction: 1}
 	}
 	part := s.part(now, c.Name, a)
-	v := Verdict{Part: part, Demand: a.demand.perSecond}
+	v := Decision{Fraction: part, Demand: a.demand.perSecond}
 	spare := slackPart * s.slack / float64(s.owners)
 	rate, depth := part*c.Rate, max(part*c.Burst*depthPart, minDepth)+spare
 	a.refill(now, s.leaseSince, rate, depth)
@@ -141,7 +141,7 @@
 }
 
 // Refund gives the token of a request back that certainly did not run.
-func (s *Shares) Refund(customer string) {
+func (s *Limiter) Refund(customer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.accounts[customer]; a != nil {
@@ -184,7 +184,7 @@
 // callers appear at all hosts at once, each host would else believe for the
 // length of a heartbeat that all of the rate is its own, and together they would
 // admit more than the rate.
-func (s *Shares) part(now time.Time, customer string, a *account) float64 {
+func (s *Limiter) part(now time.Time, customer string, a *account) float64 {
 	even := 1 / float64(s.owners)
 	own, others := a.announcedDemand(now), s.others[customer]
 	if own+others <= 0 || !s.complete {
@@ -201,7 +201,7 @@
 	return a.announced
 }
 
-func (s *Shares) account(name string) *account {
+func (s *Limiter) account(name string) *account {
 	a := s.accounts[name]
 	if a == nil {
 		a = &account{}
@@ -213,7 +213,7 @@
 // AnnounceDemand returns what each customer asks for at this host, in requests per second,
 // to be told to the others now. Customers that ask for next to nothing are left
 // out.
-func (s *Shares) AnnounceDemand(now time.Time) map[string]float64 {
+func (s *Limiter) AnnounceDemand(now time.Time) map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]float64{}
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -29,7 +29,7 @@
 // Errors of Decode; test with errors.Is.
 var (
 	// ErrBroken says that the bytes are not a whole snapshot.
-	ErrBroken = errors.New("snapshot: broken")
+	ErrCorrupt = errors.New("snapshot: broken")
 	// ErrFormat says that another version of the program wrote it.
 	ErrFormat = errors.New("snapshot: unknown format")
 )
@@ -90,15 +90,15 @@
 // clocks of hosts differ: one written in the future counts as just written.
 func Decode(wall time.Time, data []byte) (place.Memory, error) {
 	if len(data) < checksumBytes {
-		return place.Memory{}, errors.WithStack(ErrBroken)
+		return place.Memory{}, errors.WithStack(ErrCorrupt)
 	}
 	body := data[checksumBytes:]
 	if binary.BigEndian.Uint64(data) != xxhash.Sum64(body) {
-		return place.Memory{}, errors.WithStack(ErrBroken)
+		return place.Memory{}, errors.WithStack(ErrCorrupt)
 	}
 	var s Snapshot
 	if err := proto.Unmarshal(body, &s); err != nil {
-		return place.Memory{}, errors.Wrap(ErrBroken, err.Error())
+		return place.Memory{}, errors.Wrap(ErrCorrupt, err.Error())
 	}
 	if s.Format != format {
 		return place.Memory{}, errors.Wrapf(ErrFormat, "format %d", s.Format)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -56,10 +56,10 @@
 		at   time.Time
 		is   func(error) bool
 	}{
-		{"empty", nil, written, func(err error) bool { return errors.Is(err, ErrBroken) }},
-		{"cut short", whole[:len(whole)-1], written, func(err error) bool { return errors.Is(err, ErrBroken) }},
-		{"one bit changed", changed, written, func(err error) bool { return errors.Is(err, ErrBroken) }},
-		{"other bytes", []byte(`{"instance":"host"}`), written, func(err error) bool { return errors.Is(err, ErrBroken) }},
+		{"empty", nil, written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
+		{"cut short", whole[:len(whole)-1], written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
+		{"one bit changed", changed, written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
+		{"other bytes", []byte(`{"instance":"host"}`), written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
 		{"stale", whole, written.Add(maxAge + time.Second), func(err error) bool {
 			var stale *StaleError
 			return errors.As(err, &stale) && stale.Age == maxAge+time.Second
@@ -107,12 +107,12 @@
 // that refuses all of them neither.
 func TestSnapshotsArePacedBySize(t *testing.T) {
 	g := NewWithT(t)
-	var w Writer
+	var w Pacer
 	g.Expect(w.Due(written)).To(BeTrue())
-	w.Began(written, 1000)
+	w.Started(written, 1000)
 	g.Expect(w.Due(written.Add(writeEvery - 1))).To(BeFalse())
 	g.Expect(w.Due(written.Add(writeEvery))).To(BeTrue())
-	w.Began(written, 10*bytesPerSecond)
+	w.Started(written, 10*bytesPerSecond)
 	g.Expect(w.Due(written.Add(9 * time.Second))).To(BeFalse())
 	g.Expect(w.Due(written.Add(10 * time.Second))).To(BeTrue())
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -13,12 +13,12 @@
 
 // Writer paces the snapshots of the host that writes them. The zero value writes
 // at once. It is not safe for concurrent use.
-type Writer struct{ next time.Time }
+type Pacer struct{ next time.Time }
 
 // Due tells whether a snapshot is to be written now.
-func (w *Writer) Due(now time.Time) bool { return !now.Before(w.next) }
+func (w *Pacer) Due(now time.Time) bool { return !now.Before(w.next) }
 
 // Began notes that a snapshot of so many bytes is being written.
-func (w *Writer) Began(now time.Time, bytes int) {
+func (w *Pacer) Started(now time.Time, bytes int) {
 	w.next = now.Add(max(writeEvery, time.Duration(bytes)*time.Second/bytesPerSecond))
 }
--- a/internal/standby/active.go
+++ b/internal/standby/active.go
@@ -41,7 +41,7 @@
 }
 
 // PartOf is the part of another's capacity that this one is, of what it has least.
-func (c Capacity) PartOf(other Capacity) float64 {
+func (c Capacity) FractionOf(other Capacity) float64 {
 	part := 1.0
 	if other.Cores > 0 {
 		part = min(part, c.Cores/other.Cores)
@@ -55,9 +55,9 @@
 // Load is what a host does.
 type Load struct {
 	// Requests per second.
-	Requests float64
+	RequestsPerSecond float64
 	// AnswerMbps is the bytes of answers, in Mbit/s.
-	AnswerMbps float64
+	ResponseMbps float64
 }
 
 // Active returns the instances of one region that should take callers: all that
@@ -73,13 +73,13 @@
 	out, zones := map[string]bool{}, map[string]bool{}
 	need := loadOf(list)
 	for _, h := range list {
-		enough := len(out) >= minActive && need.Requests <= 0 && need.AnswerMbps <= 0
+		enough := len(out) >= minActive && need.RequestsPerSecond <= 0 && need.ResponseMbps <= 0
 		if enough && strength(h, strongest) < similarStrength && zones[h.Zone] {
 			continue
 		}
 		out[h.Instance], zones[h.Zone] = true, true
-		need.Requests = remaining(need.Requests, h.Cores*requestsPerCore)
-		need.AnswerMbps = remaining(need.AnswerMbps, h.LinkMbps*linkPart)
+		need.RequestsPerSecond = remaining(need.RequestsPerSecond, h.Cores*requestsPerCore)
+		need.ResponseMbps = remaining(need.ResponseMbps, h.LinkMbps*linkPart)
 	}
 	return out
 }
@@ -113,13 +113,13 @@
 }
 
 // strength is the part of the strongest that a host has of what it has least.
-func strength(h Host, strongest Capacity) float64 { return h.PartOf(strongest) }
+func strength(h Host, strongest Capacity) float64 { return h.FractionOf(strongest) }
 
 func loadOf(hosts []Host) Load {
 	var sum Load
 	for _, h := range hosts {
-		sum.Requests += h.Requests
-		sum.AnswerMbps += h.AnswerMbps
+		sum.RequestsPerSecond += h.RequestsPerSecond
+		sum.ResponseMbps += h.ResponseMbps
 	}
 	return sum
 }
--- a/internal/standby/active_test.go
+++ b/internal/standby/active_test.go
@@ -31,9 +31,9 @@
 }
 
 func TestWhoTakesCallers(t *testing.T) {
-	quiet := standby.Load{Requests: 10, AnswerMbps: 0.5}
-	busy := standby.Load{Requests: 1100, AnswerMbps: 5}
-	reports := standby.Load{Requests: 10, AnswerMbps: 40}
+	quiet := standby.Load{RequestsPerSecond: 10, ResponseMbps: 0.5}
+	busy := standby.Load{RequestsPerSecond: 1100, ResponseMbps: 5}
+	reports := standby.Load{RequestsPerSecond: 10, ResponseMbps: 40}
 	none := standby.Capacity{}
 	for _, c := range []struct {
 		name  string
@@ -64,7 +64,7 @@
 // sent to hosts that stand by.
 func TestAllHostsAgree(t *testing.T) {
 	g := NewWithT(t)
-	list := join(hosts("s", 1, "a", strong, standby.Load{}), hosts("w", 20, "a", weak, standby.Load{Requests: 30}))
+	list := join(hosts("s", 1, "a", strong, standby.Load{}), hosts("w", 20, "a", weak, standby.Load{RequestsPerSecond: 30}))
 	want := standby.Active(list, "r")
 	g.Expect(want).To(HaveLen(3))
 	var turned []standby.Host
