--- a/internal/place/memory.go
+++ b/internal/place/memory.go
@@ -49,7 +49,7 @@
 }
 
 func (w *upstream) memory(now time.Time) UpstreamState {
-	out := UpstreamState{ID: w.ID, StartedAt: w.Born}
+	out := UpstreamState{ID: w.ID, StartedAt: w.StartedMs}
 	for object, known := range w.warm {
 		if age := now.Sub(known.at); known.answered && age < WarmTTL {
 			out.Objects = append(out.Objects, WarmObject{object, age})
@@ -66,7 +66,7 @@
 	defer t.mu.Unlock()
 	objects := 0
 	for _, known := range m.Upstreams {
-		if w := t.byID[known.ID]; w != nil && w.Born == known.StartedAt {
+		if w := t.byID[known.ID]; w != nil && w.StartedMs == known.StartedAt {
 			objects += t.restoreObjects(now, w, known.Objects)
 		}
 	}
