--- a/cmd/balsambarrowd/entry.go
+++ b/cmd/balsambarrowd/entry.go
@@ -74,7 +74,7 @@
 	boundHeap(s)
 	metrics := telemetry.NewMetrics()
 	events := telemetry.NewEvents(os.Stdout, s.LogLevel, s.Host)
-	events.Dropped = metrics.LinesDropped
+	events.OnDropped = metrics.LinesDropped
 	stop := make(chan struct{})
 	written := make(chan struct{})
 	go func() {
--- a/cmd/balsambarrowd/main.go
+++ b/cmd/balsambarrowd/main.go
@@ -73,7 +73,7 @@
 	case <-signals:
 	}
 	// A second signal changes nothing: requests are never cut off by it.
-	ctx, cancel := context.WithTimeout(context.Background(), s.ShutdownBound())
+	ctx, cancel := context.WithTimeout(context.Background(), s.ShutdownTimeout())
 	defer cancel()
 	return d.Stop(ctx)
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -23,7 +23,7 @@
 	return kv.Item{Revision: 1, Value: h.value}, nil
 }
 
-func (h *held) Swap(_ context.Context, _ string, _ uint64, value []byte, _ uint64) (uint64, error) {
+func (h *held) CompareAndSwap(_ context.Context, _ string, _ uint64, value []byte, _ uint64) (uint64, error) {
 	h.value = value
 	return 2, nil
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -20,19 +20,19 @@
 	if err != nil {
 		return nil, err
 	}
-	if faults := doc.Names(); len(faults) > 0 {
+	if faults := doc.DuplicateNames(); len(faults) > 0 {
 		return nil, faults
 	}
 	if !json.Valid(merge) {
-		return nil, jsonc.Faults{doc.Locate("", "want plain JSON")}
+		return nil, jsonc.Faults{doc.FaultAt("", "want plain JSON")}
 	}
 	var object map[string]json.RawMessage
 	if json.Unmarshal(merge, &object) != nil || object == nil {
-		return nil, jsonc.Faults{doc.Locate("", "want an object: a patch of another kind replaces the whole configuration")}
+		return nil, jsonc.Faults{doc.FaultAt("", "want an object: a patch of another kind replaces the whole configuration")}
 	}
 	merged, err := jsonpatch.MergePatch(document, merge)
 	if err != nil {
-		return nil, jsonc.Faults{doc.Locate("", err.Error())}
+		return nil, jsonc.Faults{doc.FaultAt("", err.Error())}
 	}
 	return merged, nil
 }
@@ -77,7 +77,7 @@
 		return append(out, at)
 	}
 	for _, name := range slices.Sorted(maps.Keys(object)) {
-		out = appendLeaves(out, object[name], at+"/"+jsonc.Escape(name), depth-1)
+		out = appendLeaves(out, object[name], at+"/"+jsonc.EscapeToken(name), depth-1)
 	}
 	return out
 }
--- a/internal/config/repository.go
+++ b/internal/config/repository.go
@@ -103,14 +103,14 @@
 		if try > 0 {
 			pause(ctx, writePause)
 		}
-		_, err := r.store.Swap(ctx, StoreKey, revision, next.raw, 0)
+		_, err := r.store.CompareAndSwap(ctx, StoreKey, revision, next.raw, 0)
 		var conflict *kv.ConflictError
 		switch {
 		case err == nil:
 			return Applied{Record: next, Version: next.Version}, nil
 		case errors.As(err, &conflict):
 			return r.afterConflict(ctx, p, doubt)
-		case errors.Is(err, kv.ErrUnknown):
+		case errors.Is(err, kv.ErrOutcomeUnknown):
 			doubt = true
 		case !doubt:
 			return Applied{}, errors.Wrap(ErrNotApplied, err.Error())
--- a/internal/config/repository_test.go
+++ b/internal/config/repository_test.go
@@ -72,7 +72,7 @@
 			client.Close()
 			server.Close()
 		})
-		b.repo = config.NewRepository(kv.Bounded(client, time.Second), time.Now)
+		b.repo = config.NewRepository(kv.WithTimeout(client, time.Second), time.Now)
 		b.mustApply("first", 0, fmt.Sprintf(base, 1, 2))
 	})
 
@@ -219,7 +219,7 @@
 
 	It("is of unknown outcome, and no other, where no answer comes", func() {
 		b.store.SetFaults(standin.Faults{LoseAnswers: 1})
-		slow := config.NewRepository(&deaf{Store: kv.Bounded(newClient("http://127.0.0.1:1"), time.Second), rec: b.record()}, time.Now)
+		slow := config.NewRepository(&deaf{Store: kv.WithTimeout(newClient("http://127.0.0.1:1"), time.Second), rec: b.record()}, time.Now)
 		_, err := slow.Apply(context.Background(), config.Patch{ChangeID: "a", Base: 1, Merge: json.RawMessage(rate20)})
 		Expect(errors.Is(err, config.ErrOutcomeUnknown)).To(BeTrue(), "got %v", err)
 	})
@@ -238,9 +238,9 @@
 	return kv.Item{Revision: 1, Value: value}, err
 }
 
-func (d *deaf) Swap(context.Context, string, uint64, []byte, uint64) (uint64, error) {
+func (d *deaf) CompareAndSwap(context.Context, string, uint64, []byte, uint64) (uint64, error) {
 	if d.writes++; d.writes == 1 {
-		return 0, kv.ErrUnknown
+		return 0, kv.ErrOutcomeUnknown
 	}
 	return 0, kv.ErrUnavailable
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	c := &Config{}
-	faults, filled := doc.Fill(c)
+	faults, filled := doc.DecodeFaults(c)
 	if !filled {
 		return nil, faults
 	}
@@ -66,14 +66,14 @@
 
 func (v *validator) require(ok bool, path, format string, args ...any) {
 	if !ok {
-		v.faults = append(v.faults, v.doc.Locate(path, fmt.Sprintf(format, args...)))
+		v.faults = append(v.faults, v.doc.FaultAt(path, fmt.Sprintf(format, args...)))
 	}
 }
 
 func path(steps ...string) string {
 	p := ""
 	for _, s := range steps {
-		p += "/" + jsonc.Escape(s)
+		p += "/" + jsonc.EscapeToken(s)
 	}
 	return p
 }
--- a/internal/daemon/adoption_test.go
+++ b/internal/daemon/adoption_test.go
@@ -46,7 +46,7 @@
 	return s.entry, nil
 }
 
-func (s *faultyStore) Swap(_ context.Context, _ string, revision uint64, value []byte, _ uint64) (uint64, error) {
+func (s *faultyStore) CompareAndSwap(_ context.Context, _ string, revision uint64, value []byte, _ uint64) (uint64, error) {
 	f := fateDone
 	if len(s.fates) > 0 {
 		f, s.fates = s.fates[0], s.fates[1:]
@@ -62,12 +62,12 @@
 	switch f {
 	case fateAnswerLost:
 		_ = write()
-		return 0, kv.ErrUnknown
+		return 0, kv.ErrOutcomeUnknown
 	case fateLost:
-		return 0, kv.ErrUnknown
+		return 0, kv.ErrOutcomeUnknown
 	case fateLate:
 		s.late = append(s.late, func() { _ = write() })
-		return 0, kv.ErrUnknown
+		return 0, kv.ErrOutcomeUnknown
 	case fateDown:
 		return 0, kv.ErrUnavailable
 	default:
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -218,7 +218,7 @@
 	g.Eventually(f.version("vt-1"), settle).Should(Equal(version))
 	now, err := store.Get(context.Background(), config.StoreKey)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = store.Swap(context.Background(), config.StoreKey, now.Revision, before.Value, 0)
+	_, err = store.CompareAndSwap(context.Background(), config.StoreKey, now.Revision, before.Value, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 
 	g.Consistently(f.version("vt-1")).Should(Equal(version))
@@ -245,7 +245,7 @@
 	now, err := store.Get(context.Background(), config.StoreKey)
 	g.Expect(err).NotTo(HaveOccurred())
 	record := fmt.Sprintf(`{"version":%d,"document":{"new_section":{}},"changes":[]}`, version+1)
-	_, err = store.Swap(context.Background(), config.StoreKey, now.Revision, []byte(record), 0)
+	_, err = store.CompareAndSwap(context.Background(), config.StoreKey, now.Revision, []byte(record), 0)
 	g.Expect(err).NotTo(HaveOccurred())
 
 	status := func() operator.DaemonStatus {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -116,7 +116,7 @@
 	live := c.members.table.Live(now)
 	snap := &view.Snapshot{
 		Self: c.self(now), Config: c.config.active, ConfirmedAt: c.config.confirmed, Members: live,
-		PublishedAt: now, CaughtUp: c.config.caughtUp,
+		PublishedAt: now, ConfigVerified: c.config.caughtUp,
 	}
 	c.publishFleet(snap)
 	if snap.Self.State == membership.StateReady {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,7 +68,7 @@
 	client      *upstream.Client
 	relayClient *upstream.Client
 
-	view     view.Published
+	view     view.Publisher
 	ledger   *quota.Ledger
 	handler  *upstream.Handler
 	postings *posting.Table
@@ -113,7 +113,7 @@
 		gauge:       entry.NewGauge(s.Limits.MaxRunning),
 	}
 	d.platform = platform.NewStore(s.Platform.URL, opts.Dial, d.metrics.StoreCall)
-	d.store = kv.Bounded(d.platform, s.PlatformTimeout())
+	d.store = kv.WithTimeout(d.platform, s.PlatformTimeout())
 	d.registerGauges()
 	d.identity = membership.Member{Instance: instance, Host: s.Host, Zone: s.Zone}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -21,7 +21,7 @@
 // heardHost notes a daemon's account of itself.
 func (c *control) heardHost(m membership.Member, now time.Time) {
 	h := c.fleet.known(m.Host, now)
-	last := h.Last
+	last := h.LastReport
 	if last.Instance == m.Instance {
 		// Only answers say when a version was confirmed.
 		m.ConfirmedAt = later(m.ConfirmedAt, last.ConfirmedAt)
@@ -32,7 +32,7 @@
 	} else {
 		m.HeardAt = now
 	}
-	h.Zone, h.Last = m.Zone, m
+	h.Zone, h.LastReport = m.Zone, m
 	c.fleet.hosts[m.Host] = h
 }
 
@@ -61,10 +61,10 @@
 func (c *control) tickFleet(now time.Time) {
 	maps.DeleteFunc(c.fleet.hosts, func(_ string, h view.Host) bool {
 		bound := forgetAfter
-		if h.Last.State == membership.StateLeaving {
+		if h.LastReport.State == membership.StateLeaving {
 			bound = membership.GoneAfter
 		}
-		return !h.Listed && now.Sub(h.Last.HeardAt) > bound
+		return !h.Listed && now.Sub(h.LastReport.HeardAt) > bound
 	})
 }
 
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -19,7 +19,7 @@
 // no mistaken steering decision can put more than the limit on the region.
 type regionGate struct {
 	next   relay.Runner
-	view   *view.Published
+	view   *view.Publisher
 	ledger *quota.Ledger
 }
 
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -159,7 +159,7 @@
 func (d *Daemon) holdLease(ctx context.Context, lease uint64) (uint64, error) {
 	if lease != 0 {
 		err := d.store.Renew(ctx, lease)
-		if !errors.Is(err, kv.ErrLeaseLapsed) {
+		if !errors.Is(err, kv.ErrLeaseExpired) {
 			return lease, err
 		}
 		d.log.Warn("lease_lapsed")
@@ -169,7 +169,7 @@
 		return 0, err
 	}
 	self := membership.Holder{Instance: d.identity.Instance, Peers: d.identity.Peers}
-	if _, err := d.store.Swap(ctx, membership.AliveKey(d.identity.Zone, lease), 0, self.Value(), lease); err != nil {
+	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, lease), 0, self.Value(), lease); err != nil {
 		return 0, err
 	}
 	return lease, nil
@@ -272,7 +272,7 @@
 	if g.To.Instance == "" {
 		return 0, d.store.Delete(ctx, key, g.At)
 	}
-	return d.store.Swap(ctx, key, g.At, g.To.Value(), 0)
+	return d.store.CompareAndSwap(ctx, key, g.At, g.To.Value(), 0)
 }
 
 // passLevels tells the new holder that a slot is its own, with the levels. It
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -124,7 +124,7 @@
 		return
 	}
 	if id := <-lease; id != 0 {
-		if err := d.store.End(ctx, id); err != nil {
+		if err := d.store.Revoke(ctx, id); err != nil {
 			d.log.Debug("lease_not_revoked", "err", err)
 		}
 	}
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -45,14 +45,14 @@
 	if s.source == nil {
 		return nil
 	}
-	return s.source.Client
+	return s.source.ClientConfig
 }
 
 func (s security) listener(l net.Listener) net.Listener {
 	if s.source == nil {
 		return l
 	}
-	return tls.NewListener(l, s.source.Server())
+	return tls.NewListener(l, s.source.ServerConfig())
 }
 
 // guarded refuses requests of clients that the authority in force no longer
@@ -62,7 +62,7 @@
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := s.source.Trusts(r.TLS); err != nil {
+		if err := s.source.VerifyClient(r.TLS); err != nil {
 			w.Header().Set("Connection", "close")
 			wire.Refuse(wire.TypeNoRoom, "relay: "+err.Error(), refreshEvery).Write(w)
 			return
--- a/internal/entry/authenticate_test.go
+++ b/internal/entry/authenticate_test.go
@@ -47,7 +47,7 @@
 	return &view.Snapshot{
 		Self: self, Ready: ready, Config: active,
 		Steer:       steer.NewBuilder("vt-a").Build(active, ready, upstream.Assign(active.Config, ready), time.Now()),
-		PublishedAt: time.Now(), CaughtUp: true, ConfirmedAt: time.Now(),
+		PublishedAt: time.Now(), ConfigVerified: true, ConfirmedAt: time.Now(),
 	}
 }
 
@@ -68,16 +68,16 @@
 	key := map[string]config.Key{"k1": {SHA256: config.DigestOf("secret").String()}}
 	for name, tc := range map[string]struct {
 		before func(*view.Snapshot)
-		during func(*view.Published)
+		during func(*view.Publisher)
 		want   string
 		calls  int
 	}{
 		"key in force": {want: wire.TypeNoRoom, calls: 1},
 		"withdrawn after admission": {
-			during: func(p *view.Published) { p.Store(snapshot(configOf(nil), 2)) }, want: wire.TypeUnknownKey,
+			during: func(p *view.Publisher) { p.Store(snapshot(configOf(nil), 2)) }, want: wire.TypeUnknownKey,
 		},
 		"moved to another customer after admission": {
-			during: func(p *view.Published) {
+			during: func(p *view.Publisher) {
 				c := configOf(nil)
 				c.Customers["other"] = config.Customer{Keys: key}
 				p.Store(snapshot(c, 2))
@@ -87,12 +87,12 @@
 			before: func(s *view.Snapshot) { s.PublishedAt = time.Now().Add(-2 * view.MaxAge) }, want: wire.TypeNoConfiguration,
 		},
 		"resumed and not caught up": {
-			before: func(s *view.Snapshot) { s.CaughtUp = false }, want: wire.TypeNoConfiguration,
+			before: func(s *view.Snapshot) { s.ConfigVerified = false }, want: wire.TypeNoConfiguration,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var published view.Published
+			var published view.Publisher
 			snap := snapshot(configOf(key), 1)
 			if tc.before != nil {
 				tc.before(snap)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -23,7 +23,7 @@
 
 // Deps is what the request path works with.
 type Deps struct {
-	View     *view.Published
+	View     *view.Publisher
 	Ledger   *quota.Ledger
 	Postings *posting.Table
 	// Local runs a call on an upstream that this daemon handles.
--- a/internal/entry/read_test.go
+++ b/internal/entry/read_test.go
@@ -67,9 +67,9 @@
 		Instance: "vt-1-ab", Zone: "vt-a", State: membership.StateReady, Slots: []int{0},
 		Headroom: map[string]membership.Headroom{"posting": {Free: 4, Limit: 4}},
 	}
-	snap := &view.Snapshot{Self: self, Config: config.NewActive(1, c), ConfirmedAt: time.Now(), PublishedAt: time.Now(), CaughtUp: true, Ready: []membership.Member{self}}
+	snap := &view.Snapshot{Self: self, Config: config.NewActive(1, c), ConfirmedAt: time.Now(), PublishedAt: time.Now(), ConfigVerified: true, Ready: []membership.Member{self}}
 	snap.Steer = steer.NewBuilder("vt-a").Build(snap.Config, snap.Ready, upstream.Assign(snap.Config.Config, snap.Ready), time.Now())
-	published := &view.Published{}
+	published := &view.Publisher{}
 	published.Store(snap)
 	ledger := quota.NewLedger()
 	ledger.Fence.Extend(time.Now().Add(time.Hour))
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -44,7 +44,7 @@
 	members *fleet.Members
 	// registrations of entry hosts in the store, by key.
 	registrations map[string]fleet.Registration
-	roster        *follow.Roster
+	roster        *follow.UpstreamRegistry
 	catalog       *catalog.Catalog
 	// items is what the store holds but for snapshots, and revision the store's of the
 	// latest look, here or at the peer that confirmed the same.
@@ -78,7 +78,7 @@
 	digest            follow.Digest
 	journal           follow.Journal
 	fanout            fanout.Limiter
-	seen              follow.Seen
+	seen              follow.KeyRevisions
 	hostRegistrations hostKnowledge
 	confirms          confirms
 	watchers          watchers
@@ -96,7 +96,7 @@
 	return &control{
 		d: d, inbox: make(chan message, 256), zones: map[string]bool{}, items: map[string]kv.Item{},
 		registrations: map[string]fleet.Registration{}, confirms: newConfirms(),
-		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewRoster(),
+		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewUpstreamRegistry(),
 	}
 }
 
@@ -152,7 +152,7 @@
 }
 
 func (c *control) tick(now time.Time) {
-	for _, id := range c.roster.Expired(now) {
+	for _, id := range c.roster.RemoveExpired(now) {
 		c.removeUpstream(id, "missing since the store is back")
 	}
 	if held := c.registered(now); held != c.held {
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -164,7 +164,7 @@
 	for address, handler := range map[string]http.Handler{
 		d.addresses.Callers:   callers,
 		d.addresses.Readiness: platform.ReadinessHandler(d.ready.Load),
-		d.addresses.Directory: platform.DirectoryHandler(d.resolve),
+		d.addresses.Directory: platform.ResolveHandler(d.resolve),
 		d.addresses.Metrics:   d.metricsHandler(),
 	} {
 		if l := d.listeners[address]; l != nil {
@@ -177,9 +177,9 @@
 	})
 	registrar := newRegistrar(d)
 	follower := &follow.Follower{
-		Store: d.store, Prefix: platform.AllKeys, Pace: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.hurry,
-		Before: d.startFromGuide,
-		Listed: func(ctx context.Context) {
+		Store: d.store, Prefix: platform.AllKeys, Timing: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.hurry,
+		Bootstrap: d.startFromGuide,
+		AfterInitialList: func(ctx context.Context) {
 			await(ctx, registrar.done, registerWithin)
 			d.lookWhenRegistered.Store(!isClosed(registrar.done))
 		},
@@ -229,7 +229,7 @@
 func (d *Daemon) serve(l net.Listener, handler http.Handler) {
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound,
-		DisableGeneralOptionsHandler: true, ErrorLog: d.events.Standard(),
+		DisableGeneralOptionsHandler: true, ErrorLog: d.events.StdLogger(),
 	}
 	if l == d.listeners[d.addresses.Callers] {
 		server.ConnState = d.callerConns.track
@@ -255,8 +255,8 @@
 	return front.Bounds{KeysFor: max(b.Revoke.Value()-watchSilence-keyMargin, tickEvery)}
 }
 
-func (d *Daemon) resolve(region, _ string) platform.Directions {
-	return platform.Directions{Addresses: d.awaitDirectory().resolve(region), For: directionsFor}
+func (d *Daemon) resolve(region, _ string) platform.Resolution {
+	return platform.Resolution{Addresses: d.awaitDirectory().resolve(region), TTL: directionsFor}
 }
 
 func (d *Daemon) spawn(task func(context.Context)) {
--- a/internal/entryhost/guide.go
+++ b/internal/entryhost/guide.go
@@ -125,7 +125,7 @@
 func (d *Daemon) fetchGuide(ctx context.Context) (g guide, ok bool) {
 	bounded, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
-	l, err := d.store.List(bounded, platform.GuideKey, true)
+	l, err := d.store.List(bounded, platform.ActiveHostsKey, true)
 	if err != nil {
 		return nil, false
 	}
@@ -188,7 +188,7 @@
 	c.d.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, callBound)
 		defer cancel()
-		if err := c.d.store.Put(ctx, platform.GuideKey, data, 0); err != nil {
+		if err := c.d.store.Put(ctx, platform.ActiveHostsKey, data, 0); err != nil {
 			c.d.events.Debug("guide not written", "error", err)
 			c.send(func(c *control) { c.guide = nil })
 		}
--- a/internal/entryhost/helper_test.go
+++ b/internal/entryhost/helper_test.go
@@ -106,7 +106,7 @@
 func (s *site) guided() int {
 	store := platform.NewStore(s.server.URL, (&net.Dialer{}).DialContext, func(string, error) {})
 	defer store.Close()
-	item, err := store.Get(context.Background(), platform.GuideKey)
+	item, err := store.Get(context.Background(), platform.ActiveHostsKey)
 	if err != nil {
 		return 0
 	}
--- a/internal/entryhost/knowledge.go
+++ b/internal/entryhost/knowledge.go
@@ -152,7 +152,7 @@
 	var out []kv.Event
 	known := c.configuration
 	for _, x := range changes {
-		if !c.seen.IsNews(x.Key, x.Revision) {
+		if !c.seen.IsNewer(x.Key, x.Revision) {
 			// The answer to a question that was asked twice.
 			continue
 		}
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -176,7 +176,7 @@
 		if err == nil {
 			r.tell(began)
 		}
-		if !errors.Is(err, kv.ErrLeaseLapsed) {
+		if !errors.Is(err, kv.ErrLeaseExpired) {
 			return err
 		}
 		r.d.events.Warn("registration lapsed", "lease", r.lease)
@@ -239,7 +239,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), retryCall)
 	defer cancel()
-	if err := r.d.store.End(ctx, r.lease); err != nil {
+	if err := r.d.store.Revoke(ctx, r.lease); err != nil {
 		r.d.events.Debug("registration not ended", "error", err)
 	}
 }
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -142,7 +142,7 @@
 	var faults jsonc.Faults
 	require := func(ok bool, path, problem string) {
 		if !ok {
-			faults = append(faults, doc.Locate(path, problem))
+			faults = append(faults, doc.FaultAt(path, problem))
 		}
 	}
 	require(s.Host != "", "/host", "required")
@@ -178,6 +178,6 @@
 	require(s.Bounds.RateSlack >= 0, "/bounds/rate_slack", "want zero or more")
 	require(s.Bounds.MaxShift >= 0 && s.Bounds.MaxShift <= 1, "/bounds/max_shift", "want a part, 0 to 1")
 	require(s.Bounds.RetrySlack >= 0, "/bounds/retry_slack", "want zero or more")
-	require(settings.IsLevel(s.LogLevel), "/log_level", "want debug, info, warn or error")
+	require(settings.IsLogLevel(s.LogLevel), "/log_level", "want debug, info, warn or error")
 	return faults
 }
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -17,10 +17,10 @@
 type storeSink struct{ c *control }
 
 // Listed implements follow.Sink.
-func (s storeSink) Listed(l kv.Listing, asOf time.Time) {
+func (s storeSink) OnList(l kv.Listing, asOf time.Time) {
 	s.c.send(func(c *control) {
 		now := c.d.now()
-		c.roster.Reached(now)
+		c.roster.StoreReached(now)
 		first := !c.listed
 		if first || !asOf.IsZero() {
 			c.replaceAll(now, l.Items)
@@ -39,7 +39,7 @@
 
 // replaceAll takes all over that the store holds.
 func (c *control) replaceAll(now time.Time, items []kv.Item) {
-	c.seen.Listed(items)
+	c.seen.Reset(items)
 	c.journal.Reset()
 	c.hostRegistrations.journal.Reset()
 	clear(c.items)
@@ -75,10 +75,10 @@
 }
 
 // Changed implements follow.Sink.
-func (s storeSink) Changed(changes kv.Changes, asOf time.Time) {
+func (s storeSink) OnChanges(changes kv.Changes, asOf time.Time) {
 	s.c.send(func(c *control) {
 		now := c.d.now()
-		c.roster.Reached(now)
+		c.roster.StoreReached(now)
 		c.applyChanges(now, changes.Events)
 		c.revision = max(c.revision, changes.Revision)
 		c.confirmedByStore(asOf)
@@ -86,16 +86,16 @@
 }
 
 // Failed implements follow.Sink.
-func (s storeSink) Failed(err error) {
+func (s storeSink) OnError(err error) {
 	s.c.send(func(c *control) {
-		c.roster.Failed()
+		c.roster.StoreFailed()
 		c.noteStoreLost(err)
 	})
 }
 
 // applyChanges takes changes over, from the store or from a peer.
 func (c *control) applyChanges(now time.Time, events []kv.Event) {
-	for _, e := range c.seen.Latest(events) {
+	for _, e := range c.seen.FilterNewer(events) {
 		before, hostsBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
 		var base []byte
 		if platform.IsConfiguration(e.Key) {
@@ -129,7 +129,7 @@
 		c.hostRegistered(item)
 		return
 	}
-	if item.Key == platform.GuideKey {
+	if item.Key == platform.ActiveHostsKey {
 		c.readGuide(item)
 		return
 	}
@@ -271,7 +271,7 @@
 
 func (c *control) unregister(now time.Time, id string) {
 	c.digest.RemoveUpstream(id)
-	if c.roster.Removed(now, id) {
+	if c.roster.EntryRemoved(now, id) {
 		c.removeUpstream(id, "entry removed")
 	}
 }
--- a/internal/entryhost/storelook.go
+++ b/internal/entryhost/storelook.go
@@ -31,11 +31,11 @@
 	storeSeldom = 5 * time.Minute
 )
 
-func (d *Daemon) storePace() follow.Pace {
+func (d *Daemon) storePace() follow.Timing {
 	if d.watches.Load() {
-		return follow.Pace{Wait: storeWait, Every: storeWatch, Least: storeWatch}
+		return follow.Timing{WatchTimeout: storeWait, Interval: storeWatch, MinInterval: storeWatch}
 	}
-	pace := follow.Pace{Wait: storeWait, Every: storeSeldom, Least: storeOwn}
+	pace := follow.Timing{WatchTimeout: storeWait, Interval: storeSeldom, MinInterval: storeOwn}
 	state := d.state.Load()
 	if state.Standby || d.now().Sub(state.ConfirmedAt) < lookAfter {
 		pace.MaxBackoff = storeTurnedAway
--- a/internal/entryhost/takeall_test.go
+++ b/internal/entryhost/takeall_test.go
@@ -54,10 +54,10 @@
 	now := c.d.now()
 	c.takeAll(now, allOf("a1"), question{at: now, whole: true})
 	g.Expect(c.zones).To(HaveKey("a1"))
-	storeSink{c}.Listed(kv.Listing{Revision: 30}, time.Time{})
+	storeSink{c}.OnList(kv.Listing{Revision: 30}, time.Time{})
 	c.drain()
 	g.Expect(c.zones).To(HaveKey("a1"))
-	storeSink{c}.Listed(kv.Listing{Revision: 60}, now)
+	storeSink{c}.OnList(kv.Listing{Revision: 60}, now)
 	c.drain()
 	g.Expect(c.zones).NotTo(HaveKey("a1"), "a listing of the moment does")
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -24,29 +24,29 @@
 // refuse everything until then. One that does not come back is gone.
 func TestEntriesMissingAfterAnOutage(t *testing.T) {
 	g := NewWithT(t)
-	r := follow.NewRoster()
-	r.Reached(start)
+	r := follow.NewUpstreamRegistry()
+	r.StoreReached(start)
 	r.Put(entry("a", 1, 1))
 	r.Put(entry("b", 1, 1))
-	r.Failed()
+	r.StoreFailed()
 	back := start.Add(6 * time.Second)
-	r.Reached(back)
-	g.Expect(r.Removed(back, "a")).To(BeFalse())
-	g.Expect(r.Removed(back.Add(time.Second), "b")).To(BeFalse())
-	g.Expect(r.Expired(back.Add(2 * time.Second))).To(BeEmpty())
+	r.StoreReached(back)
+	g.Expect(r.EntryRemoved(back, "a")).To(BeFalse())
+	g.Expect(r.EntryRemoved(back.Add(time.Second), "b")).To(BeFalse())
+	g.Expect(r.RemoveExpired(back.Add(2 * time.Second))).To(BeEmpty())
 	g.Expect(r.Put(entry("a", 1, 2))).To(BeTrue())
-	g.Expect(r.Expired(back.Add(2300 * time.Millisecond))).To(Equal([]string{"b"}))
-	g.Expect(r.Removed(back.Add(3*time.Second), "a")).To(BeTrue(), "the grace is over")
+	g.Expect(r.RemoveExpired(back.Add(2300 * time.Millisecond))).To(Equal([]string{"b"}))
+	g.Expect(r.EntryRemoved(back.Add(3*time.Second), "a")).To(BeTrue(), "the grace is over")
 }
 
 // With the store in order, a removed entry is an upstream that leaves.
 func TestEntryRemoved(t *testing.T) {
 	g := NewWithT(t)
-	r := follow.NewRoster()
-	r.Reached(start)
+	r := follow.NewUpstreamRegistry()
+	r.StoreReached(start)
 	r.Put(entry("a", 1, 1))
-	g.Expect(r.Removed(start, "a")).To(BeTrue())
-	g.Expect(r.Removed(start, "a")).To(BeFalse())
+	g.Expect(r.EntryRemoved(start, "a")).To(BeTrue())
+	g.Expect(r.EntryRemoved(start, "a")).To(BeFalse())
 	g.Expect(r.Unlisted(nil)).To(BeEmpty())
 }
 
@@ -54,7 +54,7 @@
 // not bring back what has been replaced.
 func TestOldEntries(t *testing.T) {
 	g := NewWithT(t)
-	r := follow.NewRoster()
+	r := follow.NewUpstreamRegistry()
 	g.Expect(r.Put(entry("a", 5, 7))).To(BeTrue())
 	g.Expect(r.Put(entry("a", 4, 99))).To(BeFalse(), "an earlier run")
 	g.Expect(r.Put(entry("a", 5, 6))).To(BeFalse(), "an earlier moment")
@@ -82,15 +82,15 @@
 	asOf   []time.Time
 }
 
-func (t *told) Listed(_ kv.Listing, asOf time.Time) {
+func (t *told) OnList(_ kv.Listing, asOf time.Time) {
 	t.events, t.asOf = append(t.events, "listed"), append(t.asOf, asOf)
 }
 
-func (t *told) Changed(c kv.Changes, asOf time.Time) {
+func (t *told) OnChanges(c kv.Changes, asOf time.Time) {
 	t.events, t.asOf = append(t.events, "changed"), append(t.asOf, asOf)
 }
 
-func (t *told) Failed(error) { t.events = append(t.events, "failed") }
+func (t *told) OnError(error) { t.events = append(t.events, "failed") }
 
 // Guards against a first listing that is old and bears the revision of the moment: the
 // withdrawal of a key between the two would never be seen.
@@ -109,7 +109,7 @@
 		},
 	}
 	(&follow.Follower{
-		Store: store, Pace: func() follow.Pace { return follow.Pace{} }, Now: time.Now, Sink: &told{},
+		Store: store, Timing: func() follow.Timing { return follow.Timing{} }, Now: time.Now, Sink: &told{},
 	}).Run(ctx)
 	g.Expect(asked).To(Equal(uint64(9)))
 }
@@ -143,7 +143,7 @@
 	sink := &told{}
 	now := start
 	(&follow.Follower{
-		Store: store, Pace: func() follow.Pace { return follow.Pace{Wait: time.Second} },
+		Store: store, Timing: func() follow.Timing { return follow.Timing{WatchTimeout: time.Second} },
 		Now: func() time.Time { now = now.Add(time.Millisecond); return now }, Sink: sink,
 	}).Run(ctx)
 	g.Expect(asked).To(Equal([]uint64{5, 7, 40, 40}))
@@ -177,7 +177,7 @@
 			}
 			sink := &told{}
 			(&follow.Follower{
-				Store: store, Pace: func() follow.Pace { return follow.Pace{Wait: time.Second} },
+				Store: store, Timing: func() follow.Timing { return follow.Timing{WatchTimeout: time.Second} },
 				Now: func() time.Time { return now }, Sink: sink,
 			}).Run(ctx)
 			g.Expect(sink.asOf[1].Sub(left)).To(Equal(c.want))
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -24,42 +24,42 @@
 
 // Sink is told what the store holds.
 type Sink interface {
-	// Listed replaces all that was known. It is what the store held at some
+	// OnList replaces all that was known. It is what the store held at some
 	// time after asOf; the first listing may be of any time, and asOf is zero then.
-	Listed(l kv.Listing, asOf time.Time)
-	// Changed adds events, perhaps none, up to some time after asOf.
-	Changed(c kv.Changes, asOf time.Time)
-	// Failed says that a call failed; calls go on until one succeeds.
-	Failed(err error)
+	OnList(l kv.Listing, asOf time.Time)
+	// OnChanges adds events, perhaps none, up to some time after asOf.
+	OnChanges(c kv.Changes, asOf time.Time)
+	// OnError says that a call failed; calls go on until one succeeds.
+	OnError(err error)
 }
 
 // Follower follows one prefix.
 type Follower struct {
 	Store  kv.Store
 	Prefix string
-	// Pace of the calls; asked before each.
-	Pace func() Pace
-	Now  func() time.Time
-	Sink Sink
+	// Timing of the calls; asked before each.
+	Timing func() Timing
+	Now    func() time.Time
+	Sink   Sink
 	// Wake ends the pause before the next look, but not one after a call that
 	// failed. Default nil: never.
 	Wake <-chan struct{}
-	// Before is called before the first listing. If a peer has told what the store holds
+	// Bootstrap is called before the first listing. If a peer has told what the store holds
 	// meanwhile, it returns the revision of that, and nothing is listed; the first watch
 	// is made when it is due. Default nil.
-	Before func(ctx context.Context) (revision uint64, ok bool)
-	// Listed is called between the first listing and the first watch. Default nil.
-	Listed func(ctx context.Context)
+	Bootstrap func(ctx context.Context) (revision uint64, ok bool)
+	// AfterInitialList is called between the first listing and the first watch. Default nil.
+	AfterInitialList func(ctx context.Context)
 }
 
-// Pace says how often the store is called.
-type Pace struct {
-	// Wait is how long one watch waits for a change.
-	Wait time.Duration
-	// Every is the usual time between two watches, and Least the least, if Hurry
+// Timing says how often the store is called.
+type Timing struct {
+	// WatchTimeout is how long one watch waits for a change.
+	WatchTimeout time.Duration
+	// Interval is the usual time between two watches, and Least the least, if Hurry
 	// asks for one: changes that come close together are then fetched by one
 	// call. Default 0.
-	Every, Least time.Duration
+	Interval, MinInterval time.Duration
 	// MaxBackoff is the longest pause between calls that fail. Default and least:
 	// 250 ms.
 	MaxBackoff time.Duration
@@ -70,13 +70,13 @@
 	pause := minBackoff
 	revision, listed := f.first(ctx), true
 	for ctx.Err() == nil {
-		asked, pace := f.Now(), f.Pace()
-		next, err := f.step(ctx, revision, listed, asked, pace.Wait)
+		asked, pace := f.Now(), f.Timing()
+		next, err := f.step(ctx, revision, listed, asked, pace.WatchTimeout)
 		switch {
 		case err == nil:
 			revision, listed, pause = next, true, minBackoff
-			f.pause(ctx, pace.Least-f.Now().Sub(asked), nil)
-			f.pause(ctx, pace.Every-f.Now().Sub(asked), f.Wake)
+			f.pause(ctx, pace.MinInterval-f.Now().Sub(asked), nil)
+			f.pause(ctx, pace.Interval-f.Now().Sub(asked), f.Wake)
 		case errors.Is(err, kv.ErrCompacted):
 			listed = false
 		default:
@@ -89,9 +89,9 @@
 // start together, and returns the revision to watch on from: the first watch brings
 // what the listing lacks.
 func (f *Follower) first(ctx context.Context) uint64 {
-	if f.Before != nil {
-		if revision, ok := f.Before(ctx); ok {
-			f.pause(ctx, f.Pace().Every, f.Wake)
+	if f.Bootstrap != nil {
+		if revision, ok := f.Bootstrap(ctx); ok {
+			f.pause(ctx, f.Timing().Interval, f.Wake)
 			return revision
 		}
 	}
@@ -99,9 +99,9 @@
 	for ctx.Err() == nil {
 		l, err := f.list(ctx, true)
 		if err == nil {
-			f.Sink.Listed(l, time.Time{})
-			if f.Listed != nil {
-				f.Listed(ctx)
+			f.Sink.OnList(l, time.Time{})
+			if f.AfterInitialList != nil {
+				f.AfterInitialList(ctx)
 			}
 			return watchFrom(l)
 		}
@@ -126,9 +126,9 @@
 	if ctx.Err() != nil {
 		return pause
 	}
-	f.Sink.Failed(err)
+	f.Sink.OnError(err)
 	f.pause(ctx, time.Duration(float64(pause)*(0.5+rand.Float64())), nil)
-	return min(2*pause, max(maxBackoff, f.Pace().MaxBackoff))
+	return min(2*pause, max(maxBackoff, f.Timing().MaxBackoff))
 }
 
 func (f *Follower) list(ctx context.Context, stale bool) (kv.Listing, error) {
@@ -144,7 +144,7 @@
 		if err != nil {
 			return 0, err
 		}
-		f.Sink.Listed(l, asked)
+		f.Sink.OnList(l, asked)
 		return l.Revision, nil
 	}
 	call, cancel := context.WithTimeout(ctx, wait+answerBound)
@@ -153,7 +153,7 @@
 	if err != nil {
 		return 0, err
 	}
-	f.Sink.Changed(c, f.asOf(c, asked, wait))
+	f.Sink.OnChanges(c, f.asOf(c, asked, wait))
 	return max(c.Revision, revision), nil
 }
 
--- a/internal/follow/journal.go
+++ b/internal/follow/journal.go
@@ -115,18 +115,18 @@
 // upstreams that are replaced twice.
 const mostSeen = 4096
 
-// Seen remembers at which revision each key was changed last, as far as a host
+// KeyRevisions remembers at which revision each key was changed last, as far as a host
 // knows. Changes come from the store and from peers, so one that is older than
 // what is known may come later: an upstream that has left would be back. The zero
 // value is empty. It is not safe for concurrent use.
-type Seen struct{ revisions map[string]uint64 }
+type KeyRevisions struct{ revisions map[string]uint64 }
 
-// IsNews tells whether a change of a key at a revision is newer than what is known.
-func (s *Seen) IsNews(key string, revision uint64) bool { return revision > s.revisions[key] }
+// IsNewer tells whether a change of a key at a revision is newer than what is known.
+func (s *KeyRevisions) IsNewer(key string, revision uint64) bool { return revision > s.revisions[key] }
 
-// Latest returns the events that are newer than what is known, only the last one
+// FilterNewer returns the events that are newer than what is known, only the last one
 // of each key.
-func (s *Seen) Latest(events []kv.Event) []kv.Event {
+func (s *KeyRevisions) FilterNewer(events []kv.Event) []kv.Event {
 	if s.revisions == nil || len(s.revisions) > mostSeen {
 		s.revisions = map[string]uint64{}
 	}
@@ -144,8 +144,8 @@
 	return out
 }
 
-// Listed notes what a listing has.
-func (s *Seen) Listed(items []kv.Item) {
+// Reset notes what a listing has.
+func (s *KeyRevisions) Reset(items []kv.Item) {
 	s.revisions = make(map[string]uint64, len(items))
 	for _, i := range items {
 		s.revisions[i.Key] = i.Revision
--- a/internal/follow/journal_test.go
+++ b/internal/follow/journal_test.go
@@ -82,13 +82,13 @@
 // come back.
 func TestOlderChangesComeToNothing(t *testing.T) {
 	g := NewWithT(t)
-	var s follow.Seen
-	s.Listed([]kv.Item{{Key: "x", Revision: 5}})
+	var s follow.KeyRevisions
+	s.Reset([]kv.Item{{Key: "x", Revision: 5}})
 	gone := kv.Event{Item: kv.Item{Key: "x", Revision: 12}, Deleted: true}
-	g.Expect(keys(s.Latest([]kv.Event{gone}))).To(Equal([]string{"x"}))
-	g.Expect(s.Latest([]kv.Event{event("x", 10)})).To(BeEmpty())
-	g.Expect(s.Latest([]kv.Event{event("x", 10), gone})).To(BeEmpty(), "nor again")
-	latest := s.Latest([]kv.Event{event("y", 13), event("y", 14), event("x", 15)})
+	g.Expect(keys(s.FilterNewer([]kv.Event{gone}))).To(Equal([]string{"x"}))
+	g.Expect(s.FilterNewer([]kv.Event{event("x", 10)})).To(BeEmpty())
+	g.Expect(s.FilterNewer([]kv.Event{event("x", 10), gone})).To(BeEmpty(), "nor again")
+	latest := s.FilterNewer([]kv.Event{event("y", 13), event("y", 14), event("x", 15)})
 	g.Expect(keys(latest)).To(Equal([]string{"y", "x"}), "the last of each key")
 	g.Expect(latest[0].Revision).To(Equal(uint64(14)))
 }
--- a/internal/follow/roster.go
+++ b/internal/follow/roster.go
@@ -12,10 +12,10 @@
 // left, so it must not be longer.
 const returnGrace = 2100 * time.Millisecond
 
-// Roster knows which upstreams are registered. An entry that goes missing in
+// UpstreamRegistry knows which upstreams are registered. An entry that goes missing in
 // an outage of the store, or right after one, may only have lapsed: its upstream
 // is kept until the grace has passed. It is not safe for concurrent use.
-type Roster struct {
+type UpstreamRegistry struct {
 	entries map[string]catalog.Upstream
 	missing map[string]time.Time
 	// outage says that the last call failed; back is when one succeeded again.
@@ -23,23 +23,23 @@
 	back   time.Time
 }
 
-// NewRoster returns an empty roster.
-func NewRoster() *Roster {
-	return &Roster{entries: map[string]catalog.Upstream{}, missing: map[string]time.Time{}}
+// NewUpstreamRegistry returns an empty roster.
+func NewUpstreamRegistry() *UpstreamRegistry {
+	return &UpstreamRegistry{entries: map[string]catalog.Upstream{}, missing: map[string]time.Time{}}
 }
 
-// Failed notes that the store could not be reached.
-func (r *Roster) Failed() { r.outage = true }
+// StoreFailed notes that the store could not be reached.
+func (r *UpstreamRegistry) StoreFailed() { r.outage = true }
 
-// Reached notes that it was reached, before the changes that it brought.
-func (r *Roster) Reached(now time.Time) {
+// StoreReached notes that it was reached, before the changes that it brought.
+func (r *UpstreamRegistry) StoreReached(now time.Time) {
 	if r.outage {
 		r.outage, r.back = false, now
 	}
 }
 
 // Put takes an entry in; false if it is older than what is known.
-func (r *Roster) Put(u catalog.Upstream) bool {
+func (r *UpstreamRegistry) Put(u catalog.Upstream) bool {
 	if known, ok := r.entries[u.ID]; ok && !u.Newer(known) {
 		return false
 	}
@@ -48,9 +48,9 @@
 	return true
 }
 
-// Removed notes that an entry is missing, and tells whether the upstream is to be
+// EntryRemoved notes that an entry is missing, and tells whether the upstream is to be
 // left at once.
-func (r *Roster) Removed(now time.Time, id string) bool {
+func (r *UpstreamRegistry) EntryRemoved(now time.Time, id string) bool {
 	if _, ok := r.entries[id]; !ok {
 		return false
 	}
@@ -65,19 +65,19 @@
 }
 
 // Invalidate notes that an entry was overwritten by one that names no upstream.
-func (r *Roster) Invalidate(id string) bool {
+func (r *UpstreamRegistry) Invalidate(id string) bool {
 	_, known := r.entries[id]
 	r.drop(id)
 	return known
 }
 
-func (r *Roster) drop(id string) {
+func (r *UpstreamRegistry) drop(id string) {
 	delete(r.entries, id)
 	delete(r.missing, id)
 }
 
-// Expired returns the upstreams whose grace has passed; they are to be left.
-func (r *Roster) Expired(now time.Time) []string {
+// RemoveExpired returns the upstreams whose grace has passed; they are to be left.
+func (r *UpstreamRegistry) RemoveExpired(now time.Time) []string {
 	var out []string
 	for id, until := range r.missing {
 		if !now.Before(until) {
@@ -89,7 +89,7 @@
 }
 
 // Unlisted returns the known upstreams that a listing does not have.
-func (r *Roster) Unlisted(listed map[string]bool) []string {
+func (r *UpstreamRegistry) Unlisted(listed map[string]bool) []string {
 	var out []string
 	for id := range r.entries {
 		if !listed[id] {
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -99,16 +99,16 @@
 	return fault
 }
 
-// Standard returns the document as plain JSON, without comments.
-func (d *Document) Standard() []byte {
+// StandardJSON returns the document as plain JSON, without comments.
+func (d *Document) StandardJSON() []byte {
 	v := d.root.Clone()
 	v.Standardize()
 	return v.Pack()
 }
 
-// Names returns a fault for each name that stands twice in one object, at any
+// DuplicateNames returns a fault for each name that stands twice in one object, at any
 // depth.
-func (d *Document) Names() Faults {
+func (d *Document) DuplicateNames() Faults {
 	w := walker{doc: d}
 	w.names(d.root, "")
 	return w.faults
@@ -125,9 +125,9 @@
 	}
 }
 
-// Locate makes a fault for the value at path, with the line where it (or its
+// FaultAt makes a fault for the value at path, with the line where it (or its
 // nearest parent that exists) stands.
-func (d *Document) Locate(path, problem string) Fault {
+func (d *Document) FaultAt(path, problem string) Fault {
 	return Fault{File: d.name, Line: d.line(path), Path: path, Problem: problem}
 }
 
@@ -152,24 +152,24 @@
 // names and values of the wrong type. The error is a Faults value with every
 // fault found; dst is then not to be used.
 func (d *Document) Decode(dst any) error {
-	if faults, _ := d.Fill(dst); len(faults) > 0 {
+	if faults, _ := d.DecodeFaults(dst); len(faults) > 0 {
 		return faults
 	}
 	return nil
 }
 
-// Fill is Decode for a reader that goes on to look for faults of its own, so
+// DecodeFaults is Decode for a reader that goes on to look for faults of its own, so
 // that all are reported at once. filled says that every value of a known name
 // has the right type; dst then holds them, without the unknown and duplicate
 // names among the faults.
-func (d *Document) Fill(dst any) (faults Faults, filled bool) {
+func (d *Document) DecodeFaults(dst any) (faults Faults, filled bool) {
 	w := walker{doc: d}
 	w.check(d.root, reflect.TypeOf(dst).Elem(), "")
 	if w.mistyped {
 		return w.faults, false
 	}
-	if err := json.Unmarshal(d.Standard(), dst); err != nil {
-		return append(w.faults, d.Locate("", err.Error())), false
+	if err := json.Unmarshal(d.StandardJSON(), dst); err != nil {
+		return append(w.faults, d.FaultAt("", err.Error())), false
 	}
 	return w.faults, true
 }
@@ -251,7 +251,7 @@
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		at := path + "/" + Escape(name)
+		at := path + "/" + EscapeToken(name)
 		if seen[name] {
 			w.fault(m.Name, at, "duplicate name %q", name)
 			continue
@@ -310,5 +310,5 @@
 
 var pointerEscapes = strings.NewReplacer("~", "~0", "/", "~1")
 
-// Escape makes a name usable as one step of a JSON pointer.
-func Escape(name string) string { return pointerEscapes.Replace(name) }
+// EscapeToken makes a name usable as one step of a JSON pointer.
+func EscapeToken(name string) string { return pointerEscapes.Replace(name) }
--- a/internal/jsonc/fuzz_test.go
+++ b/internal/jsonc/fuzz_test.go
@@ -30,14 +30,14 @@
 			}
 			return
 		}
-		if !json.Valid(doc.Standard()) {
-			t.Fatalf("accepted, but its plain form is not JSON: %q", doc.Standard())
+		if !json.Valid(doc.StandardJSON()) {
+			t.Fatalf("accepted, but its plain form is not JSON: %q", doc.StandardJSON())
 		}
 		err = doc.Decode(&sample{})
 		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
 			t.Fatalf("no faults: %v", err)
 		}
-		if err == nil && len(doc.Names()) > 0 {
+		if err == nil && len(doc.DuplicateNames()) > 0 {
 			t.Fatalf("accepted a name that stands twice")
 		}
 	})
--- a/internal/jsonc/read.go
+++ b/internal/jsonc/read.go
@@ -9,7 +9,7 @@
 		return nil, err
 	}
 	value := new(T)
-	faults, filled := doc.Fill(value)
+	faults, filled := doc.DecodeFaults(value)
 	if !filled {
 		return nil, faults
 	}
--- a/internal/kv/bounded.go
+++ b/internal/kv/bounded.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Bounded returns store with every call bounded by most beyond its own waiting, for
+// WithTimeout returns store with every call bounded by most beyond its own waiting, for
 // callers that have no bound of their own.
-func Bounded(store Store, most time.Duration) Store { return &bounded{store, most} }
+func WithTimeout(store Store, most time.Duration) Store { return &bounded{store, most} }
 
 type bounded struct {
 	store Store
@@ -42,9 +42,9 @@
 	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Put(ctx, key, value, lease) })
 }
 
-func (b *bounded) Swap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error) {
+func (b *bounded) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error) {
 	return within(ctx, b.most, func(ctx context.Context) (uint64, error) {
-		return b.store.Swap(ctx, key, revision, value, lease)
+		return b.store.CompareAndSwap(ctx, key, revision, value, lease)
 	})
 }
 
@@ -60,6 +60,6 @@
 	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Renew(ctx, lease) })
 }
 
-func (b *bounded) End(ctx context.Context, lease uint64) error {
-	return done(ctx, b.most, func(ctx context.Context) error { return b.store.End(ctx, lease) })
+func (b *bounded) Revoke(ctx context.Context, lease uint64) error {
+	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Revoke(ctx, lease) })
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -18,8 +18,8 @@
 var (
 	// ErrNotFound says that there is no such key.
 	ErrNotFound = errors.New("kv: key not found")
-	// ErrLeaseLapsed says that there is no such lease any more.
-	ErrLeaseLapsed = errors.New("kv: lease lapsed")
+	// ErrLeaseExpired says that there is no such lease any more.
+	ErrLeaseExpired = errors.New("kv: lease lapsed")
 	// ErrCompacted says that the history after the revision is gone: read
 	// the keys again.
 	ErrCompacted = errors.New("kv: history compacted")
@@ -27,9 +27,9 @@
 	ErrTooLarge = errors.New("kv: value too large")
 	// ErrUnavailable says that the call certainly had no effect.
 	ErrUnavailable = errors.New("kv: store unavailable")
-	// ErrUnknown says that there was no answer: a write may have taken
+	// ErrOutcomeUnknown says that there was no answer: a write may have taken
 	// effect, or may do so seconds later.
-	ErrUnknown = errors.New("kv: outcome unknown")
+	ErrOutcomeUnknown = errors.New("kv: outcome unknown")
 )
 
 // ConflictError refuses a write whose condition does not hold.
@@ -93,15 +93,15 @@
 	Get(ctx context.Context, key string) (Item, error)
 	// Put writes a key, whatever it holds. lease 0 is none.
 	Put(ctx context.Context, key string, value []byte, lease uint64) error
-	// Swap writes a key if it is at revision, 0: does not exist, and returns the new
+	// CompareAndSwap writes a key if it is at revision, 0: does not exist, and returns the new
 	// revision. Otherwise the error is a *ConflictError.
-	Swap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error)
 	// Delete removes a key if it is at revision.
 	Delete(ctx context.Context, key string, revision uint64) error
 	// Grant makes a lease; its keys are removed ttl after the last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
 	// Renew keeps a lease, or returns ErrLeaseLapsed.
 	Renew(ctx context.Context, lease uint64) error
-	// End ends a lease and removes its keys.
-	End(ctx context.Context, lease uint64) error
+	// Revoke ends a lease and removes its keys.
+	Revoke(ctx context.Context, lease uint64) error
 }
--- a/internal/operator/ctl/config.go
+++ b/internal/operator/ctl/config.go
@@ -85,13 +85,13 @@
 	if err != nil {
 		return nil, err
 	}
-	text := doc.Standard()
+	text := doc.StandardJSON()
 	for _, m := range merges {
 		merge, err := readDocument(m)
 		if err != nil {
 			return nil, err
 		}
-		if text, err = jsonpatch.MergePatch(text, merge.Standard()); err != nil {
+		if text, err = jsonpatch.MergePatch(text, merge.StandardJSON()); err != nil {
 			return nil, errors.Wrap(err, m)
 		}
 	}
@@ -141,7 +141,7 @@
 					return err
 				}
 			}
-			c.merge = doc.Standard()
+			c.merge = doc.StandardJSON()
 			return e.submitAndShow(c)
 		},
 	}
@@ -215,7 +215,7 @@
 	}
 	var out []difference
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		out = append(out, compare(a[name], b[name], at+"/"+jsonc.Escape(name))...)
+		out = append(out, compare(a[name], b[name], at+"/"+jsonc.EscapeToken(name))...)
 	}
 	return out
 }
--- a/internal/operator/ctl/ctl_test.go
+++ b/internal/operator/ctl/ctl_test.go
@@ -45,14 +45,14 @@
 	late  func()
 }
 
-func (s *lossyStore) Swap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error) {
+func (s *lossyStore) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lossy {
-		return s.Store.Swap(ctx, key, revision, value, lease)
+		return s.Store.CompareAndSwap(ctx, key, revision, value, lease)
 	}
-	s.late = func() { _, _ = s.Store.Swap(context.Background(), key, revision, value, lease) }
-	return 0, kv.ErrUnknown
+	s.late = func() { _, _ = s.Store.CompareAndSwap(context.Background(), key, revision, value, lease) }
+	return 0, kv.ErrOutcomeUnknown
 }
 
 func (s *lossyStore) arrive() {
@@ -70,7 +70,7 @@
 	t         *testing.T
 	store     *lossyStore
 	platform  *standin.KVStore
-	published view.Published
+	published view.Publisher
 	address   string
 
 	mu    sync.Mutex
@@ -82,7 +82,7 @@
 	b.fleet.ListedAt = time.Now()
 	storeServer := httptest.NewServer(b.platform)
 	client := platform.NewStore(storeServer.URL, (&net.Dialer{}).DialContext, func(string, error) {})
-	b.store = &lossyStore{Store: kv.Bounded(client, time.Second)}
+	b.store = &lossyStore{Store: kv.WithTimeout(client, time.Second)}
 	server := httptest.NewServer(operator.New(operator.Deps{
 		View: &b.published, Repository: config.NewRepository(b.store, time.Now), Metrics: metrics.NewSet(), Adopt: b.adopt,
 	}))
@@ -267,7 +267,7 @@
 func TestWaitClaimsNothingThatIsNotKnown(t *testing.T) {
 	now := time.Now()
 	heard := func(version uint64) view.Host {
-		return view.Host{Name: "me-1", Zone: "me-a", Listed: true, KnownSince: now, Last: membership.Member{
+		return view.Host{Name: "me-1", Zone: "me-a", Listed: true, KnownSince: now, LastReport: membership.Member{
 			Instance: "me-1-x", Host: "me-1", Zone: "me-a", State: membership.StateReady, ConfigVersion: version, HeardAt: now,
 		}}
 	}
@@ -296,7 +296,7 @@
 }
 
 func silent(h view.Host) view.Host {
-	h.Last.HeardAt = h.Last.HeardAt.Add(-time.Minute)
+	h.LastReport.HeardAt = h.LastReport.HeardAt.Add(-time.Minute)
 	return h
 }
 
--- a/internal/operator/ctl/submit.go
+++ b/internal/operator/ctl/submit.go
@@ -138,14 +138,14 @@
 // check tries a patch on the current document, so that its faults come with
 // the places in the operator's file.
 func check(current operator.ConfigAnswer, file *jsonc.Document) error {
-	_, err := tryMerge(current, file.Standard())
+	_, err := tryMerge(current, file.StandardJSON())
 	var faults jsonc.Faults
 	if !errors.As(err, &faults) {
 		return err
 	}
 	placed := make(jsonc.Faults, len(faults))
 	for i, f := range faults {
-		placed[i] = file.Locate(f.Path, f.Problem)
+		placed[i] = file.FaultAt(f.Path, f.Problem)
 	}
 	return placed
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -76,13 +76,13 @@
 }
 
 func hostStatus(h view.Host, now time.Time) DaemonStatus {
-	d := statusOf(h.Last, now)
+	d := statusOf(h.LastReport, now)
 	d.Host, d.Zone, d.Listed = h.Name, h.Zone, h.Listed
-	d.HeardMs = age(h.Last.HeardAt, now)
+	d.HeardMs = age(h.LastReport.HeardAt, now)
 	if d.HeardMs < 0 {
 		d.HeardMs = age(h.KnownSince, now)
 	}
-	if h.Last.Instance == "" || now.Sub(h.Last.HeardAt) > membership.GoneAfter {
+	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeardAt) > membership.GoneAfter {
 		d.State, d.Slots, d.Watches = StateSilent, nil, false
 	}
 	return d
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -21,7 +21,7 @@
 
 // Deps is what the operators' API works with.
 type Deps struct {
-	View       *view.Published
+	View       *view.Publisher
 	Repository *config.Repository
 	// Adopt hands a record to the control thread that a call begun at asked
 	// wrote to the store, or found there.
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			return
 		}
-		bounded := s.Limits.MaxBodyBytes > 0 && s.Limits.MaxHeaderBytes > 0 && s.ShutdownBound() > 0 && s.PlatformTimeout() > 0
+		bounded := s.Limits.MaxBodyBytes > 0 && s.Limits.MaxHeaderBytes > 0 && s.ShutdownTimeout() > 0 && s.PlatformTimeout() > 0
 		if s.Host == "" || s.Zone == "" || !bounded {
 			t.Fatalf("accepted %q as %+v", text, s)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,12 +13,12 @@
 
 // Defaults of the optional fields.
 const (
-	DefaultListen         = "127.0.0.1:0"
-	DefaultPlatformBound  = 2 * time.Second
-	DefaultShutdownBound  = 60 * time.Second
-	DefaultMaxHeaderBytes = 16 << 10
-	DefaultMaxBodyBytes   = 64 << 20
-	DefaultMaxRunning     = 4096
+	DefaultListen          = "127.0.0.1:0"
+	DefaultPlatformTimeout = 2 * time.Second
+	DefaultShutdownTimeout = 60 * time.Second
+	DefaultMaxHeaderBytes  = 16 << 10
+	DefaultMaxBodyBytes    = 64 << 20
+	DefaultMaxRunning      = 4096
 )
 
 // Upper bounds. Beyond them a field is a mistake: a duration would overflow,
@@ -44,8 +44,8 @@
 	TLS TLS `json:"tls"`
 	// Limits bounds what callers may send.
 	Limits Limits `json:"limits"`
-	// ShutdownBoundMs bounds a planned stop. Default 60000.
-	ShutdownBoundMs int64 `json:"shutdown_bound_ms"`
+	// ShutdownTimeoutMs bounds a planned stop. Default 60000.
+	ShutdownTimeoutMs int64 `json:"shutdown_bound_ms"`
 	// TraceFile receives one JSON span a line; "-" is standard output.
 	// Default "": no spans are written.
 	TraceFile string `json:"trace_file"`
@@ -103,9 +103,9 @@
 	return time.Duration(s.Platform.TimeoutMs) * time.Millisecond
 }
 
-// ShutdownBound is the bound of a planned stop.
-func (s *Settings) ShutdownBound() time.Duration {
-	return time.Duration(s.ShutdownBoundMs) * time.Millisecond
+// ShutdownTimeout is the bound of a planned stop.
+func (s *Settings) ShutdownTimeout() time.Duration {
+	return time.Duration(s.ShutdownTimeoutMs) * time.Millisecond
 }
 
 // Load reads and checks a settings file. A file that cannot be used gives a
@@ -128,8 +128,8 @@
 		setDefault(addr, DefaultListen)
 	}
 	setDefault(&s.LogLevel, "info")
-	setDefault(&s.Platform.TimeoutMs, DefaultPlatformBound.Milliseconds())
-	setDefault(&s.ShutdownBoundMs, DefaultShutdownBound.Milliseconds())
+	setDefault(&s.Platform.TimeoutMs, DefaultPlatformTimeout.Milliseconds())
+	setDefault(&s.ShutdownTimeoutMs, DefaultShutdownTimeout.Milliseconds())
 	setDefault(&s.Limits.MaxHeaderBytes, DefaultMaxHeaderBytes)
 	setDefault(&s.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
 	setDefault(&s.Limits.MaxRunning, DefaultMaxRunning)
@@ -146,7 +146,7 @@
 	var faults jsonc.Faults
 	require := func(ok bool, path, problem string) {
 		if !ok {
-			faults = append(faults, doc.Locate(path, problem))
+			faults = append(faults, doc.FaultAt(path, problem))
 		}
 	}
 	require(s.Host != "", "/host", "required")
@@ -162,11 +162,11 @@
 	}
 	require(isPlatformURL(s.Platform.URL), "/platform/url", "want http://IP:PORT or https://IP:PORT")
 	require(within(s.Platform.TimeoutMs, maxDurationMs), "/platform/timeout_ms", "want a positive number of milliseconds, a day at most")
-	require(within(s.ShutdownBoundMs, maxDurationMs), "/shutdown_bound_ms", "want a positive number of milliseconds, a day at most")
+	require(within(s.ShutdownTimeoutMs, maxDurationMs), "/shutdown_bound_ms", "want a positive number of milliseconds, a day at most")
 	require(within(int64(s.Limits.MaxHeaderBytes), maxHeaderBytes), "/limits/max_header_bytes", "want a positive number of bytes, a megabyte at most")
 	require(within(s.Limits.MaxBodyBytes, maxBodyBytes), "/limits/max_body_bytes", "want a positive number of bytes, a gigabyte at most")
 	require(within(int64(s.Limits.MaxRunning), maxRunning), "/limits/max_running", "want a positive number of requests, a million at most")
-	require(IsLevel(s.LogLevel), "/log_level", "want debug, info, warn or error")
+	require(IsLogLevel(s.LogLevel), "/log_level", "want debug, info, warn or error")
 	if !s.TLS.Plain {
 		require(s.TLS.CertFile != "", "/tls/cert_file", "required unless /tls/plain is true")
 		require(s.TLS.KeyFile != "", "/tls/key_file", "required unless /tls/plain is true")
@@ -198,8 +198,8 @@
 	return IsAddress(u.Host)
 }
 
-// IsLevel tells whether s is a level of the log.
-func IsLevel(s string) bool {
+// IsLogLevel tells whether s is a level of the log.
+func IsLogLevel(s string) bool {
 	switch s {
 	case "debug", "info", "warn", "error":
 		return true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 	s, err := settings.Parse("s.jsonc", []byte(good))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Listen.Callers).To(Equal(settings.DefaultListen))
-	g.Expect(s.ShutdownBound()).To(Equal(settings.DefaultShutdownBound))
+	g.Expect(s.ShutdownTimeout()).To(Equal(settings.DefaultShutdownTimeout))
 }
 
 // An operator starts a daemon with a mistaken settings file. It must stop with
--- a/internal/telemetry/events.go
+++ b/internal/telemetry/events.go
@@ -26,8 +26,8 @@
 	logger *log.Logger
 	queue  chan []byte
 	out    io.Writer
-	// Dropped is told how many lines of a kind were left out. Default nil.
-	Dropped func(kind string, n int)
+	// OnDropped is told how many lines of a kind were left out. Default nil.
+	OnDropped func(kind string, n int)
 
 	mu     sync.Mutex
 	second int64
@@ -144,12 +144,12 @@
 	e.lost = map[string]int{}
 	e.mu.Unlock()
 	for kind, n := range lost {
-		if e.Dropped != nil {
-			e.Dropped(kind, n)
+		if e.OnDropped != nil {
+			e.OnDropped(kind, n)
 		}
 		e.logger.Warn("lines dropped", "kind", kind, "count", n)
 	}
 }
 
-// Standard returns a logger for libraries that want one.
-func (e *Events) Standard() *stdlog.Logger { return e.logger.StandardLog() }
+// StdLogger returns a logger for libraries that want one.
+func (e *Events) StdLogger() *stdlog.Logger { return e.logger.StandardLog() }
--- a/internal/telemetry/events_test.go
+++ b/internal/telemetry/events_test.go
@@ -33,7 +33,7 @@
 	out := &stalled{release: make(chan struct{})}
 	e := telemetry.NewEvents(out, "info", "h1")
 	dropped := make(chan string, 64)
-	e.Dropped = func(kind string, _ int) {
+	e.OnDropped = func(kind string, _ int) {
 		select {
 		case dropped <- kind:
 		default:
--- a/internal/tlsfiles/source.go
+++ b/internal/tlsfiles/source.go
@@ -15,8 +15,8 @@
 
 // Errors of this package.
 var (
-	// ErrNoAuthority says that a CA file holds no certificate.
-	ErrNoAuthority = errors.New("tlsfiles: no certificate in the CA file")
+	// ErrNoCACertificate says that a CA file holds no certificate.
+	ErrNoCACertificate = errors.New("tlsfiles: no certificate in the CA file")
 	// ErrNoCertificate says that a peer showed no certificate.
 	ErrNoCertificate = errors.New("tlsfiles: peer shows no certificate")
 )
@@ -99,14 +99,14 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(c.ca) {
-		return nil, ErrNoAuthority
+		return nil, ErrNoCACertificate
 	}
 	return &material{contents: c, certificate: certificate, authority: authority}, nil
 }
 
-// Server returns the configuration of a listener. Each handshake uses what is
+// ServerConfig returns the configuration of a listener. Each handshake uses what is
 // in force at that moment.
-func (s *Source) Server() *tls.Config {
+func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -123,13 +123,13 @@
 	}
 }
 
-// Client returns the configuration of one new connection to another daemon.
+// ClientConfig returns the configuration of one new connection to another daemon.
 //
 // The library's own check is replaced because it compares names. The chain to
 // the authority, the dates and the purpose are checked here, on every
 // handshake; without that anyone who can answer at a daemon's address would be
 // given callers' requests.
-func (s *Source) Client() *tls.Config {
+func (s *Source) ClientConfig() *tls.Config {
 	now := s.current.Load()
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -141,10 +141,10 @@
 	}
 }
 
-// Trusts checks the client of a standing connection against the authority in
+// VerifyClient checks the client of a standing connection against the authority in
 // force now. A connection that is in use outlives the files that it was made
 // by: a daemon whose authority was withdrawn would go on being believed.
-func (s *Source) Trusts(state *tls.ConnectionState) error {
+func (s *Source) VerifyClient(state *tls.ConnectionState) error {
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
 	}
--- a/internal/tlsfiles/source_test.go
+++ b/internal/tlsfiles/source_test.go
@@ -108,16 +108,16 @@
 	fleet, stranger := newAuthority(t), newAuthority(t)
 	good, wrong := fleet.source(t, soon), stranger.source(t, soon)
 	expired := fleet.source(t, time.Now().Add(-time.Hour))
-	bare := good.Client()
+	bare := good.ClientConfig()
 	bare.Certificates = nil
 
-	g.Expect(talk(t, good.Client(), good.Server())).To(Succeed())
+	g.Expect(talk(t, good.ClientConfig(), good.ServerConfig())).To(Succeed())
 	for name, pair := range map[string][2]*tls.Config{
-		"client of another authority": {wrong.Client(), good.Server()},
-		"server of another authority": {good.Client(), wrong.Server()},
-		"client without certificate":  {bare, good.Server()},
-		"expired client":              {expired.Client(), good.Server()},
-		"expired server":              {good.Client(), expired.Server()},
+		"client of another authority": {wrong.ClientConfig(), good.ServerConfig()},
+		"server of another authority": {good.ClientConfig(), wrong.ServerConfig()},
+		"client without certificate":  {bare, good.ServerConfig()},
+		"expired client":              {expired.ClientConfig(), good.ServerConfig()},
+		"expired server":              {good.ClientConfig(), expired.ServerConfig()},
 	} {
 		g.Expect(talk(t, pair[0], pair[1])).NotTo(Succeed(), name)
 	}
@@ -133,17 +133,17 @@
 	files := before.write(t, dir, soon)
 	s, err := tlsfiles.Load(files)
 	g.Expect(err).NotTo(HaveOccurred())
-	server := s.Server()
+	server := s.ServerConfig()
 	g.Expect(os.WriteFile(files.Cert, []byte("half"), 0o600)).To(Succeed())
 	changed, err := s.Refresh()
 	g.Expect(changed).To(BeFalse())
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(talk(t, before.source(t, soon).Client(), server)).To(Succeed())
+	g.Expect(talk(t, before.source(t, soon).ClientConfig(), server)).To(Succeed())
 
 	after.write(t, dir, soon)
 	changed, err = s.Refresh()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(changed).To(BeTrue())
-	g.Expect(talk(t, after.source(t, soon).Client(), server)).To(Succeed())
-	g.Expect(talk(t, before.source(t, soon).Client(), server)).NotTo(Succeed())
+	g.Expect(talk(t, after.source(t, soon).ClientConfig(), server)).To(Succeed())
+	g.Expect(talk(t, before.source(t, soon).ClientConfig(), server)).NotTo(Succeed())
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -22,9 +22,9 @@
 	ConfirmedAt time.Time
 	// PublishedAt is when the control thread made this snapshot.
 	PublishedAt time.Time
-	// CaughtUp says that Config was compared with the store's or the peers'
+	// ConfigVerified says that Config was compared with the store's or the peers'
 	// version since the daemon started or was last paused.
-	CaughtUp bool
+	ConfigVerified bool
 	// Fleet is what is known of every host, for operators.
 	Fleet Fleet
 	// Ready are the ready daemons, this one included if it is ready.
@@ -50,22 +50,22 @@
 	Name, Zone string
 	// Listed says that the platform's host list has it.
 	Listed bool
-	// Last is the newest account of itself; its Instance is "" if there is none.
-	Last membership.Member
+	// LastReport is the newest account of itself; its Instance is "" if there is none.
+	LastReport membership.Member
 	// KnownSince is when the host was first listed or heard.
 	KnownSince time.Time
 }
 
-// Published is where the control thread puts the snapshot.
-type Published struct {
+// Publisher is where the control thread puts the snapshot.
+type Publisher struct {
 	p atomic.Pointer[Snapshot]
 }
 
 // Store publishes a snapshot.
-func (p *Published) Store(s *Snapshot) { p.p.Store(s) }
+func (p *Publisher) Store(s *Snapshot) { p.p.Store(s) }
 
 // Load returns the latest snapshot; it is never nil.
-func (p *Published) Load() *Snapshot {
+func (p *Publisher) Load() *Snapshot {
 	if s := p.p.Load(); s != nil {
 		return s
 	}
@@ -82,7 +82,7 @@
 // configuration was compared with the store's or the peers', and the process
 // has not been paused since.
 func (s *Snapshot) Current(now time.Time) bool {
-	return s.Config != nil && s.CaughtUp && now.Sub(s.PublishedAt) <= MaxAge
+	return s.Config != nil && s.ConfigVerified && now.Sub(s.PublishedAt) <= MaxAge
 }
 
 // OwnsKey tells whether a key is a customer's in the version in force.
