--- /dev/null
+++ b/internal/front/response.go
@@ -0,0 +1,178 @@
+package front
+
+import (
+	"context"
+	"errors"
+	"io"
+	"maps"
+	"net/http"
+	"strconv"
+	"time"
+
+	"balsambarrow/internal/h1"
+	"balsambarrow/internal/place"
+	"balsambarrow/internal/traffic"
+)
+
+// maxBufferedResponse is the largest response body that is buffered completely
+// before any of it is sent to the caller. If the upstream connection breaks
+// before the end, an idempotent request can still be served by another upstream.
+const maxBufferedResponse = 1 << 20
+
+// responseLogInterval is the number of ordinary responses per logged one. The
+// sample shows what is normal at the time of a failure.
+const responseLogInterval = 64
+
+// response is a completely buffered upstream response.
+type response struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// receive reads the response of an upstream and, unless the upstream refused or
+// failed, writes it to the caller.
+func (h *Handler) receive(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice, sentAt time.Time, upstream *h1.Response) (outcome, *response) {
+	meta := h.Codec.Answer(upstream.Response)
+	report := place.Report{
+		Took: h.Now().Sub(sentAt), Connect: upstream.ConnectTime, Load: meta.Load, HasLoad: meta.HasLoad, ColdFor: meta.ColdFor,
+	}
+	if problem := invalidResponse(upstream.Response, meta); problem != "" {
+		upstream.Close(meta.KeepFor)
+		return h.recordLost(ctx, q, c, &h1.InvalidResponseError{Problem: problem}), nil
+	}
+	buffered, err := io.ReadAll(io.LimitReader(upstream, maxBufferedResponse+1))
+	if err != nil {
+		upstream.Close(meta.KeepFor)
+		return h.recordLost(ctx, q, c, err), nil
+	}
+	report.Bytes = len(buffered)
+	resp := &response{status: upstream.StatusCode, header: upstream.Header, body: buffered}
+	if len(buffered) > maxBufferedResponse {
+		err := h.stream(w, resp, upstream)
+		upstream.Close(meta.KeepFor)
+		return h.finishStream(ctx, q, c, report, err), nil
+	}
+	upstream.Close(meta.KeepFor)
+	return h.finishBuffered(w, q, c, meta, report, resp)
+}
+
+// finishBuffered determines the outcome of a completely buffered response,
+// records it, and writes the response to the caller if the upstream answered.
+func (h *Handler) finishBuffered(w http.ResponseWriter, q *request, c place.Choice, meta traffic.Answer, report place.Report, resp *response) (outcome, *response) {
+	end := outcomeAnswered
+	switch {
+	case meta.Misdirected:
+		report.Result, end = place.Misdirected, outcomeShed
+	case meta.NotRun:
+		report.Result, end = place.Shed, outcomeShed
+	case resp.status >= http.StatusInternalServerError:
+		report.Result, end = place.Failed, outcomeFailed
+	}
+	h.Table.Done(h.Now(), c, report)
+	q.attempts.latency = compareLatency(c, report.Took)
+	h.Log.Debug("upstream answered", "id", q.ID, "route", q.route.Name, "object", q.Object, "upstream", c.ID, "zone", c.Zone,
+		"status", resp.status, "took", report.Took, "expected", c.Expected, "expected_wait", c.Wait, "warm", c.Warm,
+		"running", meta.Load.Running, "waiting", meta.Load.Waiting, "bytes", report.Bytes)
+	switch end {
+	case outcomeAnswered:
+		h.writeResponse(w, q, resp)
+	case outcomeShed:
+		h.Log.Info("upstream refused", "id", q.ID, "upstream", c.ID, "status", resp.status, "running", meta.Load.Running,
+			"waiting", meta.Load.Waiting, "slots", meta.Load.Slots, "expected_wait", c.Wait)
+	case outcomeFailed:
+		h.Log.Info("upstream failed", "id", q.ID, "upstream", c.ID, "status", resp.status)
+	}
+	return end, resp
+}
+
+// invalidResponse returns what is wrong with a response that the upstream itself
+// cannot have generated; "" if the response is valid.
+func invalidResponse(r *http.Response, meta traffic.Answer) string {
+	switch {
+	case meta.Encoded:
+		return "encoded body"
+	case r.StatusCode/100 == 2 && !meta.Signed:
+		return "success without signature"
+	case r.StatusCode/100 == 3:
+		return "redirection"
+	}
+	return ""
+}
+
+// writeResponse writes a buffered response to the caller.
+func (h *Handler) writeResponse(w http.ResponseWriter, q *request, resp *response) {
+	moveHeader(w.Header(), resp.header)
+	if q.http.Method != http.MethodHead {
+		w.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
+	}
+	w.WriteHeader(resp.status)
+	// A write error means that the caller has disconnected.
+	_, _ = w.Write(resp.body)
+	took := h.Now().Sub(q.arrived)
+	h.Observe(Observation{Route: q.route.Name, Status: resp.status, Took: took, Bytes: len(resp.body), Sends: q.attempts.sends, Latency: q.attempts.latency})
+	late := q.route.Target > 0 && took > q.route.Target
+	if q.attempts.sends > 1 || late || resp.status >= http.StatusInternalServerError || h.responseCount.Add(1)%responseLogInterval == 0 {
+		h.Log.Info("answered", "id", q.ID, "route", q.route.Name, "status", resp.status, "took", took,
+			"target", q.route.Target, "sends", q.attempts.sends, "tried", q.attempts.tried, "expected", q.attempts.latency.Expected,
+			"expected_wait", q.attempts.latency.ExpectedQueueing, "upstream_took", q.attempts.latency.Actual, "waited", q.attempts.latency.ActualQueueing)
+	}
+}
+
+// stream forwards a response that exceeds maxBufferedResponse as it arrives.
+func (h *Handler) stream(w http.ResponseWriter, start *response, rest io.Reader) error {
+	moveHeader(w.Header(), start.header)
+	w.WriteHeader(start.status)
+	if _, err := w.Write(start.body); err != nil {
+		return &callerError{err}
+	}
+	_, err := io.Copy(callerWriter{w}, rest)
+	return err
+}
+
+// finishStream records the outcome of a streamed response. If the response was
+// interrupted, finishStream aborts the connection to the caller, so that the
+// caller cannot take the truncated response for a complete one.
+func (h *Handler) finishStream(ctx context.Context, q *request, c place.Choice, report place.Report, err error) outcome {
+	var caller *callerError
+	switch {
+	case err == nil:
+		h.Table.Done(h.Now(), c, report)
+		return outcomeAnswered
+	case errors.As(err, &caller) || ctx.Err() != nil:
+		h.Table.Done(h.Now(), c, place.Report{Result: place.Left})
+	default:
+		h.Table.Done(h.Now(), c, place.Report{Result: place.Lost})
+	}
+	h.Log.Info("response aborted", "id", q.ID, "upstream", c.ID, "error", err)
+	panic(http.ErrAbortHandler)
+}
+
+// callerError is an error in writing to the caller.
+type callerError struct{ cause error }
+
+func (e *callerError) Error() string { return "front: write to caller: " + e.cause.Error() }
+
+// Unwrap returns the cause.
+func (e *callerError) Unwrap() error { return e.cause }
+
+// callerWriter marks write errors as errors of the caller's connection.
+type callerWriter struct{ w io.Writer }
+
+// Write implements io.Writer.
+func (c callerWriter) Write(b []byte) (int, error) {
+	n, err := c.w.Write(b)
+	if err != nil {
+		return n, &callerError{err}
+	}
+	return n, nil
+}
+
+// moveHeader copies the end-to-end headers of an upstream response. Hop-by-hop
+// headers are removed, since they concern only the connection to the upstream:
+// an upstream that closes its connection does not require this host to close
+// the caller's.
+func moveHeader(to, from http.Header) {
+	h1.RemoveHopByHop(from)
+	maps.Copy(to, from)
+}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,71 +6,74 @@
 	"balsambarrow/internal/wire"
 )
 
-// Sizes of a budget.
 const (
-	// ratio is what each first try adds. Upstreams at half their capacity or
-	// more can bear a tenth on top; one sick upstream of ten fits in it.
-	ratio = 0.1
-	// reserve is the most a budget holds, and what it starts with: what a
-	// failing upstream with four slots answers before it is ejected (four
-	// failures in a row on each), so that even a quiet service repeats these.
-	reserve = 16
+	// retryRatio is the number of retries that each first attempt adds to the
+	// budget. Upstreams that run at half of their capacity or more can serve an
+	// additional tenth. The retries for one failing upstream out of ten fit in it.
+	retryRatio = 0.1
+	// maxBalance is the maximum and the initial balance of a budget. An upstream
+	// with four slots fails 16 requests before it is ejected (four consecutive
+	// failures on each slot), so that even a service with few requests can retry
+	// all of these.
+	maxBalance = 16
 )
 
-// Budget is the number of tries again that one service may make. It is not
-// safe for concurrent use.
+// Budget is the retry budget of one service. It is not safe for concurrent use.
 type Budget struct {
-	left float64
+	balance float64
 }
 
 // NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{left: reserve} }
+func NewBudget() *Budget { return &Budget{balance: maxBalance} }
 
-// RecordRequest notes a first try.
-func (b *Budget) RecordRequest() { b.left = min(b.left+ratio, reserve) }
+// RecordRequest adds the share of one first attempt to the budget.
+func (b *Budget) RecordRequest() { b.balance = min(b.balance+retryRatio, maxBalance) }
 
-// AllowRetry takes one try again; false if the budget is spent.
+// AllowRetry takes one retry from the budget. It returns false if the budget is
+// exhausted.
 func (b *Budget) AllowRetry() bool {
-	if b.left < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
 
-// Budgets holds a budget for each service. It is safe for concurrent use. A
-// nil one allows every try again.
+// Budgets holds one budget per service. It is safe for concurrent use. A nil
+// *Budgets allows every retry.
 type Budgets struct {
-	mu      sync.Mutex
-	service map[string]*Budget
+	mu       sync.Mutex
+	services map[string]*Budget
 }
 
-// NewBudgets returns full budgets.
-func NewBudgets() *Budgets { return &Budgets{service: map[string]*Budget{}} }
+// NewBudgets returns budgets that are full for every service.
+func NewBudgets() *Budgets { return &Budgets{services: map[string]*Budget{}} }
 
-// RecordRequest notes a first try of a service.
+// RecordRequest records a first attempt of the service.
 func (b *Budgets) RecordRequest(service string) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).RecordRequest()
+	b.budget(service).RecordRequest()
 }
 
-// AllowRetry takes one try again of a service; false if its budget is spent.
+// AllowRetry takes one retry from the budget of the service. It returns false if
+// the budget is exhausted.
 func (b *Budgets) AllowRetry(service string) bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).AllowRetry()
+	return b.budget(service).AllowRetry()
 }
 
-// AllowRetryOn tells whether the service may try again after a problem, and takes
-// the try. One after which an upstream has seen nothing adds no load to it and
-// is free; an upstream that shed has had the work of it.
+// AllowRetryOn reports whether the service may retry after the problem, and takes
+// the retry from its budget. If no upstream received the request, the retry adds
+// no load and is free. A request that an upstream shed has cost the upstream work,
+// so its retry is counted.
 func (b *Budgets) AllowRetryOn(service string, p *wire.Problem) bool {
 	if p.Outcome == wire.OutcomeNotRun && p.Type != wire.TypeUpstreamShed {
 		return true
@@ -78,11 +81,11 @@
 	return b.AllowRetry(service)
 }
 
-func (b *Budgets) of(service string) *Budget {
-	x := b.service[service]
+func (b *Budgets) budget(service string) *Budget {
+	x := b.services[service]
 	if x == nil {
 		x = NewBudget()
-		b.service[service] = x
+		b.services[service] = x
 	}
 	return x
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -6,30 +6,30 @@
 	. "github.com/onsi/gomega"
 )
 
-// Every upstream of a service fails. Each request would be tried again at two
-// upstreams of three handlers, six times the load, for as long as it lasts.
-func TestRetriesDoNotAmplifyAnOutage(t *testing.T) {
+// All upstreams of a service fail. Without a budget, each request is sent to two
+// upstreams of three handlers, which is six times the load for the whole outage.
+func TestBudgetLimitsRetriesDuringOutage(t *testing.T) {
 	g := NewWithT(t)
 	budgets := NewBudgets()
-	tries := 0
+	attempts := 0
 	const requests = 10_000
 	for range requests {
 		budgets.RecordRequest("lookup")
-		tries++
+		attempts++
 		for range 5 {
 			if !budgets.AllowRetry("lookup") {
 				break
 			}
-			tries++
+			attempts++
 		}
 	}
-	g.Expect(float64(tries) / requests).To(BeNumerically("<=", 1.11))
-	g.Expect(budgets.AllowRetry("report")).To(BeTrue(), "another service has a budget of its own")
+	g.Expect(float64(attempts) / requests).To(BeNumerically("<=", 1.11))
+	g.Expect(budgets.AllowRetry("report")).To(BeTrue(), "each service has a budget of its own")
 }
 
-// One upstream of twenty fails until it is ejected. All its requests must be
-// tried again: callers must not notice.
-func TestOneFailingUpstreamFitsTheBudget(t *testing.T) {
+// One upstream out of twenty fails until it is ejected. The budget must allow a
+// retry of each failed request, so that no caller sees an error.
+func TestBudgetCoversOneFailingUpstream(t *testing.T) {
 	g := NewWithT(t)
 	b := NewBudget()
 	for n := range 1000 {
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -1,11 +1,11 @@
-// Package retry bounds how many requests are tried again. It is pure but for
-// the mutex of Budgets.
+// Package retry limits how many requests are retried by means of retry
+// budgets. It does no I/O and reads no clock.
 //
-// Load pattern: upstreams fail or shed because they are full, and each failed
-// request is sent again. With two attempts at the handler and three handlers
-// asked from the entry host, one request becomes up to six: the retries keep
-// the upstreams full after the cause has gone. Only as many tries again are
-// made as a tenth of the first tries at the handler, and as much again at the
-// entry host, so that the load grows by a fifth at most. A request that no byte of reached an upstream adds no load there and
-// is not counted.
+// If upstreams fail or shed requests because they are overloaded, retries add
+// load: with two attempts at the handler and three handlers tried by the entry
+// host, one request becomes up to six, and the retries keep the upstreams
+// overloaded after the original cause has ended. The handler therefore retries at
+// most a tenth of the first attempts, and the entry host another tenth, so that
+// the load grows by at most a fifth. A retry of a request of which no byte reached
+// an upstream adds no load there and is not counted.
 package retry
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -5,95 +5,101 @@
 	"time"
 )
 
-// WindowBudget bounds the tries again of each service over the fleet: in any span of
-// its length, no more than ratio of the requests for the service, and a slack.
+// WindowBudget limits the retries of each service over all hosts: within any
+// interval of the window's length, the number of retries is at most a ratio of the
+// requests for the service, plus a fixed slack.
 //
-// Load pattern: upstreams that shed or lose answers while callers retry as
-// well. Without a bound each request becomes several, and upstreams that are
-// full stay full. Each host keeps the ratio for the requests that it sent
-// itself, and its part of the slack, so the sum over all hosts holds without a
-// message between them. It is safe for concurrent use.
+// Without this limit, retries by hosts and by callers multiply the requests while
+// upstreams shed requests or lose responses, and overloaded upstreams stay
+// overloaded. Each host applies the ratio to the requests that it sent itself and
+// uses its part of the slack, so that the limit holds for the sum over all hosts
+// without communication between them. It is safe for concurrent use.
 type WindowBudget struct {
 	length time.Duration
 	ratio  float64
 
 	mu       sync.Mutex
 	slack    float64
-	services map[string]*slots
+	services map[string]*buckets
 }
 
 const (
-	// slotsPerWindow is how finely a window slides. A window begins up to a
-	// slot late, so one slot more is counted.
-	slotsPerWindow = 20
-	// ratioPart and slackPart of what is allowed are used: a member may be
-	// missing in the count of hosts for some seconds.
-	ratioPart = 0.9
-	slackPart = 0.7
+	// bucketsPerWindow is the resolution of the sliding window. The window starts
+	// up to one bucket late, so one additional bucket is counted.
+	bucketsPerWindow = 20
+	// ratioFraction and slackFraction are the parts of the ratio and of the slack
+	// that are used. The rest is a margin for the case that the count of hosts
+	// misses a host for some seconds.
+	ratioFraction = 0.9
+	slackFraction = 0.7
 )
 
-type slot struct {
-	number int64
-	first  float64
-	again  float64
+// bucket counts the attempts in one part of the window.
+type bucket struct {
+	number   int64
+	requests float64
+	retries  float64
 }
 
-type slots [slotsPerWindow + 1]slot
+type buckets [bucketsPerWindow + 1]bucket
 
-// NewWindowBudget returns a budget for spans of the given length.
+// NewWindowBudget returns a budget with a window of the given length.
 func NewWindowBudget(length time.Duration, ratio float64) *WindowBudget {
-	return &WindowBudget{length: length, ratio: ratio, services: map[string]*slots{}}
+	return &WindowBudget{length: length, ratio: ratio, services: map[string]*buckets{}}
 }
 
-// SetSlack says what the whole fleet may try again beyond the ratio in one
-// span, and among how many hosts that is split.
+// SetSlack sets the number of retries that all hosts together may make in one
+// window beyond the ratio, and the number of hosts among which it is split.
 func (w *WindowBudget) SetSlack(slack float64, hosts int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slack = slack * slackPart / float64(max(hosts, 1))
+	w.slack = slack * slackFraction / float64(max(hosts, 1))
 }
 
-// RecordRequest notes a request that is sent for the first time.
+// RecordRequest records the first attempt of a request.
 func (w *WindowBudget) RecordRequest(now time.Time, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slot(now, service).first++
+	w.bucket(now, service).requests++
 }
 
-// AllowRetry takes one try again; false if the budget is spent.
+// AllowRetry takes one retry from the budget of the service. It returns false if
+// the budget is exhausted.
 func (w *WindowBudget) AllowRetry(now time.Time, service string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	current := w.slot(now, service)
-	oldest := w.number(now) - slotsPerWindow
-	var first, again float64
-	for _, s := range w.services[service] {
-		if s.number >= oldest {
-			first += s.first
-			again += s.again
+	current := w.bucket(now, service)
+	oldest := w.bucketNumber(now) - bucketsPerWindow
+	var requests, retries float64
+	for _, b := range w.services[service] {
+		if b.number >= oldest {
+			requests += b.requests
+			retries += b.retries
 		}
 	}
-	if again+1 > first*w.ratio*ratioPart+w.slack {
+	if retries+1 > requests*w.ratio*ratioFraction+w.slack {
 		return false
 	}
-	current.again++
+	current.retries++
 	return true
 }
 
-func (w *WindowBudget) number(now time.Time) int64 {
-	return now.UnixNano() / (int64(w.length) / slotsPerWindow)
+func (w *WindowBudget) bucketNumber(now time.Time) int64 {
+	return now.UnixNano() / (int64(w.length) / bucketsPerWindow)
 }
 
-func (w *WindowBudget) slot(now time.Time, service string) *slot {
+// bucket returns the current bucket of the service, and clears it first if it
+// still holds the counts of an earlier window.
+func (w *WindowBudget) bucket(now time.Time, service string) *bucket {
 	all := w.services[service]
 	if all == nil {
-		all = &slots{}
+		all = &buckets{}
 		w.services[service] = all
 	}
-	n := w.number(now)
-	s := &all[n%int64(len(all))]
-	if s.number != n {
-		*s = slot{number: n}
+	n := w.bucketNumber(now)
+	b := &all[n%int64(len(all))]
+	if b.number != n {
+		*b = bucket{number: n}
 	}
-	return s
+	return b
 }
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -10,22 +10,22 @@
 	"balsambarrow/internal/retry"
 )
 
-// All upstreams of a service shed, and each request is tried again as often as
-// the budget allows, at ten hosts whose load changes. In no span of ten seconds
-// may the tries again of all hosts exceed the ratio and the slack.
-func TestWindowBoundsTheFleet(t *testing.T) {
+// All upstreams of a service shed requests, and ten hosts with varying load retry
+// each request as often as the budget allows. In no interval of ten seconds may the
+// retries of all hosts exceed the ratio plus the slack.
+func TestWindowBudgetLimitsRetriesOfAllHosts(t *testing.T) {
 	g := NewWithT(t)
 	const hosts, ratio, slack = 10, 0.2, 60.0
 	rng := rand.New(rand.NewPCG(1, 2))
-	var windows []*retry.WindowBudget
+	var budgets []*retry.WindowBudget
 	for range hosts {
 		w := retry.NewWindowBudget(10*time.Second, ratio)
 		w.SetSlack(slack, hosts)
-		windows = append(windows, w)
+		budgets = append(budgets, w)
 	}
 	type event struct {
 		at    time.Time
-		again bool
+		retry bool
 	}
 	var events []event
 	now := time.Unix(1000, 0)
@@ -34,7 +34,7 @@
 		if now.Unix()%13 == 0 {
 			now = now.Add(700 * time.Millisecond)
 		}
-		w := windows[rng.IntN(hosts)]
+		w := budgets[rng.IntN(hosts)]
 		w.RecordRequest(now, "s")
 		events = append(events, event{now, false})
 		for range 3 {
@@ -43,35 +43,36 @@
 			}
 		}
 	}
-	from, first, again := 0, 0.0, 0.0
+	oldest, requests, retries := 0, 0.0, 0.0
 	for _, e := range events {
-		if e.again {
-			again++
+		if e.retry {
+			retries++
 		} else {
-			first++
+			requests++
 		}
-		for e.at.Sub(events[from].at) > 10*time.Second {
-			if events[from].again {
-				again--
+		for e.at.Sub(events[oldest].at) > 10*time.Second {
+			if events[oldest].retry {
+				retries--
 			} else {
-				first--
+				requests--
 			}
-			from++
+			oldest++
 		}
-		g.Expect(again).To(BeNumerically("<=", first*ratio+slack))
+		g.Expect(retries).To(BeNumerically("<=", requests*ratio+slack))
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+// Requests and retries count only as long as they are within the window.
+func TestWindowBudgetDropsOldRequests(t *testing.T) {
 	g := NewWithT(t)
 	w := retry.NewWindowBudget(10*time.Second, 0.2)
 	now := time.Unix(1000, 0)
-	g.Expect(w.AllowRetry(now, "s")).To(BeFalse(), "no request, no slack")
+	g.Expect(w.AllowRetry(now, "s")).To(BeFalse(), "there are no requests and no slack")
 	for range 10 {
 		w.RecordRequest(now, "s")
 	}
 	g.Expect(w.AllowRetry(now, "s")).To(BeTrue())
 	g.Expect(w.AllowRetry(now.Add(5*time.Second), "s")).To(BeFalse())
 	g.Expect(w.AllowRetry(now.Add(5*time.Second), "other")).To(BeFalse())
-	g.Expect(w.AllowRetry(now.Add(12*time.Second), "s")).To(BeFalse(), "the requests are forgotten too")
+	g.Expect(w.AllowRetry(now.Add(12*time.Second), "s")).To(BeFalse(), "the requests are outside the window, too")
 }
