--- a/internal/h1/chunk.go
+++ b/internal/h1/chunk.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// chunkWriter frames a body whose length is not known.
+// chunkWriter encodes a body of unknown length with chunked transfer coding.
 type chunkWriter struct{ w io.Writer }
 
 func newChunkWriter(w io.Writer) *chunkWriter { return &chunkWriter{w} }
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// Close writes the end of the body.
+// Close writes the last chunk. It does not close the underlying writer.
 func (c *chunkWriter) Close() error {
 	_, err := io.WriteString(c.w, "0\r\n\r\n")
 	return err
--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -9,74 +9,76 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBuffer holds a header and a small answer in one read.
+// readBuffer is large enough to read a header and a small body in one call.
 const readBuffer = 8 << 10
 
-// conn is one connection to an upstream; it carries one request at a time.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	address string
 	br      *bufio.Reader
-	// kept says that a request was answered on it before.
-	kept bool
-	// idleSince and keepFor say until when the upstream keeps it.
+	// reused is set once the connection has served a request.
+	reused bool
+	// The upstream keeps the connection open until keepFor after idleSince.
 	idleSince time.Time
 	keepFor   time.Duration
-	// roundTrip is how long it took to be made: the way there and back.
+	// roundTrip is the time that establishing the connection took, which is about
+	// one round trip.
 	roundTrip time.Duration
-	// rested is how long it was idle before the request that it carries.
-	rested time.Duration
+	// idleTime is how long the connection was idle before its current request.
+	idleTime time.Duration
 }
 
 func newConn(c net.Conn, address string) *conn {
 	return &conn{Conn: c, address: address, br: bufio.NewReaderSize(c, readBuffer)}
 }
 
-// silent tells whether nothing has arrived on an idle connection: neither the
-// upstream's close nor bytes that belong to no request. A request sent on a
-// closed connection would be lost, and the stray bytes would be taken for its
-// answer.
-func (c *conn) silent() bool { return c.br.Buffered() == 0 && peek(c.Conn) == nothingCame }
+// noPendingInput reports whether nothing has arrived on an idle connection: neither
+// a close by the upstream nor data that belongs to no request. A request sent on a
+// closed connection would be lost, and stray data would be taken for its response.
+func (c *conn) noPendingInput() bool { return c.br.Buffered() == 0 && peek(c.Conn) == inputNone }
 
-// ClosedByPeer tells whether the other side has closed a connection, as far as that has
-// arrived and nobody has read it yet.
-func ClosedByPeer(c net.Conn) bool { return peek(c) == closeCame }
+// ClosedByPeer reports whether the peer has closed the connection. It detects only
+// a close that has arrived and that no read has returned yet.
+func ClosedByPeer(c net.Conn) bool { return peek(c) == inputClosed }
 
-// arrival is what has arrived on a connection and is not read yet.
-type arrival int
+// pendingInput is what has arrived on a connection and was not read yet.
+type pendingInput int
 
 const (
-	nothingCame arrival = iota
-	bytesCame
-	closeCame
+	inputNone pendingInput = iota
+	inputData
+	inputClosed
 )
 
-// peek looks at a connection without reading from it. One that cannot be looked
-// at counts as quiet, and one that is broken as closed.
-func peek(c net.Conn) arrival {
+// peek returns the pending input of a connection without consuming it. It returns
+// inputNone if the connection does not support this, and inputClosed if the
+// connection is broken.
+func peek(c net.Conn) pendingInput {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
-		return nothingCame
+		return inputNone
 	}
 	rc, err := raw.SyscallConn()
 	if err != nil {
-		return closeCame
+		return inputClosed
 	}
-	came := closeCame
-	// Control and not Read, which waits for whoever is reading: a server reads from
-	// a caller's connection all the while that its request is handled.
+	input := inputClosed
+	// RawConn.Read would block until a concurrent read ends: the HTTP server reads
+	// from a caller's connection as long as its request is handled. Control does not
+	// block.
 	err = rc.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EAGAIN:
-			came = nothingCame
+			input = inputNone
 		case err == nil && n > 0:
-			came = bytesCame
+			input = inputData
 		}
 	})
 	if err != nil {
-		return closeCame
+		return inputClosed
 	}
-	return came
+	return input
 }
--- a/internal/h1/doc.go
+++ b/internal/h1/doc.go
@@ -1,8 +1,9 @@
-// Package h1 sends one request over HTTP/1.1 to one upstream and says what may
-// be concluded when that fails.
+// Package h1 is an HTTP/1.1 client with a connection pool. It sends each request
+// at most once, to one upstream, and its errors state whether the upstream can have
+// received the request.
 //
-// net/http's transport cannot be used here: it sends again on a kept
-// connection that turned out dead, and its errors do not say whether the
-// upstream can have seen the request. A posting would run twice, or a refusal
-// would claim that it has not run although it has.
+// The transport of net/http does not fit: it sends a request again if a reused
+// connection turns out to be closed, and its errors do not state whether the
+// upstream can have seen the request. A posting would run twice, or a refusal would
+// claim that a posting has not run although it has.
 package h1
--- a/internal/h1/exchange.go
+++ b/internal/h1/exchange.go
@@ -14,74 +14,81 @@
 // Request is one request to an upstream.
 type Request struct {
 	Method string
-	// Target is the path and query, as the caller sent it.
+	// Target is the request target (path and query) exactly as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
-	// Body to send; nil: none. Length is its size, or -1 if it is not known.
+	// Body is the request body, or nil. Length is its size, or -1 if unknown.
 	Body   io.Reader
 	Length int64
-	// Matches tells whether an answer is that of this request.
+	// Matches reports whether a response belongs to this request; nil accepts every
+	// response.
 	Matches func(*http.Response) bool
-	// NonIdempotent says that the request must not run twice: it goes on a connection that
-	// the upstream has certainly not forgotten, as far as that can be known.
+	// NonIdempotent marks a request that must not run twice. It is sent on a reused
+	// connection only if the upstream most probably still has that connection open.
 	NonIdempotent bool
 }
 
 const (
-	// shortBody is written before the answer is read. It fits any send
-	// buffer, so that the write cannot wait for an upstream that does not
-	// read.
-	shortBody = 2 << 10
-	// maxStray bounds the answers to other requests that are passed over on
-	// one connection, and maxStrayBytes each of them.
-	maxStray      = 2
-	maxStrayBytes = 1 << 20
+	// maxInlineBody is the largest body that is written together with the header,
+	// before the response is read. It fits any send buffer, so that the write cannot
+	// block on an upstream that does not read.
+	maxInlineBody = 2 << 10
+	// maxStrayResponses is the number of responses to other requests that are
+	// skipped on one connection, and maxStrayResponseBytes the size limit of each.
+	maxStrayResponses     = 2
+	maxStrayResponseBytes = 1 << 20
 )
 
-// past is a deadline that ends all reads and writes at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends all reads and writes immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// Response is an upstream's answer. Its body must be read, and then Close called.
+// Response is the response of an upstream. Its body must be read from the Response
+// itself, which must then be closed.
 type Response struct {
 	*http.Response
-	// ConnectTime is how long the connection took to be made; 0: it was there.
+	// ConnectTime is how long establishing the connection took; 0: the connection
+	// was reused.
 	ConnectTime time.Duration
 
 	pool *Pool
 	conn *conn
-	// written receives the result of writing the body.
+	// written receives the result of writing the request body; nil if the body was
+	// written with the header.
 	written <-chan error
-	stop    func() bool
-	// whole says that the end of the body was seen.
-	whole bool
+	// stop ends the effect of the context on the connection. It returns false if the
+	// context has ended before.
+	stop func() bool
+	// complete is set once the end of the body was read.
+	complete bool
 }
 
-// Send sends a request and returns its answer once its header is there. The
-// error is an *UnsentError or a *NoResponseError. ctx bounds the whole exchange: when
-// it ends, the connection is closed, so that the upstream stops its work.
+// Send sends a request and returns the response as soon as its header has arrived.
+// The error is an *UnsentError or a *NoResponseError. ctx applies to the complete
+// exchange, including the response body: when it ends, the connection is closed, so
+// that the upstream stops its work.
 func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Response, error) {
-	c, err := p.take(ctx, address, r.NonIdempotent)
+	c, err := p.acquire(ctx, address, r.NonIdempotent)
 	if err != nil {
 		return nil, err
 	}
-	// The deadline is in the past, not a close, so that this goroutine alone
-	// closes the connection.
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
-	reply, err := p.exchange(c, r)
+	// The callback sets a deadline in the past instead of closing the connection, so
+	// that only this goroutine closes it.
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastDeadline) })
+	resp, err := p.exchange(c, r)
 	if err != nil {
 		stop()
 		_ = c.Close()
 		return nil, err
 	}
-	reply.stop = stop
-	return reply, nil
+	resp.stop = stop
+	return resp, nil
 }
 
 func (p *Pool) exchange(c *conn, r *Request) (*Response, error) {
 	var head bytes.Buffer
 	writeHead(&head, r)
-	if r.Body != nil && r.Length >= 0 && r.Length <= shortBody {
+	if r.Body != nil && r.Length >= 0 && r.Length <= maxInlineBody {
 		if _, err := io.CopyN(&head, r.Body, r.Length); err != nil {
 			return nil, &UnsentError{Address: c.address, Cause: err}
 		}
@@ -91,43 +98,43 @@
 		if n == 0 {
 			return nil, &UnsentError{Address: c.address, Cause: err}
 		}
-		return nil, &NoResponseError{c.address, c.kept, err}
+		return nil, &NoResponseError{c.address, c.reused, err}
 	}
-	reply := &Response{pool: p, conn: c}
-	if !c.kept {
-		reply.ConnectTime = c.roundTrip
+	resp := &Response{pool: p, conn: c}
+	if !c.reused {
+		resp.ConnectTime = c.roundTrip
 	}
 	if r.Body != nil {
-		reply.written = writeBody(c, r)
+		resp.written = writeBody(c, r)
 	}
-	sent := p.now()
+	sentAt := p.now()
 	if _, err := c.br.Peek(1); err != nil {
-		p.noteUnanswered(c, sent, err)
-		return nil, &NoResponseError{c.address, c.kept, err}
+		p.recordNoResponse(c, sentAt, err)
+		return nil, &NoResponseError{c.address, c.reused, err}
 	}
-	resp, err := readAnswer(c, r) //nolint:bodyclose // Response.Close ends the connection instead
+	httpResponse, err := readResponse(c, r) //nolint:bodyclose // Response.Close ends the connection instead
 	if err != nil {
-		return nil, &NoResponseError{c.address, c.kept, err}
+		return nil, &NoResponseError{c.address, c.reused, err}
 	}
-	reply.Response = resp
-	return reply, nil
+	resp.Response = httpResponse
+	return resp, nil
 }
 
-// noteUnanswered learns from a kept connection that was closed without a byte of
-// an answer, sooner than any work could have been done.
-func (p *Pool) noteUnanswered(c *conn, sent time.Time, err error) {
-	var failure net.Error
-	if !c.kept || errors.As(err, &failure) && failure.Timeout() {
+// recordNoResponse updates the idle limits if a reused connection was closed without
+// a byte of a response, and sooner than the upstream can have processed the request.
+func (p *Pool) recordNoResponse(c *conn, sentAt time.Time, err error) {
+	var netErr net.Error
+	if !c.reused || errors.As(err, &netErr) && netErr.Timeout() {
 		return
 	}
-	if now := p.now(); now.Sub(sent) < c.roundTrip+bounceMargin {
-		p.rests.reset(now, c.address, c.rested)
+	if now := p.now(); now.Sub(sentAt) < c.roundTrip+resetMargin {
+		p.idleLimits.recordReset(now, c.address, c.idleTime)
 	}
 }
 
 func writeHead(b *bytes.Buffer, r *Request) {
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	// A bytes.Buffer takes every write.
+	// Writes to a bytes.Buffer do not fail.
 	_ = r.Header.Write(b)
 	switch {
 	case r.Body == nil:
@@ -139,8 +146,9 @@
 	b.WriteString("\r\n")
 }
 
-// writeBody writes a long body beside the reading of the answer: an upstream
-// may refuse a request before it has read the body, and may then never read it.
+// writeBody writes the body in the background while the response is read: an
+// upstream may refuse a request before it has read the body, and may then never
+// read it.
 func writeBody(c *conn, r *Request) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -159,63 +167,65 @@
 	return done
 }
 
-// readAnswer reads answers until one belongs to the request. A faulty upstream
-// sends a second answer to an earlier request late, in front of this one's.
-func readAnswer(c *conn, r *Request) (*http.Response, error) {
-	asked := &http.Request{Method: r.Method}
+// readResponse returns the response that belongs to the request, and skips
+// responses to other requests: a faulty upstream may send a second response to an
+// earlier request late, ahead of the response to this one.
+func readResponse(c *conn, r *Request) (*http.Response, error) {
+	httpRequest := &http.Request{Method: r.Method}
 	for stray := 0; ; {
-		resp, err := http.ReadResponse(c.br, asked)
+		resp, err := http.ReadResponse(c.br, httpRequest)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode < http.StatusOK {
 			if resp.StatusCode == http.StatusSwitchingProtocols {
-				return nil, &InvalidResponseError{"switches protocols"}
+				return nil, &InvalidResponseError{"unexpected protocol switch"}
 			}
 			continue
 		}
 		if r.Matches == nil || r.Matches(resp) {
 			return resp, nil
 		}
-		if stray++; stray > maxStray || resp.Close {
-			return nil, &InvalidResponseError{"answers another request"}
+		if stray++; stray > maxStrayResponses || resp.Close {
+			return nil, &InvalidResponseError{"response to another request"}
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes))
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayResponseBytes))
 		if err != nil {
 			return nil, err
 		}
-		if n == maxStrayBytes {
-			return nil, &InvalidResponseError{"answers another request at length"}
+		if n == maxStrayResponseBytes {
+			return nil, &InvalidResponseError{"response to another request is too long"}
 		}
 	}
 }
 
-// Read reads the body. io.EOF says that it is whole.
+// Read reads the body. It returns io.EOF only at the end of a complete body.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back, or closes it if it cannot be used again.
-// keepFor is how long the upstream says that it keeps it.
+// Close returns the connection to the pool, or closes it if it cannot be reused.
+// keepFor is how long the upstream keeps the connection open, as far as it has
+// announced that; 0: unknown.
 func (r *Response) Close(keepFor time.Duration) {
-	ended := !r.stop()
-	if ended || !r.reusable() {
+	canceled := !r.stop()
+	if canceled || !r.reusable() {
 		_ = r.conn.Close()
 		return
 	}
-	r.pool.put(r.conn, keepFor)
+	r.pool.release(r.conn, keepFor)
 }
 
-// reusable tells whether the next request may use the connection: the answer
-// was read to its end, nothing follows it, and the whole body went out. An
-// upstream that answered before it read the body goes on reading it: another
-// request would be taken for the rest of the body.
+// reusable reports whether another request may use the connection: the response was
+// read completely, no data follows it, and the request body was sent completely. An
+// upstream that responded early continues to read the body, and would take the next
+// request for the rest of that body.
 func (r *Response) reusable() bool {
-	if !r.whole || r.Response.Close || r.conn.br.Buffered() > 0 {
+	if !r.complete || r.Response.Close || r.conn.br.Buffered() > 0 {
 		return false
 	}
 	if r.written == nil {
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -18,8 +18,9 @@
 	"balsambarrow/internal/h1"
 )
 
-// upstream accepts connections and hands each to script with its number.
-func upstream(t *testing.T, script func(n int, c net.Conn, r *bufio.Reader)) string {
+// startUpstream starts an upstream that calls serve for each connection with the
+// connection's number, and returns its address.
+func startUpstream(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = l.Close() })
@@ -31,13 +32,14 @@
 			}
 			go func(n int) {
 				defer func() { _ = c.Close() }()
-				script(n, c, bufio.NewReader(c))
+				serve(n, c, bufio.NewReader(c))
 			}(n)
 		}
 	}()
 	return l.Addr().String()
 }
 
+// readRequest reads a request including its body; nil on failure.
 func readRequest(r *bufio.Reader) *http.Request {
 	q, err := http.ReadRequest(r)
 	if err != nil {
@@ -58,36 +60,36 @@
 	}
 }
 
-func answerTo(id, body string) string {
+func responseTo(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
 func itoa(n int) string { return string(rune('0'+n/10)) + string(rune('0'+n%10)) }
 
-func bounded(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// send sends and reads the whole answer.
+// send sends a request and reads the complete response.
 func send(t *testing.T, p *h1.Pool, address string, r *h1.Request) (string, error) {
-	reply, err := p.Send(bounded(t), address, r)
+	resp, err := p.Send(testContext(t), address, r)
 	if err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(reply)
-	reply.Close(10 * time.Second)
+	body, err := io.ReadAll(resp)
+	resp.Close(10 * time.Second)
 	return string(body), err
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	g := NewWithT(t)
 	var conns atomic.Int32
-	address := upstream(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n) + 1)
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			_, _ = io.WriteString(c, answerTo(q.Header.Get("Id"), "hello"))
+			_, _ = io.WriteString(c, responseTo(q.Header.Get("Id"), "hello"))
 		}
 	})
 	p := newPool()
@@ -99,32 +101,32 @@
 	g.Expect(conns.Load()).To(Equal(int32(1)))
 }
 
-// A parent's top-up would be credited twice: an upstream reads the request and
-// closes the connection without an answer. The client must not send it again,
-// and must not say that it was not sent.
-func TestClosedAfterTheRequestIsLost(t *testing.T) {
+// An upstream reads a request, such as a payment, and closes the connection without
+// a response. The client must not send the request again, since it might run twice,
+// and must not report it as unsent.
+func TestCloseAfterRequestIsNoResponseError(t *testing.T) {
 	g := NewWithT(t)
 	seen := make(chan string, 4)
-	address := upstream(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+	address := startUpstream(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 		if q := readRequest(r); q != nil {
 			seen <- q.Header.Get("Id")
 		}
 	})
 	_, err := send(t, newPool(), address, request("1"))
-	var lost *h1.NoResponseError
-	g.Expect(errors.As(err, &lost)).To(BeTrue(), "%v", err)
+	var noResponse *h1.NoResponseError
+	g.Expect(errors.As(err, &noResponse)).To(BeTrue(), "%v", err)
 	g.Expect(<-seen).To(Equal("1"))
 	g.Consistently(seen, "50ms").ShouldNot(Receive())
 }
 
-// An upstream closes an idle connection. The close has arrived, so the next
-// request must use a new one, and its outcome must not be in doubt.
-func TestClosedWhileIdle(t *testing.T) {
+// An upstream closes an idle connection, and the close has arrived. The next request
+// must use a new connection, so that its outcome is known.
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{}, 4)
-	address := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if q := readRequest(r); q != nil {
-			_, _ = io.WriteString(c, answerTo(q.Header.Get("Id"), "a"))
+			_, _ = io.WriteString(c, responseTo(q.Header.Get("Id"), "a"))
 		}
 		_ = c.Close()
 		closed <- struct{}{}
@@ -137,26 +139,26 @@
 	}
 }
 
-// A lookup gets the answer of another animal: an upstream sends a second answer
-// to an earlier request, at once or late, where the next answer is due.
-func TestAnswersToOtherRequests(t *testing.T) {
-	for name, script := range map[string]func(c net.Conn, id string){
-		"right behind the answer": func(c net.Conn, id string) {
-			_, _ = io.WriteString(c, answerTo(id, "own")+answerTo(id, "again"))
+// An upstream sends a second response to an earlier request, either immediately or
+// ahead of the next response. The caller of the next request must not receive it.
+func TestResponsesToOtherRequestsAreSkipped(t *testing.T) {
+	for name, respond := range map[string]func(c net.Conn, id string){
+		"immediately after the response": func(c net.Conn, id string) {
+			_, _ = io.WriteString(c, responseTo(id, "own")+responseTo(id, "again"))
 		},
-		"in front of the next answer": func(c net.Conn, id string) {
+		"ahead of the next response": func(c net.Conn, id string) {
 			if id == "1" {
-				_, _ = io.WriteString(c, answerTo(id, "own"))
+				_, _ = io.WriteString(c, responseTo(id, "own"))
 				return
 			}
-			_, _ = io.WriteString(c, answerTo("1", "again")+answerTo(id, "own"))
+			_, _ = io.WriteString(c, responseTo("1", "again")+responseTo(id, "own"))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			address := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for q := readRequest(r); q != nil; q = readRequest(r) {
-					script(c, q.Header.Get("Id"))
+					respond(c, q.Header.Get("Id"))
 				}
 			})
 			p := newPool()
@@ -169,19 +171,20 @@
 	}
 }
 
-// An answer that ends early must not look whole, however it is framed.
-func TestBrokenAnswers(t *testing.T) {
-	for name, answer := range map[string]string{
-		"length, cut short":  "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 50\r\n\r\nhalf",
-		"chunks, cut short":  "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"header, cut short":  "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le",
-		"bytes of no answer": "\x16\x03\x01 nonsense\r\n\r\n",
-		"another's answer":   answerTo("9", "x"),
+// A truncated or malformed response must result in an error, with either framing of
+// the body.
+func TestInvalidResponses(t *testing.T) {
+	for name, response := range map[string]string{
+		"truncated body with a length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 50\r\n\r\nhalf",
+		"truncated chunked body":       "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+		"truncated header":             "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le",
+		"not HTTP":                     "\x16\x03\x01 nonsense\r\n\r\n",
+		"response to another request":  responseTo("9", "x"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				readRequest(r)
-				_, _ = io.WriteString(c, answer)
+				_, _ = io.WriteString(c, response)
 			})
 			_, err := send(t, newPool(), address, request("1"))
 			NewWithT(t).Expect(err).To(HaveOccurred())
@@ -189,11 +192,11 @@
 	}
 }
 
-// An answer without a length ends with its connection. If that is reset on the
-// way, the answer is not whole.
-func TestAnswerWithoutLength(t *testing.T) {
+// A response without a length ends when the upstream closes the connection. If the
+// connection is reset instead, the response is incomplete and must result in an error.
+func TestResponseWithoutLength(t *testing.T) {
 	g := NewWithT(t)
-	address := upstream(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of it")
 		if n == 1 {
@@ -208,18 +211,18 @@
 	g.Expect(err).To(HaveOccurred())
 }
 
-// An upstream refuses a long request before it has read it, and goes on reading.
-// Were the connection used again, the next request would be read as the rest of
-// that body.
-func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
+// An upstream refuses a request with a long body before it has read the body, and
+// continues to read. If the connection were reused, the upstream would take the next
+// request for the rest of that body.
+func TestNoReuseAfterEarlyResponse(t *testing.T) {
 	g := NewWithT(t)
 	second := make(chan int, 1)
-	address := upstream(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answerTo(q.Header.Get("Id"), "no"))
+		_, _ = io.WriteString(c, responseTo(q.Header.Get("Id"), "no"))
 		if n > 0 {
 			second <- n
 			return
@@ -238,19 +241,19 @@
 	g.Expect(<-second).To(Equal(1))
 }
 
-func TestBodies(t *testing.T) {
-	for name, length := range map[string]int64{"with a length": 5000, "in chunks": -1} {
+func TestRequestBodies(t *testing.T) {
+	for name, length := range map[string]int64{"with a length": 5000, "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			got := make(chan string, 1)
-			address := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				q, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
 				body, _ := io.ReadAll(q.Body)
 				got <- q.RequestURI + " " + string(body)
-				_, _ = io.WriteString(c, answerTo("1", "ok"))
+				_, _ = io.WriteString(c, responseTo("1", "ok"))
 			})
 			q := request("1")
 			sent := strings.Repeat("a", 5000)
@@ -262,16 +265,16 @@
 	}
 }
 
-// The caller has left: the upstream must see its connection close, so that it
-// stops its work.
-func TestCancelReachesTheUpstream(t *testing.T) {
+// The caller disconnects, which cancels the context. The upstream must see its
+// connection close, so that it stops its work.
+func TestCancelClosesUpstreamConnection(t *testing.T) {
 	g := NewWithT(t)
-	started, gone := make(chan struct{}), make(chan error, 1)
-	address := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	started, closed := make(chan struct{}), make(chan error, 1)
+	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		readRequest(r)
 		close(started)
 		_, err := c.Read(make([]byte, 1))
-		gone <- err
+		closed <- err
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -280,11 +283,11 @@
 	}()
 	_, err := newPool().Send(ctx, address, request("1"))
 	g.Expect(err).To(HaveOccurred())
-	g.Eventually(gone, "5s").Should(Receive(HaveOccurred()))
+	g.Eventually(closed, "5s").Should(Receive(HaveOccurred()))
 }
 
-// Nobody listens: nothing was sent, which the error must say.
-func TestNobodyListens(t *testing.T) {
+// The connection is refused. The error must state that nothing was sent.
+func TestRefusedConnectionIsUnsentError(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -296,158 +299,160 @@
 	g.Expect(unsent.DialFailed).To(BeTrue())
 }
 
-// How long a connection took is told with the first answer on it: it says how far
-// the upstream is, and later answers must not be taken for such.
-func TestNewConnectionsAreTold(t *testing.T) {
+// ConnectTime serves as an estimate of the round-trip time to the upstream. It must
+// be set only in the first response on a connection.
+func TestConnectTimeOfNewConnections(t *testing.T) {
 	g := NewWithT(t)
-	address := upstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			_, _ = io.WriteString(c, answerTo(q.Header.Get("Id"), "hello"))
+			_, _ = io.WriteString(c, responseTo(q.Header.Get("Id"), "hello"))
 		}
 	})
 	p := newPool()
 	for i, id := range []string{"1", "2", "3"} {
-		reply, err := p.Send(bounded(t), address, request(id))
+		resp, err := p.Send(testContext(t), address, request(id))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(reply.ConnectTime > 0).To(Equal(i == 0), "request %s", id)
-		_, err = io.ReadAll(reply)
+		g.Expect(resp.ConnectTime > 0).To(Equal(i == 0), "request %s", id)
+		_, err = io.ReadAll(resp)
 		g.Expect(err).NotTo(HaveOccurred())
-		reply.Close(10 * time.Second)
+		resp.Close(10 * time.Second)
 	}
 }
 
-// moved is a clock that a test moves by hand.
-type moved struct{ at atomic.Int64 }
+// fakeClock is a clock that only advance moves.
+type fakeClock struct{ at atomic.Int64 }
 
-func (m *moved) now() time.Time            { return time.Unix(1000, m.at.Load()) }
-func (m *moved) advance(d time.Duration)   { m.at.Add(int64(d)) }
-func (m *moved) pool() *h1.Pool            { return h1.NewPool((&net.Dialer{}).DialContext, m.now) }
-func once(id string) *h1.Request           { r := request(id); r.NonIdempotent = true; return r }
-func fails(_ string, err error) bool       { return err != nil }
-func succeeds(body string, err error) bool { return err == nil && body == "ok" }
+func (c *fakeClock) now() time.Time          { return time.Unix(1000, c.at.Load()) }
+func (c *fakeClock) advance(d time.Duration) { c.at.Add(int64(d)) }
+func (c *fakeClock) pool() *h1.Pool          { return h1.NewPool((&net.Dialer{}).DialContext, c.now) }
+func nonIdempotent(id string) *h1.Request    { r := request(id); r.NonIdempotent = true; return r }
+func failed(_ string, err error) bool        { return err != nil }
+func succeeded(body string, err error) bool  { return err == nil && body == "ok" }
 
-// forgetful answers the first request of each connection and resets it at the
-// second, after the work that before does.
-func forgetful(t *testing.T, conns *atomic.Int32, before func()) string {
-	return upstream(t, func(n int, c net.Conn, r *bufio.Reader) {
+// startDroppingUpstream starts an upstream that answers the first request of each
+// connection and resets the connection at the second one, after a call of
+// beforeReset. It stores the number of connections in conns.
+func startDroppingUpstream(t *testing.T, conns *atomic.Int32, beforeReset func()) string {
+	return startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n) + 1)
 		if q := readRequest(r); q != nil {
-			_, _ = io.WriteString(c, answerTo(q.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, responseTo(q.Header.Get("Id"), "ok"))
 		}
 		if readRequest(r) != nil {
-			before()
+			beforeReset()
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}
 	})
 }
 
-func faithful(t *testing.T, conns *atomic.Int32) string {
-	return upstream(t, func(n int, c net.Conn, r *bufio.Reader) {
+// startKeepAliveUpstream starts an upstream that answers every request. It stores
+// the number of connections in conns.
+func startKeepAliveUpstream(t *testing.T, conns *atomic.Int32) string {
+	return startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n) + 1)
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			_, _ = io.WriteString(c, answerTo(q.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, responseTo(q.Header.Get("Id"), "ok"))
 		}
 	})
 }
 
-// Parents top up at an upstream of another region every few seconds. Each time a
-// new connection was made, which took as long as the way there and back, and the
-// answer was late by that; the upstream keeps connections for ten seconds and says
-// so.
-func TestPostingsUseKeptConnections(t *testing.T) {
+// Postings go to an upstream in another region every few seconds. The upstream
+// announces that it keeps connections for ten seconds. If each posting opened a new
+// connection, its response would be late by one round trip.
+func TestPostingsReuseIdleConnections(t *testing.T) {
 	g := NewWithT(t)
 	var conns atomic.Int32
-	address, clock := faithful(t, &conns), &moved{}
+	address, clock := startKeepAliveUpstream(t, &conns), &fakeClock{}
 	p := clock.pool()
 	for _, id := range []string{"1", "2", "3"} {
-		g.Expect(succeeds(send(t, p, address, once(id)))).To(BeTrue())
+		g.Expect(succeeded(send(t, p, address, nonIdempotent(id)))).To(BeTrue())
 		clock.advance(4 * time.Second)
 	}
 	g.Expect(conns.Load()).To(Equal(int32(1)))
 	clock.advance(4 * time.Second)
-	g.Expect(succeeds(send(t, p, address, once("4")))).To(BeTrue())
-	g.Expect(conns.Load()).To(Equal(int32(2)), "eight seconds are too close to its close")
+	g.Expect(succeeded(send(t, p, address, nonIdempotent("4")))).To(BeTrue())
+	g.Expect(conns.Load()).To(Equal(int32(2)), "an idle time of eight seconds is too close to the idle timeout")
 	var running [2]*h1.Response
 	for i := range running {
 		var err error
-		running[i], err = p.Send(bounded(t), address, request("5"))
+		running[i], err = p.Send(testContext(t), address, request("5"))
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(conns.Load()).To(Equal(int32(2)), "reads use both")
+	g.Expect(conns.Load()).To(Equal(int32(2)), "reads use both connections")
 }
 
-// Upstreams forget connections that rested for a second. Two lookups are reset and
-// asked again; the postings after them must not meet forgotten connections, at any
-// upstream, until a while has passed.
-func TestPostingsAvoidForgottenConnections(t *testing.T) {
+// Two upstreams drop connections that were idle for a second, and reset the lookups
+// sent on them. For limitTTL, postings must not use connections, to any upstream,
+// that were idle for long enough to have been dropped.
+func TestPostingsAvoidDroppedConnections(t *testing.T) {
 	g := NewWithT(t)
-	var badConns, conns atomic.Int32
-	clock := &moved{}
-	bad := []string{forgetful(t, &badConns, func() {}), forgetful(t, &badConns, func() {})}
-	good, p := faithful(t, &conns), clock.pool()
-	for _, address := range append(bad, good) {
-		g.Expect(succeeds(send(t, p, address, request("1")))).To(BeTrue())
+	var droppingConns, conns atomic.Int32
+	clock := &fakeClock{}
+	dropping := []string{startDroppingUpstream(t, &droppingConns, func() {}), startDroppingUpstream(t, &droppingConns, func() {})}
+	healthy, p := startKeepAliveUpstream(t, &conns), clock.pool()
+	for _, address := range append(dropping, healthy) {
+		g.Expect(succeeded(send(t, p, address, request("1")))).To(BeTrue())
 	}
 	clock.advance(time.Second)
-	for _, address := range bad {
-		g.Expect(fails(send(t, p, address, request("2")))).To(BeTrue())
+	for _, address := range dropping {
+		g.Expect(failed(send(t, p, address, request("2")))).To(BeTrue())
 	}
-	g.Expect(succeeds(send(t, p, good, once("3")))).To(BeTrue())
-	g.Expect(conns.Load()).To(Equal(int32(2)), "the connection that rested is not used")
+	g.Expect(succeeded(send(t, p, healthy, nonIdempotent("3")))).To(BeTrue())
+	g.Expect(conns.Load()).To(Equal(int32(2)), "the connection that was idle for a second is not reused")
 	clock.advance(200 * time.Millisecond)
-	g.Expect(succeeds(send(t, p, good, once("4")))).To(BeTrue())
-	g.Expect(conns.Load()).To(Equal(int32(2)), "one that rested for a fifth of it is")
+	g.Expect(succeeded(send(t, p, healthy, nonIdempotent("4")))).To(BeTrue())
+	g.Expect(conns.Load()).To(Equal(int32(2)), "a connection that was idle for a fifth of that is reused")
 	clock.advance(time.Minute)
-	g.Expect(succeeds(send(t, p, good, once("5")))).To(BeTrue())
+	g.Expect(succeeded(send(t, p, healthy, nonIdempotent("5")))).To(BeTrue())
 	clock.advance(time.Second)
-	g.Expect(succeeds(send(t, p, good, once("6")))).To(BeTrue())
-	g.Expect(conns.Load()).To(Equal(int32(3)), "after a minute it is forgotten itself")
+	g.Expect(succeeded(send(t, p, healthy, nonIdempotent("6")))).To(BeTrue())
+	g.Expect(conns.Load()).To(Equal(int32(3)), "the limit has expired after a minute")
 }
 
-// One upstream drops its connections, because it has started again. Postings to it
-// go on new connections, and those to the others on the ones that are there.
-func TestOneForgetfulUpstreamIsNotAll(t *testing.T) {
+// One upstream drops its connections because it has restarted. Only postings to this
+// upstream must use new connections; those to others reuse idle connections.
+func TestOneDroppingUpstreamDoesNotAffectOthers(t *testing.T) {
 	g := NewWithT(t)
-	var badConns, conns atomic.Int32
-	clock := &moved{}
-	bad, good, p := forgetful(t, &badConns, func() {}), faithful(t, &conns), clock.pool()
-	g.Expect(succeeds(send(t, p, bad, request("1")))).To(BeTrue())
-	g.Expect(succeeds(send(t, p, good, once("2")))).To(BeTrue())
+	var droppingConns, conns atomic.Int32
+	clock := &fakeClock{}
+	dropping, healthy, p := startDroppingUpstream(t, &droppingConns, func() {}), startKeepAliveUpstream(t, &conns), clock.pool()
+	g.Expect(succeeded(send(t, p, dropping, request("1")))).To(BeTrue())
+	g.Expect(succeeded(send(t, p, healthy, nonIdempotent("2")))).To(BeTrue())
 	clock.advance(time.Second)
-	g.Expect(fails(send(t, p, bad, request("3")))).To(BeTrue())
-	g.Expect(succeeds(send(t, p, bad, request("4")))).To(BeTrue())
+	g.Expect(failed(send(t, p, dropping, request("3")))).To(BeTrue())
+	g.Expect(succeeded(send(t, p, dropping, request("4")))).To(BeTrue())
 	clock.advance(time.Second)
-	g.Expect(succeeds(send(t, p, bad, once("5")))).To(BeTrue())
-	g.Expect(badConns.Load()).To(Equal(int32(3)))
-	g.Expect(succeeds(send(t, p, good, once("6")))).To(BeTrue())
+	g.Expect(succeeded(send(t, p, dropping, nonIdempotent("5")))).To(BeTrue())
+	g.Expect(droppingConns.Load()).To(Equal(int32(3)))
+	g.Expect(succeeded(send(t, p, healthy, nonIdempotent("6")))).To(BeTrue())
 	g.Expect(conns.Load()).To(Equal(int32(1)))
 }
 
-// Upstreams run lookups and lose the answers by resets, after the work or at once,
-// on connections that rested and on busy ones. That says nothing about connections
-// that rest.
-func TestLostAnswersAreNoForgottenConnections(t *testing.T) {
+// Upstreams lose responses: they reset connections after they have processed the
+// request, or immediately but also on busy connections. Such resets must not limit
+// the idle time of connections.
+func TestLostResponsesDoNotLimitIdleTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		work time.Duration
-		// rests of the connections that are reset, one upstream each.
-		rests []time.Duration
+		processing time.Duration
+		// idleTimes of the connections that are reset, one upstream each.
+		idleTimes []time.Duration
 	}{
-		"after the work":             {50 * time.Millisecond, []time.Duration{time.Second, time.Second}},
-		"at once, also on busy ones": {0, []time.Duration{10 * time.Millisecond, time.Second, time.Second}},
+		"after processing":               {50 * time.Millisecond, []time.Duration{time.Second, time.Second}},
+		"immediately, also on busy ones": {0, []time.Duration{10 * time.Millisecond, time.Second, time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var badConns, conns atomic.Int32
-			clock := &moved{}
-			good, p := faithful(t, &conns), clock.pool()
-			g.Expect(succeeds(send(t, p, good, once("1")))).To(BeTrue())
-			for _, rest := range c.rests {
-				bad := forgetful(t, &badConns, func() { clock.advance(c.work) })
-				g.Expect(succeeds(send(t, p, bad, request("2")))).To(BeTrue())
-				clock.advance(rest)
-				g.Expect(fails(send(t, p, bad, request("3")))).To(BeTrue())
+			var droppingConns, conns atomic.Int32
+			clock := &fakeClock{}
+			healthy, p := startKeepAliveUpstream(t, &conns), clock.pool()
+			g.Expect(succeeded(send(t, p, healthy, nonIdempotent("1")))).To(BeTrue())
+			for _, idleTime := range c.idleTimes {
+				dropping := startDroppingUpstream(t, &droppingConns, func() { clock.advance(c.processing) })
+				g.Expect(succeeded(send(t, p, dropping, request("2")))).To(BeTrue())
+				clock.advance(idleTime)
+				g.Expect(failed(send(t, p, dropping, request("3")))).To(BeTrue())
 			}
-			g.Expect(succeeds(send(t, p, good, once("4")))).To(BeTrue())
+			g.Expect(succeeded(send(t, p, healthy, nonIdempotent("4")))).To(BeTrue())
 			g.Expect(conns.Load()).To(Equal(int32(1)))
 		})
 	}
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	// defaultKeep is how long an idle connection is kept where the upstream
-	// does not say: many servers close after five seconds or more.
-	defaultKeep = 4 * time.Second
-	// keepMargin is subtracted from what the upstream says: a request must
-	// arrive before its close leaves, over 55 ms one way and a busy processor.
-	keepMargin = 700 * time.Millisecond
-	// maxIdle bounds the idle connections to one upstream. An entry host has
-	// seldom more requests at one upstream than the upstream has slots.
-	maxIdle = 6
-	// sweepEvery is a small part of the shortest keep time.
-	sweepEvery = time.Second
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream does
+	// not announce an idle timeout: many servers close idle connections after five
+	// seconds or more.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the idle timeout that the upstream
+	// announces. A request must arrive before the upstream closes the connection,
+	// with a one-way delay of 55 ms and a busy processor.
+	idleTimeoutMargin = 700 * time.Millisecond
+	// maxIdlePerAddress is the maximum number of idle connections to one upstream.
+	// An entry host seldom has more requests running at an upstream than the
+	// upstream has slots.
+	maxIdlePerAddress = 6
+	// sweepInterval is short compared to the idle timeouts.
+	sweepInterval = time.Second
 )
 
-// Pool keeps connections to upstreams. It is safe for concurrent use.
+// Pool is a pool of connections to upstreams. It is safe for concurrent use.
 type Pool struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	now  func() time.Time
 
-	rests rests
+	idleLimits idleLimits
 
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -37,31 +40,32 @@
 	return &Pool{dial: dial, now: now, idle: map[string][]*conn{}}
 }
 
-// take returns a connection: the one used last, since it is the least likely
-// to be closed by the upstream, or a new one. once is that of a Request.
-func (p *Pool) take(ctx context.Context, address string, once bool) (*conn, error) {
+// acquire returns the idle connection that was used last, since the upstream is the
+// least likely to have closed that one, or else a new connection. nonIdempotent is
+// that of the Request.
+func (p *Pool) acquire(ctx context.Context, address string, nonIdempotent bool) (*conn, error) {
 	for c := p.pop(address); c != nil; c = p.pop(address) {
 		now := p.now()
-		c.rested = now.Sub(c.idleSince)
-		if c.rested >= c.keepFor || !c.silent() {
+		c.idleTime = now.Sub(c.idleSince)
+		if c.idleTime >= c.keepFor || !c.noPendingInput() {
 			_ = c.Close()
 			continue
 		}
-		if once && c.rested >= p.rests.allowed(now, address, c.keepFor) {
-			// A request that may run twice can still use it, and the others have
-			// rested for longer.
+		if nonIdempotent && c.idleTime >= p.idleLimits.maxIdleTime(now, address, c.keepFor) {
+			// Idempotent requests can still use this connection. The remaining
+			// connections have been idle for longer.
 			p.push(c)
 			break
 		}
 		return c, nil
 	}
-	began := p.now()
+	dialStart := p.now()
 	raw, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, &UnsentError{Address: address, DialFailed: true, Cause: err}
 	}
 	c := newConn(raw, address)
-	c.roundTrip = p.now().Sub(began)
+	c.roundTrip = p.now().Sub(dialStart)
 	return c, nil
 }
 
@@ -77,14 +81,16 @@
 	return c
 }
 
-func (p *Pool) put(c *conn, keepFor time.Duration) {
-	c.kept = true
+// release returns a connection to the pool after a request. keepFor is that of
+// Response.Close.
+func (p *Pool) release(c *conn, keepFor time.Duration) {
+	c.reused = true
 	c.idleSince = p.now()
-	c.keepFor = defaultKeep
+	c.keepFor = defaultIdleTimeout
 	if keepFor > 0 {
-		c.keepFor = max(keepFor-keepMargin, 0)
+		c.keepFor = max(keepFor-idleTimeoutMargin, 0)
 	}
-	// A deadline left over from the last request would break the next one.
+	// A deadline set for the previous request would interrupt the next one.
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		_ = c.Close()
 		return
@@ -92,19 +98,19 @@
 	p.push(c)
 }
 
-// push keeps an idle connection, unless there are enough.
+// push adds an idle connection, or closes it if there are maxIdlePerAddress.
 func (p *Pool) push(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= maxIdle {
+	if len(p.idle[c.address]) >= maxIdlePerAddress {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// CloseIdle closes the idle connections to an address, because its upstream has
-// gone or failed.
+// CloseIdle closes the idle connections to an address. It is called when the
+// upstream is unreachable because it was removed or has failed.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -115,9 +121,9 @@
 	}
 }
 
-// Run closes connections that have been idle for too long, until ctx ends.
+// Run closes connections whose idle timeout has expired, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
