--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -7,30 +7,32 @@
 	"net/http"
 )
 
-// maxBufferedBody is the largest body that is read before it is sent. It can then be
-// sent again, and its upstream does not wait for a slow caller.
+// maxBufferedBody is the largest request body that is buffered before it is
+// forwarded. A buffered body can be sent again to another upstream, and a slow
+// caller does not occupy an upstream while the body arrives.
 const maxBufferedBody = 256 << 10
 
-// body is a request's body: kept whole, or passed on as it comes.
+// body is the body of a request, either buffered completely or streamed.
 type body struct {
 	buffered []byte
-	// rest is what comes after kept; nil if kept is all.
-	rest   io.Reader
+	// unread is the part of the body after buffered; nil if buffered is complete.
+	unread io.Reader
 	length int64
-	used   bool
+	// sent is set once the body was passed to a connection.
+	sent bool
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, most int64) (*body, *refusal) {
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) (*body, *refusal) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return &body{}, nil
 	}
-	if most > 0 {
-		if r.ContentLength > most {
+	if maxBytes > 0 {
+		if r.ContentLength > maxBytes {
 			return nil, denied(http.StatusRequestEntityTooLarge, CauseTooLarge)
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, most)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBytes)
 	}
-	kept, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -39,23 +41,23 @@
 		return nil, &refusal{cause: CauseCallerLeft}
 	case err != nil:
 		return nil, denied(http.StatusBadRequest, CauseBadBody)
-	case len(kept) <= maxBufferedBody:
-		return &body{buffered: kept, length: int64(len(kept))}, nil
+	case len(buffered) <= maxBufferedBody:
+		return &body{buffered: buffered, length: int64(len(buffered))}, nil
 	}
-	return &body{buffered: kept, rest: r.Body, length: r.ContentLength}, nil
+	return &body{buffered: buffered, unread: r.Body, length: r.ContentLength}, nil
 }
 
-// reader returns the body from its beginning; nil if there is none.
+// reader returns a reader of the complete body; nil if the body is empty.
 func (b *body) reader() io.Reader {
-	b.used = true
+	b.sent = true
 	switch {
-	case b.rest != nil:
-		return io.MultiReader(bytes.NewReader(b.buffered), b.rest)
+	case b.unread != nil:
+		return io.MultiReader(bytes.NewReader(b.buffered), b.unread)
 	case len(b.buffered) == 0:
 		return nil
 	}
 	return bytes.NewReader(b.buffered)
 }
 
-// repeatable tells whether the body can be sent once more.
-func (b *body) repeatable() bool { return b.rest == nil || !b.used }
+// replayable reports whether the complete body can still be sent.
+func (b *body) replayable() bool { return b.unread == nil || !b.sent }
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -8,23 +8,25 @@
 	"balsambarrow/internal/h1"
 )
 
-type callerKey struct{}
+type callerConnKey struct{}
 
-// WithCallerConn is a server's ConnContext: requests then know their connection.
+// WithCallerConn is used as http.Server.ConnContext. It stores the connection
+// of the caller in the context of each request.
 func WithCallerConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerGone tells whether the caller of a request has closed its connection.
+// callerDisconnected reports whether the caller of a request has closed its
+// connection.
 //
-// The failure it guards against: a host that is behind with its work reads a
-// request whose caller has given up long before, and sends it on before the
-// server has noticed the close, which it looks for beside the handler. Upstreams
-// that are full then work for nobody.
-func callerGone(r *http.Request) bool {
+// The context of the request is not enough: the server detects a closed
+// connection in a separate goroutine. An overloaded host may read a request
+// whose caller disconnected long before, and forward it before that goroutine
+// has run. Upstreams at full capacity then do work whose result nobody receives.
+func callerDisconnected(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
 	}
-	c, ok := r.Context().Value(callerKey{}).(net.Conn)
+	c, ok := r.Context().Value(callerConnKey{}).(net.Conn)
 	return ok && h1.ClosedByPeer(c)
 }
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -17,21 +17,21 @@
 	"balsambarrow/internal/traffic"
 )
 
-// Log is where decisions are told.
+// Log receives structured log events.
 type Log interface {
 	Debug(kind string, pairs ...any)
 	Info(kind string, pairs ...any)
 	Warn(kind string, pairs ...any)
 }
 
-// RateLimiter admits customers' requests within their rates.
+// RateLimiter admits the requests of customers within their rates.
 type RateLimiter interface {
 	Admit(now time.Time, c *catalog.Customer) share.Verdict
-	// Undo gives the token of a request back that certainly did not run.
+	// Refund returns the token of a request that certainly did not run.
 	Refund(customer string)
 }
 
-// Deps are what the front works with.
+// Deps are the dependencies of a Handler.
 type Deps struct {
 	State       func() *State
 	Codec       traffic.Codec
@@ -41,50 +41,52 @@
 	RetryBudget *retry.WindowBudget
 	Bounds      func() Bounds
 	Log         Log
-	// Observe is told of each answered request.
+	// Observe is called for each response that is sent to a caller.
 	Observe func(Observation)
 	Now     func() time.Time
-	// Refresh has the store looked at now. The channel is closed when something
-	// newer is known; State then returns it.
+	// Refresh triggers an immediate store read. The returned channel is closed
+	// when State returns a newer state.
 	Refresh func() <-chan struct{}
-	// Updates returns a channel that is closed when something newer is known.
+	// Updates returns a channel that is closed when State returns a newer state.
 	Updates func() <-chan struct{}
-	// StartupTimeLeft is the time for which the host may still be about to learn what it needs
-	// for its first requests; 0 or less: it is not.
+	// StartupTimeLeft is how long the host may still need to load the state that
+	// its first requests require; 0 or less: the startup period is over.
 	StartupTimeLeft func() time.Duration
-	// DisableKeepAlive tells whether callers should not keep their connections.
+	// DisableKeepAlive reports whether connections of callers should be closed
+	// after the response.
 	DisableKeepAlive func() bool
-	// Tracer writes a span for each hop. Default nil: none.
+	// Tracer creates a span for each hop; nil disables tracing.
 	Tracer trace.Tracer
 }
 
-// Observation is how a request ended, for metrics.
+// Observation describes the end of a request, for metrics.
 type Observation struct {
 	Route  string
 	Status int
-	// Cause is "" where an upstream's answer was given.
+	// Cause is "" if the response of an upstream was sent.
 	Cause Cause
 	Took  time.Duration
-	// Bytes of the answer's body.
+	// Bytes is the size of the response body.
 	Bytes int
-	// Sends is the number of upstreams that were asked.
+	// Sends is the number of upstreams that the request was sent to.
 	Sends int
-	// Latency is how the choice of the upstream that answered was borne out; nil where
-	// none did.
+	// Latency compares the expected and the actual latency of the upstream that
+	// answered; nil if none did.
 	Latency *LatencyComparison
 }
 
-// LatencyComparison is what the choice of an upstream went by beside what came of it.
+// LatencyComparison compares the latency that was expected when an upstream was
+// chosen with the latency that was measured.
 type LatencyComparison struct {
-	// Expected is the time until the answer, ExpectedWait the part of it that was to
-	// be spent in the upstream's queue.
+	// Expected is the expected time until the response, and ExpectedQueueing the
+	// part of it spent in the queue of the upstream.
 	Expected, ExpectedQueueing time.Duration
-	// Took is the time until the answer's header, and Waited the part of it beyond
-	// the work and the way that were expected.
+	// Actual is the time until the response header, and ActualQueueing the part of
+	// it that exceeds the expected service time and round-trip time.
 	Actual, ActualQueueing time.Duration
 }
 
-func newPlaced(c place.Choice, took time.Duration) *LatencyComparison {
+func compareLatency(c place.Choice, took time.Duration) *LatencyComparison {
 	return &LatencyComparison{
 		Expected: c.Expected, ExpectedQueueing: c.Wait, Actual: took, ActualQueueing: max(took-(c.Expected-c.Wait), 0),
 	}
@@ -93,51 +95,51 @@
 // Handler serves callers.
 type Handler struct {
 	Deps
-	split *splitter
-	// answerCount counts answers, for the sample of plain ones that is logged.
-	answerCount atomic.Uint64
+	splitter *splitter
+	// responseCount counts the responses to callers; see responseLogInterval.
+	responseCount atomic.Uint64
 }
 
 // New returns a handler.
-func New(d Deps) *Handler { return &Handler{Deps: d, split: newSplitter()} }
+func New(d Deps) *Handler { return &Handler{Deps: d, splitter: newSplitter()} }
 
-// request is one caller's request on its way.
+// request is a caller's request while it is served.
 type request struct {
 	traffic.Request
 	http     *http.Request
 	arrived  time.Time
-	until    time.Time
+	deadline time.Time
 	route    *catalog.Route
 	customer *catalog.Customer
 	service  string
-	// over says that the customer asks for more than its rate.
-	over     bool
+	// overRate is set if the demand of the customer exceeds its rate.
+	overRate bool
 	body     *body
 	attempts attempts
 }
 
-// attempts is what happened at upstreams.
+// attempts records the attempts of a request at upstreams.
 type attempts struct {
 	sends int
 	tried []string
-	// mayHaveRun says that an upstream may have run the request.
+	// mayHaveRun is set if an upstream may have run the request.
 	mayHaveRun bool
 	shed       bool
-	// longestWait is the longest queue that was met.
+	// longestWait is the longest expected queueing delay of the upstreams tried.
 	longestWait time.Duration
-	// placed is how the last choice was borne out by an answer.
-	placed *LatencyComparison
+	// latency is that of the last response.
+	latency *LatencyComparison
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := &request{Request: h.Codec.Request(r), arrived: h.Now()}
 	var end func()
-	q.http, end = spans{h.Tracer}.entry(r, q.ID)
+	q.http, end = hopTracer{h.Tracer}.startEntry(r, q.ID)
 	defer end()
 	if h.State().Leaving || h.DisableKeepAlive() {
-		// The caller finds another host, or makes a new connection, for its next
-		// request.
+		// The caller then opens a new connection for its next request, to this host
+		// or to another one.
 		w.Header().Set("Connection", "close")
 	}
 	refused := h.admit(w, q)
@@ -149,14 +151,16 @@
 	}
 }
 
-// admit decides whether the request may be sent to an upstream at all.
+// admit checks the state of the host, the route, the key, the body size and the
+// rate, and chooses the service. It returns nil if the request may be sent to an
+// upstream.
 func (h *Handler) admit(w http.ResponseWriter, q *request) *refusal {
 	state := h.awaitState(q, h.StartupTimeLeft(), h.Updates, func(s *State) bool { return !s.starting() })
 	if state == nil {
 		return unavailable(CauseNoConfiguration, retrySoon)
 	}
 	if state.Standby && state.age(q.arrived) > standbyMaxAge {
-		state = h.awaitState(q, refreshFor, h.Refresh, func(s *State) bool { return s.age(h.Now()) <= standbyMaxAge })
+		state = h.awaitState(q, refreshTimeout, h.Refresh, func(s *State) bool { return s.age(h.Now()) <= standbyMaxAge })
 		if state == nil {
 			return unavailable(CauseStandby, retrySoon)
 		}
@@ -164,7 +168,7 @@
 	if refused := h.authorize(state, q); refused != nil {
 		return refused
 	}
-	q.until = q.arrived.Add(timeBudget(q))
+	q.deadline = q.arrived.Add(timeBudget(q))
 	body, refused := readBody(w, q.http, state.Catalog.Limits.MaxBodyBytes)
 	if refused != nil {
 		return refused
@@ -177,32 +181,32 @@
 				"part", v.Part, "demand", v.Demand, "version", state.Catalog.Version)
 			return &refusal{status: http.StatusTooManyRequests, cause: CauseOverRate, retryAfter: v.RetryAfter}
 		}
-		q.over = v.Over(q.customer.Rate)
+		q.overRate = v.Over(q.customer.Rate)
 	}
-	q.service = h.split.service(q.route)
+	q.service = h.splitter.service(q.route)
 	return nil
 }
 
-// awaitState waits until a state is known that will do for a request; nil if that takes
-// longer than most. A host that stands by must look at the store first, and one that has
-// just started knows within some tenths of a second what it needs.
-func (h *Handler) awaitState(q *request, most time.Duration, next func() <-chan struct{}, will func(*State) bool) *State {
-	if state := h.State(); will(state) {
+// awaitState waits until the state satisfies sufficient, and returns it; nil if
+// that takes longer than timeout. A standby host must read the store first, and a
+// host that has just started loads its state within some tenths of a second.
+func (h *Handler) awaitState(q *request, timeout time.Duration, next func() <-chan struct{}, sufficient func(*State) bool) *State {
+	if state := h.State(); sufficient(state) {
 		return state
 	}
-	if most <= 0 {
+	if timeout <= 0 {
 		return nil
 	}
-	timeout := time.NewTimer(most)
-	defer timeout.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
-		news := next()
-		if state := h.State(); will(state) {
+		updated := next()
+		if state := h.State(); sufficient(state) {
 			return state
 		}
 		select {
-		case <-news:
-		case <-timeout.C:
+		case <-updated:
+		case <-timer.C:
 			return nil
 		case <-q.http.Context().Done():
 			return nil
@@ -210,7 +214,8 @@
 	}
 }
 
-// authorize finds the route and the customer.
+// authorize sets the route and the customer of the request. It denies a request
+// only if the configuration is recent enough; see denyMaxAge.
 func (h *Handler) authorize(state *State, q *request) *refusal {
 	age := state.age(q.arrived)
 	deny := func(status int, cause Cause) *refusal {
@@ -219,14 +224,14 @@
 		}
 		return denied(status, cause)
 	}
-	q.route = state.Catalog.Route(q.http.Host, path(q.http))
+	q.route = state.Catalog.Route(q.http.Host, requestPath(q.http))
 	if q.route == nil {
 		return deny(http.StatusNotFound, CauseNoRoute)
 	}
 	if !state.Catalog.Keyed || q.route.Public {
 		return nil
 	}
-	if bound := h.Bounds().KeyMaxAge; bound > 0 && age > bound {
+	if maxAge := h.Bounds().KeyMaxAge; maxAge > 0 && age > maxAge {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
 	if q.Key == "" {
@@ -238,15 +243,15 @@
 	return nil
 }
 
-// revalidateKey repeats the check of the key right before a send: the wait for a
-// body or for another upstream may have been long, and the process may have
-// been suspended.
+// revalidateKey checks the key again immediately before each attempt. Reading the
+// body or an earlier attempt may have taken long, and the process may have been
+// suspended in the meantime.
 func (h *Handler) revalidateKey(q *request) *refusal {
 	if q.customer == nil {
 		return nil
 	}
 	state := h.State()
-	if bound := h.Bounds().KeyMaxAge; bound > 0 && state.age(h.Now()) > bound {
+	if maxAge := h.Bounds().KeyMaxAge; maxAge > 0 && state.age(h.Now()) > maxAge {
 		return unavailable(CauseKeysStale, retrySoon)
 	}
 	if owner := state.Catalog.Customer(q.Key); owner == nil || owner.Name != q.customer.Name {
@@ -255,6 +260,8 @@
 	return nil
 }
 
+// timeBudget returns the time limit of the request: the shorter of those that
+// the caller and the route specify.
 func timeBudget(q *request) time.Duration {
 	d := q.TimeBudget
 	if t := q.route.Timeout; t > 0 && (d == 0 || t < d) {
@@ -266,30 +273,32 @@
 	return d
 }
 
-// target is the path and query exactly as the caller sent them.
-func target(r *http.Request) string {
+// requestTarget returns the path and query exactly as the caller sent them.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
-	// The absolute form, which proxies get.
+	// The request target has the absolute form, which clients send to proxies.
 	if u, err := url.Parse(r.RequestURI); err == nil && u.Host != "" {
 		return u.RequestURI()
 	}
 	return r.RequestURI
 }
 
-func path(r *http.Request) string {
-	p, _, _ := strings.Cut(target(r), "?")
-	return p
+func requestPath(r *http.Request) string {
+	path, _, _ := strings.Cut(requestTarget(r), "?")
+	return path
 }
 
-func (h *Handler) version() uint64 {
+func (h *Handler) configVersion() uint64 {
 	if c := h.State().Catalog; c != nil {
 		return c.Version
 	}
 	return 0
 }
 
+// refuse sends a refusal to the caller, or aborts the connection if the caller has
+// disconnected.
 func (h *Handler) refuse(w http.ResponseWriter, q *request, f *refusal) {
 	route := ""
 	if q.route != nil {
@@ -299,17 +308,17 @@
 	h.Observe(Observation{Route: route, Status: f.status, Cause: f.cause, Took: took, Sends: q.attempts.sends})
 	h.Log.Info("refused", "id", q.ID, "route", route, "service", q.service, "status", f.status, "cause", f.cause,
 		"reason", f.reason, "retry_after", f.retryAfter, "took", took, "sends", q.attempts.sends, "tried", q.attempts.tried,
-		"age", h.State().age(h.Now()), "version", h.version())
+		"age", h.State().age(h.Now()), "version", h.configVersion())
 	if f.cause == CauseCallerLeft {
 		panic(http.ErrAbortHandler)
 	}
 	if f.retryAfter > 0 {
-		// It comes back on a new connection; this one would stay open for nothing.
+		// The caller retries on a new connection, so this one would stay open unused.
 		w.Header().Set("Connection", "close")
 		h.Codec.Refusal(w.Header(), f.retryAfter)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(f.status)
-	// A failed write means that the caller has left.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write([]byte(string(f.cause) + "\n"))
 }
--- a/internal/front/refusal.go
+++ b/internal/front/refusal.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Cause says why a request was not answered by an upstream. It stands in logs,
-// metrics and the body of the answer.
+// Cause is the reason why the entry host answered a request itself. It appears
+// in logs, in metrics and in the body of the response.
 type Cause string
 
 // Causes.
@@ -30,33 +30,34 @@
 	CauseCallerLeft           Cause = "caller-left"
 )
 
-// refusal is an answer of the entry host's own.
+// refusal is an error response that the entry host generates itself.
 type refusal struct {
 	status int
 	cause  Cause
-	// retryAfter is set where the caller is asked to return.
+	// retryAfter is when the caller should retry; 0: no retry is suggested.
 	retryAfter time.Duration
-	// reason is what the choice of an upstream went by; nil where the cause says all.
+	// reason is the placement error, for the log; nil if cause is sufficient.
 	reason error
 }
 
-// How long callers are told to stay away, where no better figure is known.
+// Retry delays sent to callers where no better estimate is available.
 const (
-	// retrySoon: the condition ends within a heartbeat or two, or another host
-	// serves the request at once.
+	// retrySoon is for conditions that end within one or two heartbeats, or
+	// where another host can serve the request immediately.
 	retrySoon = 150 * time.Millisecond
-	// retryCold: cold or crashed upstreams take seconds.
+	// retryCold is for upstreams that are cold or have crashed: they need seconds
+	// to recover.
 	retryCold = 400 * time.Millisecond
 )
 
-func unavailable(cause Cause, comeBack time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, cause: cause, retryAfter: comeBack}
+func unavailable(cause Cause, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, cause: cause, retryAfter: retryAfter}
 }
 
 func denied(status int, cause Cause) *refusal { return &refusal{status: status, cause: cause} }
 
-// withReason adds what the decision went by, for the log.
-func (f *refusal) withReason(why error) *refusal {
-	f.reason = why
+// withReason adds the error behind the refusal, for the log.
+func (f *refusal) withReason(err error) *refusal {
+	f.reason = err
 	return f
 }
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -13,70 +13,72 @@
 	"balsambarrow/internal/traffic"
 )
 
-const (
-	// maxUnsent bounds how many upstreams that cannot be reached are tried
-	// beyond the attempts of the route. They have seen nothing.
-	maxUnsent = 2
-)
+// maxUnreachable is the number of unreachable upstreams after which a further
+// upstream is still tried. They do not count as attempts of the route, since they
+// received nothing of the request.
+const maxUnreachable = 2
 
-// outcome is how one send ended.
+// outcome is the result of one attempt.
 type outcome int
 
 const (
-	// done: the caller has its answer.
-	done outcome = iota
-	// unsent: nothing reached the upstream.
-	unsent
-	// shed: the upstream refused, and has not run the request.
-	shed
-	// failed: the upstream answered that it failed; the answer is kept.
-	failed
-	// lost: the upstream may have run the request, and no usable answer came.
-	lost
-	// late: the time is up, or the caller has left.
-	late
+	// outcomeAnswered: the caller has received the response.
+	outcomeAnswered outcome = iota
+	// outcomeUnsent: nothing of the request reached the upstream.
+	outcomeUnsent
+	// outcomeShed: the upstream refused the request and did not run it.
+	outcomeShed
+	// outcomeFailed: the upstream answered with a 5xx status; the response is kept.
+	outcomeFailed
+	// outcomeLost: the upstream may have run the request, but no usable response
+	// arrived.
+	outcomeLost
+	// outcomeTimedOut: the time limit has passed, or the caller has disconnected.
+	outcomeTimedOut
 )
 
-// serve sends the request to upstreams until one answers.
+// serve sends the request to upstreams, one after another, until one answers or
+// no further attempt is allowed.
 func (h *Handler) serve(w http.ResponseWriter, q *request) *refusal {
-	// The caller's leaving ends the context, and with it the upstream's work.
-	ctx, cancel := context.WithTimeout(q.http.Context(), q.until.Sub(h.Now()))
+	// The context ends when the caller disconnects; the upstream then stops its
+	// work, too.
+	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(h.Now()))
 	defer cancel()
 	h.RetryBudget.RecordRequest(h.Now(), q.service)
-	var kept *answer
-	for unreached := 0; ; {
-		if callerGone(q.http) {
-			return h.finishUnserved(w, q, kept, &refusal{cause: CauseCallerLeft})
+	var failure *response
+	for unreachable := 0; ; {
+		if callerDisconnected(q.http) {
+			return h.finishUnserved(w, q, failure, &refusal{cause: CauseCallerLeft})
 		}
 		if refused := h.revalidateKey(q); refused != nil {
-			return h.finishUnserved(w, q, kept, refused)
+			return h.finishUnserved(w, q, failure, refused)
 		}
-		choice, err := h.Table.Choose(h.Now(), h.query(q))
+		choice, err := h.Table.Choose(h.Now(), h.placementQuery(q))
 		if err != nil {
-			return h.finishUnserved(w, q, kept, h.placementRefusal(q, err))
+			return h.finishUnserved(w, q, failure, h.placementRefusal(q, err))
 		}
-		end, a := h.send(ctx, w, q, choice)
+		end, resp := h.send(ctx, w, q, choice)
 		switch end {
-		case done:
+		case outcomeAnswered:
 			return nil
-		case late:
-			return h.timedOut(q)
-		case unsent:
-			unreached++
-		case failed:
-			kept = a
-		case lost:
+		case outcomeTimedOut:
+			return h.timeoutRefusal(q)
+		case outcomeUnsent:
+			unreachable++
+		case outcomeFailed:
+			failure = resp
+		case outcomeLost:
 			q.attempts.mayHaveRun = true
-		case shed:
+		case outcomeShed:
 			q.attempts.shed = true
 		}
-		if refused := h.mayRetry(q, end, unreached); refused != nil {
-			return h.finishUnserved(w, q, kept, refused)
+		if refused := h.checkRetry(q, end, unreachable); refused != nil {
+			return h.finishUnserved(w, q, failure, refused)
 		}
 	}
 }
 
-func (h *Handler) query(q *request) place.Query {
+func (h *Handler) placementQuery(q *request) place.Query {
 	homes, bound := catalog.Homes(q.route, q.customer)
 	object := q.Object
 	if !q.route.Affinity {
@@ -85,31 +87,31 @@
 	return place.Query{
 		Service: q.service, Route: q.route.Name, Object: object, Homes: homes, Bound: bound,
 		Tried: q.attempts.tried, BodyBytes: len(q.body.buffered), Priority: catalog.Priority(q.route, q.customer),
-		Over: q.over, Target: q.route.Target, Remaining: q.until.Sub(h.Now()),
+		Over: q.overRate, Target: q.route.Target, Remaining: q.deadline.Sub(h.Now()),
 	}
 }
 
-// mayRetry tells whether the request may go to another upstream after a send
-// that ended without an answer; nil: it may.
-func (h *Handler) mayRetry(q *request, end outcome, unreached int) *refusal {
-	why := q.notServed()
-	if end == unsent {
-		if unreached > maxUnsent || !q.body.repeatable() {
-			return why
+// checkRetry decides whether the request may be sent to another upstream after an
+// attempt that did not answer it. It returns nil if so, else the refusal to send.
+func (h *Handler) checkRetry(q *request, end outcome, unreachable int) *refusal {
+	refused := q.unservedRefusal()
+	if end == outcomeUnsent {
+		if unreachable > maxUnreachable || !q.body.replayable() {
+			return refused
 		}
 		return nil
 	}
-	if end != shed && !q.route.Kind.Idempotent() || !q.body.repeatable() {
-		return why
+	if end != outcomeShed && !q.route.Kind.Idempotent() || !q.body.replayable() {
+		return refused
 	}
 	if q.attempts.sends >= q.route.MaxAttempts || !h.RetryBudget.AllowRetry(h.Now(), q.service) {
-		return why
+		return refused
 	}
 	return nil
 }
 
-// notServed is the refusal that is true of what has happened so far.
-func (q *request) notServed() *refusal {
+// unservedRefusal returns the refusal that is correct for the attempts so far.
+func (q *request) unservedRefusal() *refusal {
 	switch {
 	case q.attempts.mayHaveRun:
 		return &refusal{status: http.StatusBadGateway, cause: CauseResponseLost}
@@ -119,9 +121,11 @@
 	return unavailable(CauseUpstreamsUnreachable, retryCold)
 }
 
+// placementRefusal returns the refusal for a request for which no upstream could
+// be chosen.
 func (h *Handler) placementRefusal(q *request, err error) *refusal {
 	if q.attempts.sends > 0 || len(q.attempts.tried) > 0 {
-		return q.notServed()
+		return q.unservedRefusal()
 	}
 	var full *place.FullError
 	if errors.As(err, &full) {
@@ -134,38 +138,41 @@
 	return unavailable(CauseNoUpstream, 2*retryCold).withReason(err)
 }
 
-// retryAfterQueue is when a request that found no room is told to come back: when half of
-// what waits now is done, spread over as long again, so that those who are
-// refused together do not return together.
+// retryAfterQueue returns the retry delay for a request that was refused because
+// the queues are full. The minimum is the time in which half of the shortest queue
+// is served, plus retrySoon. A random delay of up to the same length is added, so
+// that callers refused together do not retry together.
 func (h *Handler) retryAfterQueue(wait time.Duration) time.Duration {
 	base := wait/2 + retrySoon
 	return base + time.Duration(rand.Int64N(int64(base)))
 }
 
-// finishUnserved ends a request that no further upstream is asked for. An upstream's
-// own failure goes before a refusal, and a doubt before a promise.
-func (h *Handler) finishUnserved(w http.ResponseWriter, q *request, kept *answer, refused *refusal) *refusal {
-	if kept != nil {
-		h.writeAnswer(w, q, kept)
+// finishUnserved ends a request that no upstream answered and that is not tried
+// again. A 5xx response of an upstream takes precedence over a refusal. If the
+// request may have run, a status that denies this is replaced by 502.
+func (h *Handler) finishUnserved(w http.ResponseWriter, q *request, failure *response, refused *refusal) *refusal {
+	if failure != nil {
+		h.writeResponse(w, q, failure)
 		return nil
 	}
-	if q.attempts.mayHaveRun && saysNotRun(refused.status) {
+	if q.attempts.mayHaveRun && impliesNotRun(refused.status) {
 		refused = &refusal{status: http.StatusBadGateway, cause: refused.cause}
 	}
-	if q.customer != nil && saysNotRun(refused.status) {
+	if q.customer != nil && impliesNotRun(refused.status) {
 		h.RateLimiter.Refund(q.customer.Name)
 	}
 	return refused
 }
 
-// saysNotRun tells whether a status says that the request has not run.
-func saysNotRun(status int) bool {
+// impliesNotRun reports whether a status guarantees that the request did not run.
+func impliesNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
 		status == http.StatusUnauthorized
 }
 
-// timedOut is the answer to a request whose time is up.
-func (h *Handler) timedOut(q *request) *refusal {
+// timeoutRefusal returns the refusal for a request whose time limit has passed or
+// whose caller has disconnected.
+func (h *Handler) timeoutRefusal(q *request) *refusal {
 	if q.http.Context().Err() != nil {
 		return &refusal{cause: CauseCallerLeft}
 	}
@@ -175,60 +182,61 @@
 	return unavailable(CauseTimeout, retrySoon)
 }
 
-// send sends the request to one upstream.
-func (h *Handler) send(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice) (end outcome, kept *answer) {
-	began := h.Now()
+// send sends the request to one upstream and handles the response.
+func (h *Handler) send(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice) (end outcome, resp *response) {
+	sentAt := h.Now()
 	q.attempts.tried = append(q.attempts.tried, c.ID)
 	q.attempts.longestWait = max(q.attempts.longestWait, c.Wait)
-	out := h.outgoing(q, c, began)
-	ended := spans{h.Tracer}.upstream(ctx, out.Header, c)
-	defer func() { ended(end) }()
-	reply, err := h.Pool.Send(ctx, c.Address, out)
-	var unsentError *h1.UnsentError
+	out := h.upstreamRequest(q, c, sentAt)
+	endSpan := hopTracer{h.Tracer}.startUpstream(ctx, out.Header, c)
+	defer func() { endSpan(end) }()
+	upstream, err := h.Pool.Send(ctx, c.Address, out)
+	var unsent *h1.UnsentError
 	switch {
 	case err == nil:
 		q.attempts.sends++
-		return h.receive(ctx, w, q, c, began, reply)
-	case errors.As(err, &unsentError):
-		return h.notSent(ctx, q, c, unsentError)
+		return h.receive(ctx, w, q, c, sentAt, upstream)
+	case errors.As(err, &unsent):
+		return h.recordUnsent(ctx, q, c, unsent)
 	}
 	q.attempts.sends++
-	return h.recordNoAnswer(ctx, q, c, err), nil
+	return h.recordLost(ctx, q, c, err), nil
 }
 
-func (h *Handler) outgoing(q *request, c place.Choice, now time.Time) *h1.Request {
-	f := traffic.Forward{Remaining: q.until.Sub(now), Instance: c.ID, DropKey: h.State().Catalog.Keyed}
+func (h *Handler) upstreamRequest(q *request, c place.Choice, now time.Time) *h1.Request {
+	f := traffic.Forward{Remaining: q.deadline.Sub(now), Instance: c.ID, DropKey: h.State().Catalog.Keyed}
 	if q.customer != nil {
 		f.Customer = q.customer.Name
 	}
 	return &h1.Request{
-		Method: q.http.Method, Target: target(q.http), Host: q.http.Host,
+		Method: q.http.Method, Target: requestTarget(q.http), Host: q.http.Host,
 		Header: h.Codec.Forward(q.http.Header, f), Body: q.body.reader(), Length: q.body.length, NonIdempotent: !q.route.Kind.Idempotent(),
 		Matches: func(r *http.Response) bool { return h.Codec.Answer(r).ID == q.ID },
 	}
 }
 
-func (h *Handler) notSent(ctx context.Context, q *request, c place.Choice, err *h1.UnsentError) (outcome, *answer) {
+// recordUnsent records an attempt in which nothing reached the upstream.
+func (h *Handler) recordUnsent(ctx context.Context, q *request, c place.Choice, err *h1.UnsentError) (outcome, *response) {
 	report := place.Report{Result: place.Unreachable}
 	if ctx.Err() != nil || !err.DialFailed {
 		report.Result = place.Left
 	}
 	h.Table.Done(h.Now(), c, report)
 	if ctx.Err() != nil {
-		return late, nil
+		return outcomeTimedOut, nil
 	}
 	h.Pool.CloseIdle(c.Address)
 	h.Log.Info("upstream unreachable", "id", q.ID, "upstream", c.ID, "zone", c.Zone, "error", err)
-	return unsent, nil
+	return outcomeUnsent, nil
 }
 
-// recordNoAnswer notes that the answer of an upstream is lost.
-func (h *Handler) recordNoAnswer(ctx context.Context, q *request, c place.Choice, err error) outcome {
+// recordLost records an attempt that was sent and received no usable response.
+func (h *Handler) recordLost(ctx context.Context, q *request, c place.Choice, err error) outcome {
 	if ctx.Err() != nil {
 		h.Table.Done(h.Now(), c, place.Report{Result: place.Left})
-		return late
+		return outcomeTimedOut
 	}
 	h.Table.Done(h.Now(), c, place.Report{Result: place.Lost})
 	h.Log.Info("answer lost", "id", q.ID, "upstream", c.ID, "zone", c.Zone, "took", h.Now().Sub(q.arrived), "error", err)
-	return lost
+	return outcomeLost
 }
--- a/internal/front/spans.go
+++ b/internal/front/spans.go
@@ -11,26 +11,27 @@
 	"balsambarrow/internal/telemetry"
 )
 
-// spans writes a span for each hop of a request. Without a tracer it does
-// nothing, so that hosts that trace nothing pay nothing.
-type spans struct{ tracer trace.Tracer }
+// hopTracer creates a span for each hop of a request. Without a tracer its
+// methods do nothing, so that tracing has no cost on hosts that do not use it.
+type hopTracer struct{ tracer trace.Tracer }
 
-// entry begins the span of this host, under that of the caller.
-func (s spans) entry(r *http.Request, id string) (*http.Request, func()) {
-	if s.tracer == nil {
+// startEntry starts the span of this host as a child of the caller's span.
+func (t hopTracer) startEntry(r *http.Request, id string) (*http.Request, func()) {
+	if t.tracer == nil {
 		return r, func() {}
 	}
-	ctx, span := s.tracer.Start(telemetry.Extract(r.Context(), r.Header), "entry")
+	ctx, span := t.tracer.Start(telemetry.Extract(r.Context(), r.Header), "entry")
 	span.SetAttributes(attribute.String("request", id))
 	return r.WithContext(ctx), func() { span.End() }
 }
 
-// upstream begins the span of one send and tells the upstream of it.
-func (s spans) upstream(ctx context.Context, h http.Header, c place.Choice) func(outcome) {
-	if s.tracer == nil {
+// startUpstream starts the span of one attempt and propagates its context to
+// the upstream in the request headers.
+func (t hopTracer) startUpstream(ctx context.Context, h http.Header, c place.Choice) func(outcome) {
+	if t.tracer == nil {
 		return func(outcome) {}
 	}
-	ctx, span := s.tracer.Start(ctx, "upstream")
+	ctx, span := t.tracer.Start(ctx, "upstream")
 	span.SetAttributes(attribute.String("upstream", c.ID), attribute.String("zone", c.Zone))
 	telemetry.Inject(ctx, h)
 	return func(end outcome) {
@@ -39,8 +40,11 @@
 	}
 }
 
-// String is the outcome's name in spans.
+// String returns the name of the outcome used in spans.
 func (o outcome) String() string {
-	names := [...]string{done: "answered", unsent: "unsent", shed: "shed", failed: "failed", lost: "lost", late: "late"}
+	names := [...]string{
+		outcomeAnswered: "answered", outcomeUnsent: "unsent", outcomeShed: "shed",
+		outcomeFailed: "failed", outcomeLost: "lost", outcomeTimedOut: "late",
+	}
 	return names[o]
 }
--- a/internal/front/split.go
+++ b/internal/front/split.go
@@ -6,54 +6,57 @@
 	"balsambarrow/internal/catalog"
 )
 
-// splitter deals requests of a route out to its parts by weight. Each part gets
-// its share exactly, to within one request, however few requests there are; a
-// random choice would miss it by several in a hundred. It is safe for
-// concurrent use.
+// splitter distributes the requests of a route over its services by weight. It
+// uses weighted round robin, which keeps each share exact to within one request
+// for any number of requests; a random choice deviates by several percent. It is
+// safe for concurrent use.
 type splitter struct {
 	mu     sync.Mutex
-	routes map[string]*deal
+	routes map[string]*roundRobin
 }
 
-// deal is how far the parts of one route are behind their shares.
-type deal struct {
-	parts  []catalog.Part
+// roundRobin is the weighted round-robin state of one route.
+type roundRobin struct {
+	parts []catalog.Part
+	// credit of a part is the number of requests, in units of weight, by which
+	// the part is behind its share.
 	credit []float64
 }
 
-func newSplitter() *splitter { return &splitter{routes: map[string]*deal{}} }
+func newSplitter() *splitter { return &splitter{routes: map[string]*roundRobin{}} }
 
-// service picks the part whose turn it is.
+// service returns the service for the next request of the route.
 func (s *splitter) service(r *catalog.Route) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.routes[r.Name]
-	if d == nil || !same(d.parts, r.Parts) {
-		d = &deal{parts: r.Parts, credit: make([]float64, len(r.Parts))}
-		s.routes[r.Name] = d
+	rr := s.routes[r.Name]
+	if rr == nil || !equalParts(rr.parts, r.Parts) {
+		rr = &roundRobin{parts: r.Parts, credit: make([]float64, len(r.Parts))}
+		s.routes[r.Name] = rr
 	}
-	return d.next()
+	return rr.next()
 }
 
-// next is smooth weighted round robin: every part earns its weight, and the one
-// with the most pays the sum.
-func (d *deal) next() string {
+// next performs one step of smooth weighted round robin: each part gains its
+// weight, and the part with the most credit is chosen and pays the sum of all
+// weights.
+func (rr *roundRobin) next() string {
 	best, sum := 0, 0.0
-	for i, p := range d.parts {
-		d.credit[i] += p.Weight
+	for i, p := range rr.parts {
+		rr.credit[i] += p.Weight
 		sum += p.Weight
-		if d.credit[i] > d.credit[best] {
+		if rr.credit[i] > rr.credit[best] {
 			best = i
 		}
 	}
-	d.credit[best] -= sum
-	return d.parts[best].Service
+	rr.credit[best] -= sum
+	return rr.parts[best].Service
 }
 
-func same(a, b []catalog.Part) bool {
+func equalParts(a, b []catalog.Part) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/front/split_test.go
+++ b/internal/front/split_test.go
@@ -8,9 +8,9 @@
 	"balsambarrow/internal/catalog"
 )
 
-// An operator sends a tenth of a route to a new service. The share must hold
-// from the first requests on, through a change of weights, and for each route.
-func TestSplitKeepsShares(t *testing.T) {
+// An operator sends a tenth of the requests of a route to a new service. The
+// shares must be exact from the first requests on, also after the weights change.
+func TestSplitterKeepsWeights(t *testing.T) {
 	g := NewWithT(t)
 	s := newSplitter()
 	route := &catalog.Route{Name: "r", Parts: []catalog.Part{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -6,50 +6,53 @@
 	"balsambarrow/internal/catalog"
 )
 
-// State is what the control thread knows, at one moment. It is never modified.
+// State is an immutable snapshot of what the control goroutine knows.
 type State struct {
-	// Catalog in force; nil until there is one.
+	// Catalog is the configuration in force; nil until one is loaded.
 	Catalog *catalog.Catalog
-	// ConfirmedAt is the latest time at which Catalog was certainly the newest
+	// ConfirmedAt is the latest time at which Catalog was known to be the newest
 	// version.
 	ConfirmedAt time.Time
-	// UpstreamsKnown says that the upstreams are known.
+	// UpstreamsKnown is set once the list of upstreams is loaded.
 	UpstreamsKnown bool
-	// Leaving says that a planned stop has begun.
+	// Leaving is set once a planned shutdown has begun.
 	Leaving bool
-	// Standby says that other hosts take the callers: what this one knows may be
-	// older than what they know.
+	// Standby is set while other hosts serve the callers. The state of a standby
+	// host may be older than that of the active hosts.
 	Standby bool
 }
 
-// Bounds are the times that the front works by.
+// Bounds are the configurable time limits of the handler.
 type Bounds struct {
 	// KeyMaxAge is how long keys are accepted after ConfirmedAt; 0: without
-	// bound.
+	// limit.
 	KeyMaxAge time.Duration
 }
 
 const (
 	// denyMaxAge is how long after ConfirmedAt a request may be denied because
-	// its route or key is unknown. A host that has fallen behind would deny
-	// what was added meanwhile, for good, where "come back" is true.
+	// its route or key is unknown. A host with an older configuration would deny
+	// routes and keys that were added since. Such a denial tells the caller that
+	// a retry is pointless, whereas the correct response is to retry later.
 	denyMaxAge = 3200 * time.Millisecond
-	// standbyMaxAge is the age of the configuration up to which a host that stands by
-	// serves a caller that has an old answer of the directory. It is the longest
-	// pause between two looks at the store of a host that takes callers: with an
-	// older list of upstreams a request would go to one that has left.
+	// standbyMaxAge is the maximum age of the configuration with which a standby
+	// host serves a caller that uses an outdated directory response. It equals the
+	// longest interval between two store reads of an active host: with an older
+	// list of upstreams, the request might go to an upstream that was removed.
 	standbyMaxAge = 1500 * time.Millisecond
-	// refreshFor bounds the wait for a look at the store on behalf of such a
-	// caller: the way to the farthest region and back three times.
-	refreshFor = 350 * time.Millisecond
-	// defaultTimeBudget bounds a request of which neither the caller nor its
-	// route says how long it may take.
+	// refreshTimeout limits how long a caller of a standby host waits for a store
+	// read. It allows three round trips to the farthest region.
+	refreshTimeout = 350 * time.Millisecond
+	// defaultTimeBudget is the time limit of a request for which neither the
+	// caller nor the route specifies one.
 	defaultTimeBudget = 30 * time.Second
 )
 
-// starting tells whether the host does not know yet what it needs for any request.
+// starting reports whether the state is not yet complete enough to serve any
+// request.
 func (s *State) starting() bool {
 	return s.Catalog == nil || !s.UpstreamsKnown || s.ConfirmedAt.IsZero()
 }
 
+// age returns the time since the configuration was last confirmed.
 func (s *State) age(now time.Time) time.Duration { return now.Sub(s.ConfirmedAt) }
