--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -41,7 +41,7 @@
 	RetryBudget *retry.WindowBudget
 	Bounds      func() Bounds
 	Log         Log
-	// Observe is called for each response that is sent to a caller.
+	// Observe is called at the end of each request, except for a streamed response.
 	Observe func(Observation)
 	Now     func() time.Time
 	// Refresh triggers an immediate store read. The returned channel is closed
