--- a/internal/h1/ahead_test.go
+++ b/internal/h1/preconnect_test.go
@@ -11,7 +11,7 @@
 	"balsambarrow/internal/h1"
 )
 
-func TestTheConnectionOpenedAheadIsUsedOnce(t *testing.T) {
+func TestPreconnectedConnectionIsUsedOnce(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -22,29 +22,30 @@
 		dialed.Add(1)
 		return c, err
 	}
-	a := h1.Preconnect(context.Background(), dial, l.Addr().String())
+	d := h1.Preconnect(context.Background(), dial, l.Addr().String())
 	g.Eventually(dialed.Load).Should(Equal(int32(1)))
 	used := 0
 	g.Eventually(func() int32 {
-		c, err := a.Dial(context.Background(), "tcp", l.Addr().String())
+		c, err := d.Dial(context.Background(), "tcp", l.Addr().String())
 		g.Expect(err).NotTo(HaveOccurred())
 		_ = c.Close()
 		used++
 		return int32(used) - dialed.Load()
-	}).Should(BeZero(), "one call took the connection that was open")
-	_, err = a.Dial(context.Background(), "tcp", l.Addr().String())
+	}).Should(BeZero(), "one call used the preconnected connection")
+	_, err = d.Dial(context.Background(), "tcp", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(dialed.Load()).To(Equal(int32(used + 1)))
 }
 
-// Guards against a host that cannot reach the store when it starts, and never tries again.
-func TestAFailureAheadIsNotTheCallers(t *testing.T) {
+// The store is unreachable when a host starts. Dial must then open a connection
+// itself, and not return the error of the preconnect.
+func TestFailedPreconnectIsNotReturned(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = l.Close() }()
-	a := h1.Preconnect(context.Background(), (&net.Dialer{}).DialContext, "127.0.0.1:1")
-	c, err := a.Dial(context.Background(), "tcp", l.Addr().String())
+	d := h1.Preconnect(context.Background(), (&net.Dialer{}).DialContext, "127.0.0.1:1")
+	c, err := d.Dial(context.Background(), "tcp", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	_ = c.Close()
 }
