--- a/internal/follow/digest.go
+++ b/internal/follow/digest.go
@@ -8,17 +8,21 @@
 	"balsambarrow/internal/catalog"
 )
 
-// Digest is one number for what the store holds that a host goes by: the version
-// of the configuration, the evacuated zones and the upstreams, without the marks
-// by which these show that they live; or the registrations of entry hosts. Two hosts with the same digest know the
-// same, in whatever order they learned it. The zero value is that of an empty
-// store. It is not safe for concurrent use.
+// Digest is an order-independent hash of a set of store entries. One digest covers
+// the configuration version, the evacuated zones and the upstream registrations
+// without their liveness fields (sequence number and revision). Another covers the
+// registrations of entry hosts. Two hosts with equal digests hold the same state,
+// in whatever order they received the entries. The zero value is the digest of an
+// empty store. Digest is not safe for concurrent use.
+//
+// Hosts of different builds compare their digests, so the hashed strings must not
+// change.
 type Digest struct {
 	entries map[string]uint64
 	sum     uint64
 }
 
-// Sum is never 0 once something is known.
+// Sum returns the digest. It is 0 only while the digest has no entries.
 func (d *Digest) Sum() uint64 {
 	if len(d.entries) == 0 {
 		return 0
@@ -26,10 +30,10 @@
 	return d.sum | 1
 }
 
-// SetVersion notes the version of the configuration in force.
+// SetVersion records the version of the active configuration.
 func (d *Digest) SetVersion(version uint64) { d.set("version", fmt.Sprint(version)) }
 
-// SetZone notes whether a zone is evacuated.
+// SetZone records whether a zone is evacuated.
 func (d *Digest) SetZone(zone string, evacuated bool) {
 	if evacuated {
 		d.set("zone/"+zone, "")
@@ -38,18 +42,18 @@
 	d.remove("zone/" + zone)
 }
 
-// SetUpstream notes an upstream's entry.
+// SetUpstream records the registration of an upstream.
 func (d *Digest) SetUpstream(u catalog.Upstream) {
 	d.set("upstream/"+u.ID, fmt.Sprint(u.Service, " ", u.Address, " ", u.Zone, " ", u.Slots, " ", u.State, " ", u.ColdFor > 0, " ", u.Born))
 }
 
-// SetHost notes an entry host's registration.
+// SetHost records the registration of an entry host.
 func (d *Digest) SetHost(key string, registration []byte) { d.set("host/"+key, string(registration)) }
 
-// RemoveHost notes that a host has no registration.
+// RemoveHost removes the registration of an entry host.
 func (d *Digest) RemoveHost(key string) { d.remove("host/" + key) }
 
-// RemoveUpstream notes that an upstream has no entry.
+// RemoveUpstream removes the registration of an upstream.
 func (d *Digest) RemoveUpstream(id string) { d.remove("upstream/" + id) }
 
 func (d *Digest) set(key, value string) {
--- a/internal/follow/digest_test.go
+++ b/internal/follow/digest_test.go
@@ -10,7 +10,7 @@
 	"balsambarrow/internal/follow"
 )
 
-func TestDigestTellsWhatDecides(t *testing.T) {
+func TestDigestCoversRelevantState(t *testing.T) {
 	u := catalog.Upstream{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Zone: "a1", Slots: 4, State: catalog.StateReady, Sequence: 7, Born: 5}
 	changed := func(f func(*catalog.Upstream)) catalog.Upstream {
 		c := u
@@ -22,42 +22,42 @@
 		change func(d *follow.Digest)
 		same   bool
 	}{
-		{"nothing", func(*follow.Digest) {}, true},
-		{"a mark of life", func(d *follow.Digest) {
+		{"no change", func(*follow.Digest) {}, true},
+		{"liveness fields of an upstream", func(d *follow.Digest) {
 			d.SetUpstream(changed(func(u *catalog.Upstream) { u.Sequence, u.Revision = 8, 99 }))
 		}, true},
-		{"a zone that is not evacuated", func(d *follow.Digest) { d.SetZone("b1", false) }, true},
-		{"the same version again", func(d *follow.Digest) { d.SetVersion(3) }, true},
-		{"a version", func(d *follow.Digest) { d.SetVersion(4) }, false},
-		{"a zone evacuated", func(d *follow.Digest) { d.SetZone("a1", true) }, false},
-		{"draining", func(d *follow.Digest) {
+		{"zone that is not evacuated", func(d *follow.Digest) { d.SetZone("b1", false) }, true},
+		{"same configuration version again", func(d *follow.Digest) { d.SetVersion(3) }, true},
+		{"new configuration version", func(d *follow.Digest) { d.SetVersion(4) }, false},
+		{"zone evacuated", func(d *follow.Digest) { d.SetZone("a1", true) }, false},
+		{"upstream draining", func(d *follow.Digest) {
 			d.SetUpstream(changed(func(u *catalog.Upstream) { u.State = catalog.StateDraining }))
 		}, false},
-		{"cold", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.ColdFor = time.Second })) }, false},
-		{"started again", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.Born = 6 })) }, false},
-		{"another service", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.Service = "q" })) }, false},
-		{"gone", func(d *follow.Digest) { d.RemoveUpstream("i-1") }, false},
-		{"another upstream", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.ID = "i-2" })) }, false},
-		{"another upstream come and gone", func(d *follow.Digest) {
+		{"upstream cold", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.ColdFor = time.Second })) }, false},
+		{"upstream restarted", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.Born = 6 })) }, false},
+		{"service of an upstream changed", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.Service = "q" })) }, false},
+		{"upstream removed", func(d *follow.Digest) { d.RemoveUpstream("i-1") }, false},
+		{"second upstream added", func(d *follow.Digest) { d.SetUpstream(changed(func(u *catalog.Upstream) { u.ID = "i-2" })) }, false},
+		{"second upstream added and removed", func(d *follow.Digest) {
 			d.SetUpstream(changed(func(u *catalog.Upstream) { u.ID = "i-2" }))
 			d.RemoveUpstream("i-2")
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			var one, other follow.Digest
-			one.SetVersion(3)
-			one.SetUpstream(u)
-			other.SetUpstream(u)
-			other.SetVersion(3)
-			g.Expect(one.Sum()).To(Equal(other.Sum()), "in any order")
-			c.change(&other)
-			g.Expect(one.Sum() == other.Sum()).To(Equal(c.same))
+			var first, second follow.Digest
+			first.SetVersion(3)
+			first.SetUpstream(u)
+			second.SetUpstream(u)
+			second.SetVersion(3)
+			g.Expect(first.Sum()).To(Equal(second.Sum()), "the order of the entries must not matter")
+			c.change(&second)
+			g.Expect(first.Sum() == second.Sum()).To(Equal(c.same))
 		})
 	}
 }
 
-func TestDigestOfNothing(t *testing.T) {
+func TestEmptyDigest(t *testing.T) {
 	g := NewWithT(t)
 	var d follow.Digest
 	g.Expect(d.Sum()).To(BeZero())
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -11,91 +11,97 @@
 )
 
 const (
-	// answerBound is how long a call may take beyond its own waiting. A slow
-	// store takes a third of a second; a silent connection shows only by this.
-	answerBound = 1200 * time.Millisecond
-	// minBackoff and maxBackoff lie between calls that fail: each failing
-	// call is paid for, and after an outage all hosts come at once. But what
-	// has left meanwhile must be known well before the host counts as reached
-	// again, four seconds after the end of the outage.
+	// responseTimeout bounds a call, in addition to the time that a watch waits in
+	// the store. A slow store responds within a third of a second. A connection
+	// that has gone silent is detected only by this timeout.
+	responseTimeout = 1200 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed call, before jitter;
+	// Timing.MaxBackoff may raise the upper bound. The platform
+	// charges for failed calls too, and all hosts reconnect at once after an
+	// outage. The pause is still short enough that a host learns which upstreams
+	// have left well before it counts as connected again, which is four seconds
+	// after the end of the outage.
 	minBackoff = 80 * time.Millisecond
 	maxBackoff = 250 * time.Millisecond
 )
 
-// Sink is told what the store holds.
+// Sink receives the contents of the store. Its methods are called by one goroutine.
 type Sink interface {
-	// OnList replaces all that was known. It is what the store held at some
-	// time after asOf; the first listing may be of any time, and asOf is zero then.
+	// OnList replaces the whole known state. The listing shows the store at some
+	// time after asOf. The first listing may be arbitrarily old; its asOf is zero.
 	OnList(l kv.Listing, asOf time.Time)
-	// OnChanges adds events, perhaps none, up to some time after asOf.
+	// OnChanges adds events, possibly none. They cover the store up to some time
+	// after asOf.
 	OnChanges(c kv.Changes, asOf time.Time)
-	// OnError says that a call failed; calls go on until one succeeds.
+	// OnError reports a failed call. The follower retries until a call succeeds.
 	OnError(err error)
 }
 
-// Follower follows one prefix.
+// Follower lists and watches one key prefix.
 type Follower struct {
 	Store  kv.Store
 	Prefix string
-	// Timing of the calls; asked before each.
+	// Timing returns the intervals of the calls. It is called before each of them.
 	Timing func() Timing
 	Now    func() time.Time
 	Sink   Sink
-	// Wake ends the pause before the next look, but not one after a call that
-	// failed. Default nil: never.
+	// Wake ends the pause before the next watch early, but not the pause after a
+	// failed call. Optional.
 	Wake <-chan struct{}
-	// Bootstrap is called before the first listing. If a peer has told what the store holds
-	// meanwhile, it returns the revision of that, and nothing is listed; the first watch
-	// is made when it is due. Default nil.
+	// Bootstrap is called before the initial listing. If the host has received the
+	// store's contents from a peer by then, it returns their revision and true. The
+	// follower then skips the listing, and sends the first watch after the usual
+	// interval. Optional.
 	Bootstrap func(ctx context.Context) (revision uint64, ok bool)
-	// AfterInitialList is called between the first listing and the first watch. Default nil.
+	// AfterInitialList is called between the initial listing and the first watch.
+	// Optional.
 	AfterInitialList func(ctx context.Context)
 }
 
-// Timing says how often the store is called.
+// Timing holds the intervals of the calls to the store.
 type Timing struct {
-	// WatchTimeout is how long one watch waits for a change.
+	// WatchTimeout is how long one watch waits in the store for a change.
 	WatchTimeout time.Duration
-	// Interval is the usual time between two watches, and Least the least, if Hurry
-	// asks for one: changes that come close together are then fetched by one
-	// call. Default 0.
+	// Interval is the usual time between the starts of two watches. MinInterval is
+	// the shortest time, which applies when Wake receives: one call then fetches
+	// all changes that follow each other closely. Default 0.
 	Interval, MinInterval time.Duration
-	// MaxBackoff is the longest pause between calls that fail. Default and least:
-	// 250 ms.
+	// MaxBackoff is the longest pause after a failed call, before jitter. Values
+	// below 250 ms, also the default 0, mean 250 ms.
 	MaxBackoff time.Duration
 }
 
-// Run follows until ctx ends.
+// Run lists and watches the prefix until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := minBackoff
-	revision, listed := f.first(ctx), true
+	backoff := minBackoff
+	revision, listed := f.initialList(ctx), true
 	for ctx.Err() == nil {
-		asked, pace := f.Now(), f.Timing()
-		next, err := f.step(ctx, revision, listed, asked, pace.WatchTimeout)
+		sentAt, timing := f.Now(), f.Timing()
+		next, err := f.poll(ctx, revision, listed, sentAt, timing.WatchTimeout)
 		switch {
 		case err == nil:
-			revision, listed, pause = next, true, minBackoff
-			f.pause(ctx, pace.MinInterval-f.Now().Sub(asked), nil)
-			f.pause(ctx, pace.Interval-f.Now().Sub(asked), f.Wake)
+			revision, listed, backoff = next, true, minBackoff
+			f.sleep(ctx, timing.MinInterval-f.Now().Sub(sentAt), nil)
+			f.sleep(ctx, timing.Interval-f.Now().Sub(sentAt), f.Wake)
 		case errors.Is(err, kv.ErrCompacted):
 			listed = false
 		default:
-			pause = f.failed(ctx, err, pause)
+			backoff = f.backOff(ctx, err, backoff)
 		}
 	}
 }
 
-// first lists the prefix as of any time, which costs the store little when all hosts
-// start together, and returns the revision to watch on from: the first watch brings
-// what the listing lacks.
-func (f *Follower) first(ctx context.Context) uint64 {
+// initialList lists the prefix and returns the revision to watch from. It accepts a
+// stale listing, which is cheap for the store when all hosts start together; the
+// first watch returns the changes that the listing lacks.
+func (f *Follower) initialList(ctx context.Context) uint64 {
 	if f.Bootstrap != nil {
 		if revision, ok := f.Bootstrap(ctx); ok {
-			f.pause(ctx, f.Timing().Interval, f.Wake)
+			f.sleep(ctx, f.Timing().Interval, f.Wake)
 			return revision
 		}
 	}
-	pause := minBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		l, err := f.list(ctx, true)
 		if err == nil {
@@ -103,17 +109,18 @@
 			if f.AfterInitialList != nil {
 				f.AfterInitialList(ctx)
 			}
-			return watchFrom(l)
+			return watchStart(l)
 		}
-		pause = f.failed(ctx, err, pause)
+		backoff = f.backOff(ctx, err, backoff)
 	}
 	return 0
 }
 
-// watchFrom is the revision from which a watch brings all that a listing lacks which may
-// be old. A store that gives such a listing the revision of the moment would hide the
-// changes between the two.
-func watchFrom(l kv.Listing) uint64 {
+// watchStart returns the revision from which a watch returns all changes that a
+// possibly stale listing lacks. It does not rely on the listing's own revision: a
+// store may label a stale listing with its current revision, and a watch from there
+// would miss the changes in between.
+func watchStart(l kv.Listing) uint64 {
 	latest := uint64(0)
 	for _, item := range l.Items {
 		latest = max(latest, item.Revision)
@@ -121,55 +128,58 @@
 	return min(latest, l.Revision)
 }
 
-// failed reports a call that failed, rests, and returns the pause after the next one.
-func (f *Follower) failed(ctx context.Context, err error, pause time.Duration) time.Duration {
+// backOff reports a failed call, sleeps for about backoff, and returns the backoff to use
+// after the next failure.
+func (f *Follower) backOff(ctx context.Context, err error, backoff time.Duration) time.Duration {
 	if ctx.Err() != nil {
-		return pause
+		return backoff
 	}
 	f.Sink.OnError(err)
-	f.pause(ctx, time.Duration(float64(pause)*(0.5+rand.Float64())), nil)
-	return min(2*pause, max(maxBackoff, f.Timing().MaxBackoff))
+	f.sleep(ctx, time.Duration(float64(backoff)*(0.5+rand.Float64())), nil)
+	return min(2*backoff, max(maxBackoff, f.Timing().MaxBackoff))
 }
 
 func (f *Follower) list(ctx context.Context, stale bool) (kv.Listing, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*answerBound)
+	ctx, cancel := context.WithTimeout(ctx, 2*responseTimeout)
 	defer cancel()
 	return f.Store.List(ctx, f.Prefix, stale)
 }
 
-// step makes one call and returns the revision to go on from.
-func (f *Follower) step(ctx context.Context, revision uint64, listed bool, asked time.Time, wait time.Duration) (uint64, error) {
+// poll makes one list or watch call and returns the revision to watch from next.
+func (f *Follower) poll(ctx context.Context, revision uint64, listed bool, sentAt time.Time, watchTimeout time.Duration) (uint64, error) {
 	if !listed {
 		l, err := f.list(ctx, false)
 		if err != nil {
 			return 0, err
 		}
-		f.Sink.OnList(l, asked)
+		f.Sink.OnList(l, sentAt)
 		return l.Revision, nil
 	}
-	call, cancel := context.WithTimeout(ctx, wait+answerBound)
+	callCtx, cancel := context.WithTimeout(ctx, watchTimeout+responseTimeout)
 	defer cancel()
-	c, err := f.Store.Watch(call, f.Prefix, revision, wait)
+	c, err := f.Store.Watch(callCtx, f.Prefix, revision, watchTimeout)
 	if err != nil {
 		return 0, err
 	}
-	f.Sink.OnChanges(c, f.asOf(c, asked, wait))
+	f.Sink.OnChanges(c, f.asOf(c, sentAt, watchTimeout))
 	return max(c.Revision, revision), nil
 }
 
-// asOf is the latest time for which the answer to a watch certainly speaks. One
-// without an event was given when the watch had waited in full, which began
-// after the call left; unless it was cut before.
-func (f *Follower) asOf(c kv.Changes, asked time.Time, wait time.Duration) time.Time {
-	waited := asked.Add(wait)
-	if len(c.Events) > 0 || f.Now().Before(waited) {
-		return asked
+// asOf returns the latest time up to which the response to a watch is known to be
+// complete. A response without events that took the full wait covers at least the
+// wait after sentAt, because the wait began in the store after the call was sent.
+// Any other response, with events or returned early, covers only the time up to
+// sentAt.
+func (f *Follower) asOf(c kv.Changes, sentAt time.Time, wait time.Duration) time.Time {
+	waitEnd := sentAt.Add(wait)
+	if len(c.Events) > 0 || f.Now().Before(waitEnd) {
+		return sentAt
 	}
-	return waited
+	return waitEnd
 }
 
-// pause waits between two calls, or until hurry receives.
-func (f *Follower) pause(ctx context.Context, d time.Duration, hurry <-chan struct{}) {
+// sleep pauses for d, or until ctx ends or wake receives.
+func (f *Follower) sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	if d <= 0 {
 		return
 	}
@@ -177,7 +187,7 @@
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-hurry:
+	case <-wake:
 	case <-t.C:
 	}
 }
--- a/internal/follow/journal.go
+++ b/internal/follow/journal.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// maxSteps and maxStepBytes bound what a journal keeps: the registrations of some
-	// hundreds of hosts that start together, or the last few large values.
+	// maxSteps and maxStepBytes bound a journal. It has room for the registrations
+	// of several hundred hosts that start together, or for the latest few large
+	// values.
 	maxSteps     = 1024
 	maxStepBytes = 2 << 20
-	// patchFrom is the size from which a value is passed on as a patch.
-	patchFrom = 4 << 10
+	// patchFrom is the size in bytes from which a value is sent as a patch.
+	minPatchBytes = 4 << 10
 )
 
-// Change is a change in the store as hosts pass it on.
+// Change is a change of a store key in the form in which hosts send it to peers.
 type Change struct {
-	// Event, without its value if there is a patch.
+	// Event has no value if there is a patch.
 	kv.Event
-	// Patch leads from the key's value before to this one; nil: none.
+	// Patch turns the key's previous value into the new one. It may be nil.
 	Patch *delta.Patch
 }
 
-// bytes is about what the change takes in a packet.
+// bytes returns the approximate size of the change in a packet.
 func (c Change) bytes() int {
 	size := len(c.Key) + len(c.Value)
 	if c.Patch != nil {
@@ -31,10 +32,10 @@
 	return size
 }
 
-// Journal keeps the latest changes that a host has taken over, each with the
-// digests before and after it. A host whose digest is one of those before lacks
-// the changes since, and no others. The zero value is empty. It is not safe for
-// concurrent use.
+// Journal keeps the latest changes that a host has applied, each with the digest
+// before and after it. A host whose digest equals the digest before a change lacks
+// exactly this change and the later ones. The zero value is empty. Journal is not
+// safe for concurrent use.
 type Journal struct {
 	steps []step
 	bytes int
@@ -43,20 +44,21 @@
 type step struct {
 	before, after uint64
 	event         kv.Event
-	// base is the value that the event replaced, for a patch.
+	// base is the value that the event replaced. A patch is computed against it.
 	base []byte
-	// change is what is passed on, made when it is asked for first.
+	// change is the form sent to peers. It is computed on first use.
 	change *Change
 }
 
-// Add notes a change of a key that had the value base, if that is known. One that
-// leaves the digest as it is decides nothing, and is left out.
+// Add appends a change of a key. base is the key's previous value, if that is known.
+// A change that leaves the digest unchanged affects no decision and is not recorded.
 func (j *Journal) Add(before, after uint64, e kv.Event, base []byte) {
 	if before == after {
 		return
 	}
 	if n := len(j.steps); n > 0 && j.steps[n-1].after != before {
-		// Something else has changed in between: what came before leads nowhere.
+		// The digest has changed in between without an entry in the journal, so the
+		// earlier steps no longer lead to the current state.
 		j.Reset()
 	}
 	j.steps = append(j.steps, step{before: before, after: after, event: e, base: base})
@@ -67,27 +69,27 @@
 	}
 }
 
-// Reset forgets all changes.
+// Reset removes all changes.
 func (j *Journal) Reset() { *j = Journal{} }
 
-// Since returns the changes that a host with the digest lacks, the first of them if all
-// are more than most bytes; false if they are not known.
-func (j *Journal) Since(digest uint64, most int) ([]Change, bool) {
+// Since returns the changes that a host with the given digest lacks, oldest first and
+// limited to maxBytes. It returns false if the journal does not hold these changes.
+func (j *Journal) Since(digest uint64, maxBytes int) ([]Change, bool) {
 	for i := len(j.steps) - 1; i >= 0; i-- {
 		if j.steps[i].before == digest {
-			return firstOf(j.steps[i:], most), true
+			return firstChanges(j.steps[i:], maxBytes), true
 		}
 	}
 	return nil, false
 }
 
-// firstOf returns the first steps' changes that fit into most bytes.
-func firstOf(steps []step, most int) []Change {
+// firstChanges returns the changes of the first steps, as many as fit into maxBytes.
+func firstChanges(steps []step, maxBytes int) []Change {
 	var out []Change
 	size := 0
 	for i := range steps {
-		c := steps[i].passedOn()
-		if size += c.bytes(); size > most {
+		c := steps[i].toChange()
+		if size += c.bytes(); size > maxBytes {
 			break
 		}
 		out = append(out, c)
@@ -95,14 +97,14 @@
 	return out
 }
 
-// passedOn is the step's change as it is passed on. A value that cannot be packed goes
-// as it is.
-func (s *step) passedOn() Change {
+// toChange returns the step's change in the form that is sent to peers. A value for
+// which no patch can be computed is sent unchanged.
+func (s *step) toChange() Change {
 	if s.change != nil {
 		return *s.change
 	}
 	c := Change{Event: s.event}
-	if len(s.event.Value) >= patchFrom {
+	if len(s.event.Value) >= minPatchBytes {
 		if p, err := delta.New(s.base, s.event.Value); err == nil {
 			c.Value, c.Patch = nil, &p
 		}
@@ -111,23 +113,23 @@
 	return c
 }
 
-// mostSeen bounds the keys that Seen remembers: all of a site of a thousand
-// upstreams that are replaced twice.
-const mostSeen = 4096
+// maxTrackedKeys bounds the keys whose revisions are kept. It is enough for a site of
+// a thousand upstreams that are all replaced twice.
+const maxTrackedKeys = 4096
 
-// KeyRevisions remembers at which revision each key was changed last, as far as a host
-// knows. Changes come from the store and from peers, so one that is older than
-// what is known may come later: an upstream that has left would be back. The zero
-// value is empty. It is not safe for concurrent use.
+// KeyRevisions holds the latest known revision of each key. Changes arrive from the
+// store and from peers, so an older change may arrive after a newer one. Applying it
+// could restore an upstream that has left. The zero value is empty. KeyRevisions is
+// not safe for concurrent use.
 type KeyRevisions struct{ revisions map[string]uint64 }
 
-// IsNewer tells whether a change of a key at a revision is newer than what is known.
+// IsNewer reports whether a revision of a key is newer than the latest known one.
 func (s *KeyRevisions) IsNewer(key string, revision uint64) bool { return revision > s.revisions[key] }
 
-// FilterNewer returns the events that are newer than what is known, only the last one
-// of each key.
+// FilterNewer returns the events that are newer than the known revisions, only the
+// last event of each key, and records their revisions.
 func (s *KeyRevisions) FilterNewer(events []kv.Event) []kv.Event {
-	if s.revisions == nil || len(s.revisions) > mostSeen {
+	if s.revisions == nil || len(s.revisions) > maxTrackedKeys {
 		s.revisions = map[string]uint64{}
 	}
 	last := map[string]uint64{}
@@ -144,7 +146,7 @@
 	return out
 }
 
-// Reset notes what a listing has.
+// Reset replaces all known revisions by those of a listing.
 func (s *KeyRevisions) Reset(items []kv.Item) {
 	s.revisions = make(map[string]uint64, len(items))
 	for _, i := range items {
--- a/internal/follow/journal_test.go
+++ b/internal/follow/journal_test.go
@@ -30,13 +30,13 @@
 	return out
 }
 
-func TestJournalTellsWhatIsLacking(t *testing.T) {
+func TestJournalReturnsMissingChanges(t *testing.T) {
 	g := NewWithT(t)
 	var j follow.Journal
 	j.Add(1, 2, event("a", 10), nil)
-	j.Add(2, 2, event("a mark of life", 11), nil)
+	j.Add(2, 2, event("unchanged digest", 11), nil)
 	j.Add(2, 3, event("b", 12), nil)
-	j.Add(3, 2, event("b gone", 13), nil)
+	j.Add(3, 2, event("b removed", 13), nil)
 	j.Add(2, 4, event("c", 14), nil)
 	for _, c := range []struct {
 		name   string
@@ -44,11 +44,11 @@
 		want   []string
 		known  bool
 	}{
-		{"all of it", 1, []string{"a", "b", "b gone", "c"}, true},
-		{"of a digest that came twice, the later", 2, []string{"c"}, true},
-		{"some", 3, []string{"b gone", "c"}, true},
-		{"never seen", 9, nil, false},
-		{"nothing lacks", 4, nil, false},
+		{"all changes", 1, []string{"a", "b", "b removed", "c"}, true},
+		{"digest that occurred twice, changes since the later one", 2, []string{"c"}, true},
+		{"some changes", 3, []string{"b removed", "c"}, true},
+		{"unknown digest", 9, nil, false},
+		{"up to date", 4, nil, false},
 	} {
 		events, known := j.Since(c.digest, 1000)
 		g.Expect(known).To(Equal(c.known), c.name)
@@ -56,12 +56,12 @@
 	}
 	events, known := j.Since(1, 20)
 	g.Expect(known).To(BeTrue())
-	g.Expect(changedKeys(events)).To(Equal([]string{"a"}), "what fits into one packet, the oldest first")
+	g.Expect(changedKeys(events)).To(Equal([]string{"a"}), "the oldest changes that fit into one packet")
 	events, _ = j.Since(1, 5)
-	g.Expect(events).To(BeEmpty(), "one that does not fit is not cut")
+	g.Expect(events).To(BeEmpty(), "a change that does not fit is not truncated")
 	j.Add(7, 8, event("d", 20), nil)
 	_, known = j.Since(3, 1000)
-	g.Expect(known).To(BeFalse(), "something was learned in between in another way")
+	g.Expect(known).To(BeFalse(), "the digest changed in between without a journal entry")
 }
 
 func TestJournalIsBounded(t *testing.T) {
@@ -77,25 +77,25 @@
 	g.Expect(events).To(HaveLen(10))
 }
 
-// A peer tells a host that an upstream has left. Then the answer of a watch
-// arrives that was made before, in which the upstream still joins. It must not
-// come back.
-func TestOlderChangesComeToNothing(t *testing.T) {
+// A peer reports that an upstream has left. Then the response to an earlier watch
+// arrives, in which the upstream still registers. The older change must not add the
+// upstream again.
+func TestOlderChangesAreFiltered(t *testing.T) {
 	g := NewWithT(t)
 	var s follow.KeyRevisions
 	s.Reset([]kv.Item{{Key: "x", Revision: 5}})
-	gone := kv.Event{Item: kv.Item{Key: "x", Revision: 12}, Deleted: true}
-	g.Expect(keys(s.FilterNewer([]kv.Event{gone}))).To(Equal([]string{"x"}))
+	removal := kv.Event{Item: kv.Item{Key: "x", Revision: 12}, Deleted: true}
+	g.Expect(keys(s.FilterNewer([]kv.Event{removal}))).To(Equal([]string{"x"}))
 	g.Expect(s.FilterNewer([]kv.Event{event("x", 10)})).To(BeEmpty())
-	g.Expect(s.FilterNewer([]kv.Event{event("x", 10), gone})).To(BeEmpty(), "nor again")
+	g.Expect(s.FilterNewer([]kv.Event{event("x", 10), removal})).To(BeEmpty(), "an event that is already known is filtered too")
 	latest := s.FilterNewer([]kv.Event{event("y", 13), event("y", 14), event("x", 15)})
-	g.Expect(keys(latest)).To(Equal([]string{"y", "x"}), "the last of each key")
+	g.Expect(keys(latest)).To(Equal([]string{"y", "x"}), "only the last event of each key")
 	g.Expect(latest[0].Revision).To(Equal(uint64(14)))
 }
 
-// Guards against a change of one route that is passed on as the whole of a large
-// configuration, or not at all: each host then read it from the store.
-func TestALargeValueIsPassedOnAsAPatch(t *testing.T) {
+// Guards against a change of one route that is sent to peers as the full, large
+// configuration, or not sent at all. Each host then had to read it from the store.
+func TestLargeValueIsSentAsPatch(t *testing.T) {
 	g := NewWithT(t)
 	before := []byte(strings.Repeat("a route of the configuration, ", 10_000))
 	after := append([]byte("another route, "), before...)
