--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv is the port to the platform's key-value store: compare-and-swap,
-// leases and watches. The adapter implements it; whoever follows the store or
-// registers in it depends on this package alone.
+// Package kv defines the interface of the platform's key-value store, with
+// compare-and-swap, leases and watches. Package platform implements it. Code that
+// watches the store or registers in it depends only on this package.
 package kv
 
 import (
@@ -11,31 +11,32 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the largest value that the store holds.
+// MaxValueBytes is the size of the largest value that the store accepts.
 const MaxValueBytes = 1 << 20
 
-// Errors of the store. Calls wrap them; test with errors.Is.
+// Errors of the store. Implementations may wrap them; test with errors.Is.
 var (
-	// ErrNotFound says that there is no such key.
+	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("kv: key not found")
-	// ErrLeaseExpired says that there is no such lease any more.
-	ErrLeaseExpired = errors.New("kv: lease lapsed")
-	// ErrCompacted says that the history after the revision is gone: read
-	// the keys again.
+	// ErrLeaseExpired means that the lease does not exist any more.
+	ErrLeaseExpired = errors.New("kv: lease expired")
+	// ErrCompacted means that the store no longer has the history after the
+	// revision; the keys have to be listed again.
 	ErrCompacted = errors.New("kv: history compacted")
-	// ErrTooLarge says that a value exceeds MaxValueBytes; the store was not called.
+	// ErrTooLarge means that a value exceeds MaxValueBytes; the store was not called.
 	ErrTooLarge = errors.New("kv: value too large")
-	// ErrUnavailable says that the call certainly had no effect.
+	// ErrUnavailable means that the call failed and had no effect.
 	ErrUnavailable = errors.New("kv: store unavailable")
-	// ErrOutcomeUnknown says that there was no answer: a write may have taken
-	// effect, or may do so seconds later.
+	// ErrOutcomeUnknown means that there was no response: a write may have taken
+	// effect, or may take effect seconds later.
 	ErrOutcomeUnknown = errors.New("kv: outcome unknown")
 )
 
-// ConflictError refuses a write whose condition does not hold.
+// ConflictError means that a conditional write was rejected, because the key is at
+// another revision.
 type ConflictError struct {
 	Key string
-	// Current is the key's revision now; 0 says that it does not exist.
+	// Current is the current revision of the key, or 0 if it does not exist.
 	Current uint64
 }
 
@@ -43,7 +44,7 @@
 	return fmt.Sprintf("kv: %s is at revision %d", e.Key, e.Current)
 }
 
-// MalformedError says that the store's answer could not be read.
+// MalformedError means that a response of the store could not be decoded.
 type MalformedError struct {
 	Call  string
 	Cause error
@@ -51,57 +52,60 @@
 
 func (e *MalformedError) Error() string { return fmt.Sprintf("kv: answer to %s: %v", e.Call, e.Cause) }
 
-// Item is one key with its value.
+// Item is a key with its value.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision of the last change.
+	// Revision of the latest change of the key.
 	Revision uint64
 }
 
-// Event is one change of a key.
+// Event is a change of a key.
 type Event struct {
 	Item
-	// Deleted says that the key was removed; Value is then empty.
+	// Deleted is true if the key was deleted; Value is then empty.
 	Deleted bool
 }
 
-// Listing is what keys a prefix had. It is read in pages, so changes made
-// meanwhile may be missing: watch on from Revision.
+// Listing holds the keys with a prefix. It is read in pages, so it may lack changes
+// that were made while it was read; a watch from Revision returns them.
 type Listing struct {
 	Items []Item
-	// Revision that no page is older than.
+	// Revision is the lowest revision of any page.
 	Revision uint64
 }
 
-// Changes are the events after a revision.
+// Changes holds the events after a revision.
 type Changes struct {
 	Events []Event
-	// Revision to watch on from.
+	// Revision is where the next watch has to continue.
 	Revision uint64
 }
 
 // Store is the platform's key-value store.
 type Store interface {
-	// List returns the keys that begin with prefix. stale allows an answer
-	// that may be seconds old, at a tenth of the price.
+	// List returns the keys that begin with prefix. stale allows a listing that is
+	// several seconds old, which costs a tenth of a current one.
 	List(ctx context.Context, prefix string, stale bool) (Listing, error)
-	// Watch waits up to wait for a change after the revision. No event means
-	// only that none was seen: a watch may be deaf for a second.
+	// Watch waits up to wait for a change after the revision. A response without
+	// events does not prove that nothing has changed: a watch may fail to receive
+	// changes for up to a second.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error)
-	// Get reads one key.
+	// Get returns a key.
 	Get(ctx context.Context, key string) (Item, error)
-	// Put writes a key, whatever it holds. lease 0 is none.
+	// Put writes a key unconditionally. A lease of 0 means no lease.
 	Put(ctx context.Context, key string, value []byte, lease uint64) error
-	// CompareAndSwap writes a key if it is at revision, 0: does not exist, and returns the new
-	// revision. Otherwise the error is a *ConflictError.
+	// CompareAndSwap writes a key if it is at revision, and returns the new revision.
+	// Revision 0 means that the key must not exist. If the condition does not hold,
+	// the error is a *ConflictError.
 	CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error)
-	// Delete removes a key if it is at revision.
+	// Delete deletes a key if it is at revision. Otherwise the error is a
+	// *ConflictError.
 	Delete(ctx context.Context, key string, revision uint64) error
-	// Grant makes a lease; its keys are removed ttl after the last renewal.
+	// Grant creates a lease. Its keys are deleted ttl after the latest renewal.
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
-	// Renew keeps a lease, or returns ErrLeaseLapsed.
+	// Renew renews a lease, or returns ErrLeaseExpired.
 	Renew(ctx context.Context, lease uint64) error
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease uint64) error
 }
--- a/internal/kv/timeout.go
+++ b/internal/kv/timeout.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// WithTimeout returns store with every call bounded by most beyond its own waiting, for
-// callers that have no bound of their own.
-func WithTimeout(store Store, most time.Duration) Store { return &bounded{store, most} }
+// WithTimeout returns a store that bounds every call of store by timeout, for callers
+// whose contexts have no deadline. A watch may take its own wait in addition.
+func WithTimeout(store Store, timeout time.Duration) Store { return &timeoutStore{store, timeout} }
 
-type bounded struct {
-	store Store
-	most  time.Duration
+type timeoutStore struct {
+	store   Store
+	timeout time.Duration
 }
 
-func within[T any](ctx context.Context, most time.Duration, call func(context.Context) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func callWithTimeout[T any](ctx context.Context, timeout time.Duration, call func(context.Context) (T, error)) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return call(ctx)
 }
 
-func done(ctx context.Context, most time.Duration, call func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func runWithTimeout(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return call(ctx)
 }
 
-func (b *bounded) List(ctx context.Context, prefix string, stale bool) (Listing, error) {
-	return within(ctx, b.most, func(ctx context.Context) (Listing, error) { return b.store.List(ctx, prefix, stale) })
+func (b *timeoutStore) List(ctx context.Context, prefix string, stale bool) (Listing, error) {
+	return callWithTimeout(ctx, b.timeout, func(ctx context.Context) (Listing, error) { return b.store.List(ctx, prefix, stale) })
 }
 
-func (b *bounded) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
-	return within(ctx, wait+b.most, func(ctx context.Context) (Changes, error) { return b.store.Watch(ctx, prefix, after, wait) })
+func (b *timeoutStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
+	return callWithTimeout(ctx, wait+b.timeout, func(ctx context.Context) (Changes, error) { return b.store.Watch(ctx, prefix, after, wait) })
 }
 
-func (b *bounded) Get(ctx context.Context, key string) (Item, error) {
-	return within(ctx, b.most, func(ctx context.Context) (Item, error) { return b.store.Get(ctx, key) })
+func (b *timeoutStore) Get(ctx context.Context, key string) (Item, error) {
+	return callWithTimeout(ctx, b.timeout, func(ctx context.Context) (Item, error) { return b.store.Get(ctx, key) })
 }
 
-func (b *bounded) Put(ctx context.Context, key string, value []byte, lease uint64) error {
-	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Put(ctx, key, value, lease) })
+func (b *timeoutStore) Put(ctx context.Context, key string, value []byte, lease uint64) error {
+	return runWithTimeout(ctx, b.timeout, func(ctx context.Context) error { return b.store.Put(ctx, key, value, lease) })
 }
 
-func (b *bounded) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error) {
-	return within(ctx, b.most, func(ctx context.Context) (uint64, error) {
+func (b *timeoutStore) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte, lease uint64) (uint64, error) {
+	return callWithTimeout(ctx, b.timeout, func(ctx context.Context) (uint64, error) {
 		return b.store.CompareAndSwap(ctx, key, revision, value, lease)
 	})
 }
 
-func (b *bounded) Delete(ctx context.Context, key string, revision uint64) error {
-	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Delete(ctx, key, revision) })
+func (b *timeoutStore) Delete(ctx context.Context, key string, revision uint64) error {
+	return runWithTimeout(ctx, b.timeout, func(ctx context.Context) error { return b.store.Delete(ctx, key, revision) })
 }
 
-func (b *bounded) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	return within(ctx, b.most, func(ctx context.Context) (uint64, error) { return b.store.Grant(ctx, ttl) })
+func (b *timeoutStore) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+	return callWithTimeout(ctx, b.timeout, func(ctx context.Context) (uint64, error) { return b.store.Grant(ctx, ttl) })
 }
 
-func (b *bounded) Renew(ctx context.Context, lease uint64) error {
-	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Renew(ctx, lease) })
+func (b *timeoutStore) Renew(ctx context.Context, lease uint64) error {
+	return runWithTimeout(ctx, b.timeout, func(ctx context.Context) error { return b.store.Renew(ctx, lease) })
 }
 
-func (b *bounded) Revoke(ctx context.Context, lease uint64) error {
-	return done(ctx, b.most, func(ctx context.Context) error { return b.store.Revoke(ctx, lease) })
+func (b *timeoutStore) Revoke(ctx context.Context, lease uint64) error {
+	return runWithTimeout(ctx, b.timeout, func(ctx context.Context) error { return b.store.Revoke(ctx, lease) })
 }
