--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,5 @@
-// Package view holds the immutable snapshot of control state that the control
-// thread publishes and the traffic threads read.
+// Package view holds the immutable snapshot of the control state that the control
+// goroutine publishes and the goroutines that serve requests read.
 package view
 
 import (
@@ -12,51 +12,56 @@
 	"balsambarrow/internal/steer"
 )
 
-// Snapshot is the control state at one moment. It is never modified.
+// Snapshot is the control state at one time. It is never modified after publication.
 type Snapshot struct {
-	// Self is this daemon as its heartbeats show it.
+	// Self is this daemon's state as sent in its heartbeats.
 	Self membership.Member
-	// Config is the version in force; nil until there is one.
+	// Config is the active configuration; nil until there is one.
 	Config *config.Active
-	// ConfirmedAt is when Config was last known to be the store's version.
+	// ConfirmedAt is the latest time at which Config was known to be the version in
+	// the store.
 	ConfirmedAt time.Time
-	// PublishedAt is when the control thread made this snapshot.
+	// PublishedAt is when the control goroutine made this snapshot.
 	PublishedAt time.Time
-	// ConfigVerified says that Config was compared with the store's or the peers'
-	// version since the daemon started or was last paused.
+	// ConfigVerified is true if Config has been compared with the version of the
+	// store or the peers since the daemon started or was last suspended.
 	ConfigVerified bool
-	// Fleet is what is known of every host, for operators.
+	// Fleet holds the known state of every host, for operators.
 	Fleet Fleet
-	// Ready are the ready daemons, this one included if it is ready.
+	// Ready holds the ready daemons, including this one if it is ready.
 	Ready []membership.Member
-	// Steer says where requests run; nil while Config is.
+	// Steer is the routing table of requests; nil while Config is nil.
 	Steer *steer.Table
-	// Lookup says which entry hosts callers are given; nil while Config is.
+	// Lookup is the directory of the entry hosts that lookups return to callers; nil
+	// while Config is nil.
 	Lookup *lookup.Directory
-	// Members are all daemons heard of lately, without this one.
+	// Members holds all daemons with a recent heartbeat, without this one.
 	Members []membership.Member
 }
 
-// Fleet is what a daemon knows of every host that is listed or was heard.
+// Fleet is what a daemon knows of every host that is in the platform's host list or
+// has sent a heartbeat.
 type Fleet struct {
-	// ListedAt is when the host list was last read; zero: never.
+	// ListedAt is when the host list was last read, or zero if it never was.
 	ListedAt time.Time
-	// Hosts by name, without the daemon itself.
+	// Hosts holds the other hosts, ordered by name.
 	Hosts []Host
 }
 
-// Host is one entry host as another daemon knows it.
+// Host is the state of one entry host as known to another daemon.
 type Host struct {
 	Name, Zone string
-	// Listed says that the platform's host list has it.
+	// Listed is true if the host is in the platform's host list.
 	Listed bool
-	// LastReport is the newest account of itself; its Instance is "" if there is none.
+	// LastReport is the latest state that the host has reported of itself. Its
+	// Instance is "" if there is none.
 	LastReport membership.Member
-	// KnownSince is when the host was first listed or heard.
+	// KnownSince is when the host was first listed or first sent a heartbeat.
 	KnownSince time.Time
 }
 
-// Publisher is where the control thread puts the snapshot.
+// Publisher holds the latest snapshot of the control goroutine. It is safe for
+// concurrent use.
 type Publisher struct {
 	p atomic.Pointer[Snapshot]
 }
@@ -72,20 +77,20 @@
 	return &Snapshot{}
 }
 
-// MaxAge is the age at which a snapshot no longer counts as current: the
-// control thread makes one at least every 100 ms, so an older one means that
-// the process was paused: thirty turns, which a loaded host does not miss, and
-// no longer than a change takes to spread.
+// MaxAge is the age from which a snapshot is no longer current. The control
+// goroutine publishes one at least every 100 ms, so an older snapshot means that the
+// process was suspended. The bound is thirty publication intervals, which a host does
+// not miss even under load, and not longer than a change takes to propagate.
 const MaxAge = 3 * time.Second
 
-// Current tells whether requests may be admitted by this snapshot: its
-// configuration was compared with the store's or the peers', and the process
-// has not been paused since.
+// Current reports whether requests may be admitted with this snapshot: its
+// configuration has been compared with the version of the store or the peers, and
+// the process has not been suspended since.
 func (s *Snapshot) Current(now time.Time) bool {
 	return s.Config != nil && s.ConfigVerified && now.Sub(s.PublishedAt) <= MaxAge
 }
 
-// OwnsKey tells whether a key is a customer's in the version in force.
+// OwnsKey reports whether a key belongs to the customer in the active configuration.
 func (s *Snapshot) OwnsKey(digest config.Digest, customer string) bool {
 	if s.Config == nil {
 		return false
@@ -94,7 +99,7 @@
 	return ok && owner.Customer == customer
 }
 
-// Find returns a daemon by its instance.
+// Find returns the daemon with the given instance name.
 func (s *Snapshot) Find(instance string) (membership.Member, bool) {
 	if s.Self.Instance == instance {
 		return s.Self, true
