--- a/internal/telemetry/doc.go
+++ b/internal/telemetry/doc.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up what an operator sees of a daemon: logs as one
-// key=value line per event, metrics, and a trace span per hop. No key of a
-// customer may reach any of them.
+// Package telemetry sets up the logs, metrics and traces of a daemon: logs in logfmt
+// with one line per event, metrics in the Prometheus text format, and one trace span
+// per hop. None of them may contain a customer's API key.
 package telemetry
--- a/internal/telemetry/events.go
+++ b/internal/telemetry/events.go
@@ -10,76 +10,77 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait for the output: a second of the
-	// most that may be written, at some 300 bytes each.
+	// queuedLines bounds the lines that wait for the output. It holds the lines of
+	// one second at the highest rate, with about 300 bytes each.
 	queuedLines = 1024
-	// linesPerSecond bounds each kind of event. A busy host answers a few
-	// hundred requests a second, of which one in a few is told of; a line takes
-	// some 10 µs.
+	// linesPerSecond bounds the lines of each kind of event. A busy host serves
+	// several hundred requests a second and logs a fraction of them; a line costs
+	// about 10 µs.
 	linesPerSecond = 60
 )
 
-// Events writes one key=value line per event without ever making its caller
-// wait: lines go through a queue of fixed size, each kind of event has a number
-// of lines a second, and what is left out is counted and told once a second.
+// Events is an event log that writes one key=value line per event and never blocks
+// its callers: lines go through a queue of fixed size, and each kind of event is rate
+// limited. Dropped lines are counted and reported once a second.
 type Events struct {
 	logger *log.Logger
 	queue  chan []byte
 	out    io.Writer
-	// OnDropped is told how many lines of a kind were left out. Default nil.
+	// OnDropped is called with the number of dropped lines of a kind. Optional.
 	OnDropped func(kind string, n int)
 
-	mu     sync.Mutex
-	second int64
-	lines  map[string]int
-	lost   map[string]int
+	mu      sync.Mutex
+	second  int64
+	lines   map[string]int
+	dropped map[string]int
 }
 
-// NewEvents writes the events of an entry host to w. Run has to be running.
+// NewEvents returns the event log of an entry host, which writes to w. Lines are
+// written by Run, which has to be started.
 func NewEvents(w io.Writer, level, host string) *Events {
-	e := &Events{queue: make(chan []byte, queuedLines), out: w, lines: map[string]int{}, lost: map[string]int{}}
+	e := &Events{queue: make(chan []byte, queuedLines), out: w, lines: map[string]int{}, dropped: map[string]int{}}
 	e.logger = NewLogger(queueWriter{e}, level).With("host", host)
 	return e
 }
 
-// SetLevel changes the least level that is written.
+// SetLevel changes the lowest level that is written. Unknown levels are ignored.
 func (e *Events) SetLevel(level string) {
 	if parsed, err := log.ParseLevel(level); err == nil {
 		e.logger.SetLevel(parsed)
 	}
 }
 
-// queueWriter puts lines into the queue.
+// queueWriter is an io.Writer that adds lines to the queue.
 type queueWriter struct{ e *Events }
 
-// Write implements io.Writer. A line that finds no room is lost.
+// Write implements io.Writer. It drops the line if the queue is full.
 func (q queueWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
 	case q.e.queue <- copied:
 	default:
-		q.e.count("queue-full")
+		q.e.countDropped("queue-full")
 	}
 	return len(line), nil
 }
 
-// Debug writes an event that only developers look for. Pairs are keys and values.
+// Debug logs an event that only developers need. pairs alternates keys and values.
 func (e *Events) Debug(kind string, pairs ...any) { e.write(log.DebugLevel, kind, pairs) }
 
-// Info writes an event that is part of usual work.
+// Info logs an event of normal operation.
 func (e *Events) Info(kind string, pairs ...any) { e.write(log.InfoLevel, kind, pairs) }
 
-// Warn writes an event that something is wrong with.
+// Warn logs an event that indicates a problem.
 func (e *Events) Warn(kind string, pairs ...any) { e.write(log.WarnLevel, kind, pairs) }
 
 func (e *Events) write(level log.Level, kind string, pairs []any) {
-	if level < e.logger.GetLevel() || !e.allowed(kind) {
+	if level < e.logger.GetLevel() || !e.allow(kind) {
 		return
 	}
 	e.logger.Log(level, kind, pairs...)
 }
 
-func (e *Events) allowed(kind string) bool {
+func (e *Events) allow(kind string) bool {
 	second := time.Now().Unix()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,30 +89,30 @@
 		clear(e.lines)
 	}
 	if e.lines[kind] >= linesPerSecond {
-		e.lost[kind]++
+		e.dropped[kind]++
 		return false
 	}
 	e.lines[kind]++
 	return true
 }
 
-func (e *Events) count(kind string) {
+func (e *Events) countDropped(kind string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lost[kind]++
+	e.dropped[kind]++
 }
 
-// Run writes queued lines until stop is closed, and then those that are left.
-// A stalled output stalls only this goroutine.
+// Run writes queued lines until stop is closed, and then the remaining ones. A
+// stalled output blocks only Run.
 func (e *Events) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case line := <-e.queue:
-			e.put(line)
+			e.writeLine(line)
 		case <-tick.C:
-			e.tellLost()
+			e.reportDropped()
 		case <-stop:
 			e.drain()
 			return
@@ -123,27 +124,26 @@
 	for {
 		select {
 		case line := <-e.queue:
-			e.put(line)
+			e.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes one line. Where the output has failed there is nowhere to say so
-// but the count.
-func (e *Events) put(line []byte) {
+// put writes one line. A failed write cannot be logged, so it is only counted.
+func (e *Events) writeLine(line []byte) {
 	if _, err := e.out.Write(line); err != nil {
-		e.count("output-failed")
+		e.countDropped("output-failed")
 	}
 }
 
-func (e *Events) tellLost() {
+func (e *Events) reportDropped() {
 	e.mu.Lock()
-	lost := e.lost
-	e.lost = map[string]int{}
+	dropped := e.dropped
+	e.dropped = map[string]int{}
 	e.mu.Unlock()
-	for kind, n := range lost {
+	for kind, n := range dropped {
 		if e.OnDropped != nil {
 			e.OnDropped(kind, n)
 		}
@@ -151,5 +151,5 @@
 	}
 }
 
-// StdLogger returns a logger for libraries that want one.
+// StdLogger returns a logger of the standard library that writes to the event log.
 func (e *Events) StdLogger() *stdlog.Logger { return e.logger.StandardLog() }
--- a/internal/telemetry/events_test.go
+++ b/internal/telemetry/events_test.go
@@ -12,25 +12,25 @@
 	"balsambarrow/internal/telemetry"
 )
 
-// stalled is an output that takes nothing until it is let go.
-type stalled struct {
+// blockedWriter is an output that blocks until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	buf     bytes.Buffer
 }
 
-func (s *stalled) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(b)
+	return s.buf.Write(b)
 }
 
-// Whoever reads the daemon's output has stopped reading. Requests must go on
-// without waiting for it, and what was left out must be told in the end.
-func TestStalledOutputHoldsNobodyUp(t *testing.T) {
+// The reader of the daemon's output has stopped reading. Callers must not wait for
+// the output, and the dropped lines must be reported once it is read again.
+func TestStalledOutputDoesNotBlockCallers(t *testing.T) {
 	g := NewWithT(t)
-	out := &stalled{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	e := telemetry.NewEvents(out, "info", "h1")
 	dropped := make(chan string, 64)
 	e.OnDropped = func(kind string, _ int) {
@@ -58,8 +58,8 @@
 	g.Eventually(ended, "10s").Should(BeClosed())
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	g.Expect(out.got.String()).To(ContainSubstring("lines dropped"))
-	g.Expect(strings.Count(out.got.String(), "\n")).To(BeNumerically("<", 10_000))
+	g.Expect(out.buf.String()).To(ContainSubstring("lines dropped"))
+	g.Expect(strings.Count(out.buf.String(), "\n")).To(BeNumerically("<", 10_000))
 }
 
 func BenchmarkEvent(b *testing.B) {
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -6,8 +6,8 @@
 	"github.com/charmbracelet/log"
 )
 
-// NewLogger writes one key=value line per event to w. level is debug, info,
-// warn or error, as the settings have checked.
+// NewLogger returns a logger that writes one key=value line per event to w. level is
+// debug, info, warn or error; any other value means info.
 func NewLogger(w io.Writer, level string) *log.Logger {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -14,7 +14,7 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Propagation carries the trace from hop to hop in traceparent headers.
+// Propagation propagates the trace context between hops in traceparent headers.
 var Propagation = propagation.TraceContext{}
 
 // Tracing owns a daemon's tracer.
@@ -24,8 +24,8 @@
 	file     io.Closer
 }
 
-// NewTracing writes one JSON span a line to the file at path; "-" is standard
-// output, and "" writes none.
+// NewTracing returns a tracer that appends spans to the file at path, as JSON with one
+// span per line. "-" means standard output, and "" disables tracing.
 func NewTracing(path string) (*Tracing, error) {
 	if path == "" {
 		return &Tracing{Tracer: noop.NewTracerProvider().Tracer("balsambarrow")}, nil
@@ -40,13 +40,13 @@
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(out))
 	if err != nil {
-		return nil, errors.Wrap(err, "make span exporter")
+		return nil, errors.Wrap(err, "create span exporter")
 	}
 	provider := sdk.NewTracerProvider(sdk.WithBatcher(exporter))
 	return &Tracing{Tracer: provider.Tracer("balsambarrow"), provider: provider, file: out}, nil
 }
 
-// Close writes what is left.
+// Close writes the remaining spans and closes the trace file.
 func (t *Tracing) Close(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
@@ -58,12 +58,12 @@
 	return err
 }
 
-// Inject writes the context's span into the headers of the next hop.
+// Inject writes the span context of ctx into the headers sent to the next hop.
 func Inject(ctx context.Context, h http.Header) {
 	Propagation.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// Extract reads the span of the hop before out of the headers.
+// Extract returns ctx with the span context of the previous hop, read from its headers.
 func Extract(ctx context.Context, h http.Header) context.Context {
 	return Propagation.Extract(ctx, propagation.HeaderCarrier(h))
 }
