--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads the static settings of one daemon: where it runs,
-// where it listens and how it reaches the platform. What operators change
-// while traffic runs is not here but in package config.
+// Package settings reads the static settings of one daemon: its host and zone, its
+// listeners and how it connects to the platform. The configuration that operators
+// change at run time is in package config.
 package settings
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -6,10 +6,10 @@
 	"balsambarrow/internal/settings"
 )
 
-// An operator may write anything into the file: reading it must end in
-// settings that are within their bounds or in a fault, never in a panic.
+// FuzzParse checks that any file content results in settings within their bounds or
+// in an error, never in a panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := settings.Parse("fuzz", text)
 		if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	DefaultMaxRunning      = 4096
 )
 
-// Upper bounds. Beyond them a field is a mistake: a duration would overflow,
+// Upper bounds. Larger values are rejected as mistakes: a duration could overflow,
 // and a limit would no longer protect the host's memory.
 const (
 	maxDurationMs  = 24 * 60 * 60 * 1000
@@ -30,86 +30,87 @@
 	maxRunning     = 1_000_000
 )
 
-// Settings is the daemon's settings file. Every duration is in milliseconds.
+// Settings is the content of the daemon's settings file. Durations are in
+// milliseconds.
 type Settings struct {
-	// Host names the entry host, as the platform's host list does. Required.
+	// Host is the name of the entry host in the platform's host list. Required.
 	Host string `json:"host"`
-	// Zone is the availability zone the host stands in. Required.
+	// Zone is the availability zone of the host. Required.
 	Zone string `json:"zone"`
 	// Listen holds the addresses of the four listeners.
 	Listen Listen `json:"listen"`
-	// Platform says how the platform's store and host list are reached.
+	// Platform configures the connection to the platform's store and host list.
 	Platform Platform `json:"platform"`
-	// TLS protects the peers and relay listeners.
+	// TLS configures mutual TLS of the peers and relay listeners.
 	TLS TLS `json:"tls"`
-	// Limits bounds what callers may send.
+	// Limits bounds the requests of callers.
 	Limits Limits `json:"limits"`
-	// ShutdownTimeoutMs bounds a planned stop. Default 60000.
+	// ShutdownTimeoutMs bounds a graceful shutdown. Default 60000.
 	ShutdownTimeoutMs int64 `json:"shutdown_bound_ms"`
-	// TraceFile receives one JSON span a line; "-" is standard output.
-	// Default "": no spans are written.
+	// TraceFile is the file to which spans are written, as JSON with one span per
+	// line. "-" is standard output. Default "": no spans are written.
 	TraceFile string `json:"trace_file"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `json:"log_level"`
 }
 
-// Listen holds one IP address and port per listener. Port 0 lets the system
-// pick. Default for each: 127.0.0.1:0.
+// Listen holds one IP address and port per listener. With port 0 the system picks a
+// free port. Default for each: 127.0.0.1:0.
 type Listen struct {
-	// Callers serves lookups and the request path over HTTP.
+	// Callers serves lookups and callers' requests over HTTP.
 	Callers string `json:"callers"`
 	// Operators serves configuration, fleet status, health and metrics over HTTP.
 	Operators string `json:"operators"`
-	// Peers serves control messages between daemons over drpc.
+	// Peers serves control messages of other daemons over drpc.
 	Peers string `json:"peers"`
-	// Relay serves requests passed on by other daemons over HTTP.
+	// Relay serves requests forwarded by other daemons over HTTP.
 	Relay string `json:"relay"`
 }
 
-// Platform says how the platform's store and host list are reached.
+// Platform configures the connection to the platform's store and host list.
 type Platform struct {
-	// URL is the base address, http or https, by IP number. Required.
+	// URL is the base URL, http or https, with an IP address as host. Required.
 	URL string `json:"url"`
-	// TimeoutMs bounds one call. Default 2000.
+	// TimeoutMs is the timeout of one call. Default 2000.
 	TimeoutMs int64 `json:"timeout_ms"`
 }
 
-// TLS names the files that authenticate daemons to each other. All three are
-// read again when they change.
+// TLS names the files by which daemons authenticate each other. They are read again
+// when they change.
 type TLS struct {
 	// CertFile and KeyFile are this daemon's certificate and key (PEM).
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
-	// CAFile holds the authority that signed every daemon's certificate (PEM).
+	// CAFile is the certificate of the CA that signs all daemons' certificates (PEM).
 	CAFile string `json:"ca_file"`
-	// Plain allows unauthenticated TCP between daemons. Default false: then
-	// the three files are required.
+	// Plain allows unauthenticated plaintext TCP between daemons. Default false; the
+	// three files are then required.
 	Plain bool `json:"plain"`
 }
 
-// Limits bounds what callers may send.
+// Limits bounds the requests of callers.
 type Limits struct {
-	// MaxHeaderBytes bounds one request's header. Default 16384.
+	// MaxHeaderBytes bounds the header of a request. Default 16384.
 	MaxHeaderBytes int `json:"max_header_bytes"`
-	// MaxBodyBytes bounds one request's body. Default 64 MiB.
+	// MaxBodyBytes bounds the body of a request. Default 64 MiB.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// MaxRunning bounds the requests that run at this host at once. From nine
-	// tenths of it callers are sent elsewhere. Default 4096.
+	// MaxRunning bounds the concurrent requests at this host. From nine tenths of
+	// the limit on, callers are directed to other hosts. Default 4096.
 	MaxRunning int `json:"max_running"`
 }
 
-// PlatformTimeout is the bound of one platform call.
+// PlatformTimeout returns the timeout of one call to the platform.
 func (s *Settings) PlatformTimeout() time.Duration {
 	return time.Duration(s.Platform.TimeoutMs) * time.Millisecond
 }
 
-// ShutdownTimeout is the bound of a planned stop.
+// ShutdownTimeout returns the timeout of a graceful shutdown.
 func (s *Settings) ShutdownTimeout() time.Duration {
 	return time.Duration(s.ShutdownTimeoutMs) * time.Millisecond
 }
 
-// Load reads and checks a settings file. A file that cannot be used gives a
-// jsonc.Faults error.
+// Load reads and validates a settings file. The error of an invalid file is a
+// jsonc.Faults value.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +119,8 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file; name appears in its faults.
+// Parse parses and validates the text of a settings file. name is the file name in its
+// faults.
 func Parse(name string, text []byte) (*Settings, error) {
 	return jsonc.Read(name, text, (*Settings).applyDefaults, (*Settings).faults)
 }
@@ -161,11 +163,11 @@
 		require(!isWildcard(l.address), l.path, "want the address that others reach, not a wildcard")
 	}
 	require(isPlatformURL(s.Platform.URL), "/platform/url", "want http://IP:PORT or https://IP:PORT")
-	require(within(s.Platform.TimeoutMs, maxDurationMs), "/platform/timeout_ms", "want a positive number of milliseconds, a day at most")
-	require(within(s.ShutdownTimeoutMs, maxDurationMs), "/shutdown_bound_ms", "want a positive number of milliseconds, a day at most")
-	require(within(int64(s.Limits.MaxHeaderBytes), maxHeaderBytes), "/limits/max_header_bytes", "want a positive number of bytes, a megabyte at most")
-	require(within(s.Limits.MaxBodyBytes, maxBodyBytes), "/limits/max_body_bytes", "want a positive number of bytes, a gigabyte at most")
-	require(within(int64(s.Limits.MaxRunning), maxRunning), "/limits/max_running", "want a positive number of requests, a million at most")
+	require(inRange(s.Platform.TimeoutMs, maxDurationMs), "/platform/timeout_ms", "want a positive number of milliseconds, a day at most")
+	require(inRange(s.ShutdownTimeoutMs, maxDurationMs), "/shutdown_bound_ms", "want a positive number of milliseconds, a day at most")
+	require(inRange(int64(s.Limits.MaxHeaderBytes), maxHeaderBytes), "/limits/max_header_bytes", "want a positive number of bytes, a megabyte at most")
+	require(inRange(s.Limits.MaxBodyBytes, maxBodyBytes), "/limits/max_body_bytes", "want a positive number of bytes, a gigabyte at most")
+	require(inRange(int64(s.Limits.MaxRunning), maxRunning), "/limits/max_running", "want a positive number of requests, a million at most")
 	require(IsLogLevel(s.LogLevel), "/log_level", "want debug, info, warn or error")
 	if !s.TLS.Plain {
 		require(s.TLS.CertFile != "", "/tls/cert_file", "required unless /tls/plain is true")
@@ -175,16 +177,17 @@
 	return faults
 }
 
-func within(value, most int64) bool { return value > 0 && value <= most }
+func inRange(value, limit int64) bool { return value > 0 && value <= limit }
 
-// IsAddress tells whether s is an IP address and a port.
+// IsAddress reports whether s consists of an IP address and a port.
 func IsAddress(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
 }
 
-// isWildcard tells an address that listens everywhere. The daemon tells callers
-// and peers its addresses: nobody could reach it by this one.
+// isWildcard reports whether s is an unspecified address such as 0.0.0.0. The daemon
+// advertises its listen addresses to callers and peers, who cannot connect to an
+// unspecified address.
 func isWildcard(s string) bool {
 	ap, err := netip.ParseAddrPort(s)
 	return err == nil && ap.Addr().IsUnspecified()
@@ -198,7 +201,7 @@
 	return IsAddress(u.Host)
 }
 
-// IsLogLevel tells whether s is a level of the log.
+// IsLogLevel reports whether s is the name of a log level.
 func IsLogLevel(s string) bool {
 	switch s {
 	case "debug", "info", "warn", "error":
