--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -12,7 +12,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is a parsed JSON-with-comments text.
+// Document is a parsed JSON document with comments.
 type Document struct {
 	name string
 	text []byte
@@ -21,13 +21,13 @@
 
 var syntaxLine = regexp.MustCompile(`line (\d+), column \d+: `)
 
-// MaxDepth bounds the nesting of a document: several times that of any
-// configuration or settings file.
+// MaxDepth bounds the nesting depth of a document. Configuration and settings files
+// are several times less deep.
 const MaxDepth = 64
 
-// Parse reads text. name appears in every fault. The error is a Faults value.
+// Parse parses text. name is the file name in all faults. The error is a Faults value.
 func Parse(name string, text []byte) (*Document, error) {
-	if line := tooDeep(text); line > 0 {
+	if line := lineTooDeep(text); line > 0 {
 		return nil, Faults{{File: name, Line: line, Problem: "nested too deeply"}}
 	}
 	root, err := hujson.Parse(text)
@@ -37,10 +37,10 @@
 	return &Document{name: name, text: text, root: root}, nil
 }
 
-// tooDeep returns the line at which the nesting exceeds MaxDepth, 0 if it
-// never does. The parser recurses, and a stack that is used up ends the whole
-// process: a megabyte of brackets in one patch would stop a daemon.
-func tooDeep(text []byte) int {
+// lineTooDeep returns the line at which the nesting exceeds MaxDepth, or 0 if it never
+// does. The parser is recursive, and a stack overflow ends the whole process: a
+// megabyte of brackets in one patch would stop a daemon.
+func lineTooDeep(text []byte) int {
 	depth := 0
 	for i := 0; i < len(text); i++ {
 		switch text[i] {
@@ -60,7 +60,7 @@
 	return 0
 }
 
-// endOfString returns the offset of the quote that closes the one at i.
+// endOfString returns the offset of the quote that closes the string starting at i.
 func endOfString(text []byte, i int) int {
 	for i++; i < len(text) && text[i] != '"'; i++ {
 		if text[i] == '\\' {
@@ -70,8 +70,8 @@
 	return i
 }
 
-// endOfComment returns the last offset of the comment that begins at i, or i
-// if none does.
+// endOfComment returns the offset of the last byte of the comment that starts at i, or
+// i if no comment starts there.
 func endOfComment(text []byte, i int) int {
 	end := ""
 	switch rest := text[i:]; {
@@ -99,48 +99,48 @@
 	return fault
 }
 
-// StandardJSON returns the document as plain JSON, without comments.
+// StandardJSON returns the document as standard JSON, without comments.
 func (d *Document) StandardJSON() []byte {
 	v := d.root.Clone()
 	v.Standardize()
 	return v.Pack()
 }
 
-// DuplicateNames returns a fault for each name that stands twice in one object, at any
-// depth.
+// DuplicateNames returns a fault for each name that occurs more than once in an
+// object, at any depth.
 func (d *Document) DuplicateNames() Faults {
 	w := walker{doc: d}
-	w.names(d.root, "")
+	w.checkNames(d.root, "")
 	return w.faults
 }
 
-func (w *walker) names(v hujson.Value, path string) {
+func (w *walker) checkNames(v hujson.Value, path string) {
 	switch v.Value.(type) {
 	case *hujson.Object:
-		w.eachMember(v, path, func(_ string, m hujson.ObjectMember, at string) { w.names(m.Value, at) })
+		w.eachMember(v, path, func(_ string, m hujson.ObjectMember, at string) { w.checkNames(m.Value, at) })
 	case *hujson.Array:
 		for i, e := range v.Value.(*hujson.Array).Elements {
-			w.names(e, path+"/"+strconv.Itoa(i))
+			w.checkNames(e, path+"/"+strconv.Itoa(i))
 		}
 	}
 }
 
-// FaultAt makes a fault for the value at path, with the line where it (or its
-// nearest parent that exists) stands.
+// FaultAt returns a fault for the value at path, with the line of the value or, if it
+// does not exist, of its nearest existing parent.
 func (d *Document) FaultAt(path, problem string) Fault {
-	return Fault{File: d.name, Line: d.line(path), Path: path, Problem: problem}
+	return Fault{File: d.name, Line: d.lineOf(path), Path: path, Problem: problem}
 }
 
-func (d *Document) line(path string) int {
+func (d *Document) lineOf(path string) int {
 	for {
 		if v := d.root.Find(path); v != nil {
 			return d.lineAt(v.StartOffset)
 		}
-		cut := strings.LastIndexByte(path, '/')
-		if cut < 0 {
+		slash := strings.LastIndexByte(path, '/')
+		if slash < 0 {
 			return 1
 		}
-		path = path[:cut]
+		path = path[:slash]
 	}
 }
 
@@ -148,9 +148,9 @@
 	return 1 + bytes.Count(d.text[:offset], []byte{'\n'})
 }
 
-// Decode fills dst, a pointer to a struct, and refuses unknown and duplicate
-// names and values of the wrong type. The error is a Faults value with every
-// fault found; dst is then not to be used.
+// Decode decodes the document into dst, a pointer to a struct. It rejects unknown and
+// duplicate names and values of the wrong type. The error is a Faults value with all
+// faults found; dst must not be used then.
 func (d *Document) Decode(dst any) error {
 	if faults, _ := d.DecodeFaults(dst); len(faults) > 0 {
 		return faults
@@ -158,11 +158,11 @@
 	return nil
 }
 
-// DecodeFaults is Decode for a reader that goes on to look for faults of its own, so
-// that all are reported at once. filled says that every value of a known name
-// has the right type; dst then holds them, without the unknown and duplicate
-// names among the faults.
-func (d *Document) DecodeFaults(dst any) (faults Faults, filled bool) {
+// DecodeFaults is like Decode, for callers that validate the decoded values further and
+// report all faults at once. decoded is true if every value of a known name has the
+// right type; dst then holds these values, and faults lists only unknown and duplicate
+// names.
+func (d *Document) DecodeFaults(dst any) (faults Faults, decoded bool) {
 	w := walker{doc: d}
 	w.check(d.root, reflect.TypeOf(dst).Elem(), "")
 	if w.mistyped {
@@ -177,11 +177,11 @@
 type walker struct {
 	doc    *Document
 	faults Faults
-	// mistyped: some value has the wrong type.
+	// mistyped is true if a value has the wrong type.
 	mistyped bool
 }
 
-// wrongType is a fault that leaves a value unread.
+// wrongType adds a fault for a value that cannot be decoded.
 func (w *walker) wrongType(v hujson.Value, path, format string, args ...any) {
 	w.mistyped = true
 	w.fault(v, path, format, args...)
@@ -277,17 +277,17 @@
 		w.wrongType(v, path, "want %s, got null", t.Kind())
 		return
 	}
-	plain, ok := v.Value.(hujson.Literal)
+	literal, ok := v.Value.(hujson.Literal)
 	if !ok {
 		c := v.Clone()
 		c.Standardize()
-		plain = bytes.TrimSpace(c.Pack())
+		literal = bytes.TrimSpace(c.Pack())
 	}
 	if ok && kind(v) == "a string" && t.Kind() == reflect.String && !reflect.PointerTo(t).Implements(unmarshaler) {
 		return
 	}
-	if err := json.Unmarshal(plain, reflect.New(t).Interface()); err != nil {
-		w.wrongType(v, path, "want %s, got %s", t.Kind(), plain)
+	if err := json.Unmarshal(literal, reflect.New(t).Interface()); err != nil {
+		w.wrongType(v, path, "want %s, got %s", t.Kind(), literal)
 	}
 }
 
@@ -310,5 +310,5 @@
 
 var pointerEscapes = strings.NewReplacer("~", "~0", "/", "~1")
 
-// EscapeToken makes a name usable as one step of a JSON pointer.
+// EscapeToken escapes a name for use as a reference token of a JSON pointer.
 func EscapeToken(name string) string { return pointerEscapes.Replace(name) }
--- a/internal/jsonc/fault.go
+++ b/internal/jsonc/fault.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
-	// File is the document's name as the caller gave it.
+	// File is the name of the document as given by the caller.
 	File string `json:"file,omitempty"`
-	// Line counts from 1; 0 means that no line is known.
+	// Line starts at 1; 0 means that the line is unknown.
 	Line int `json:"line,omitempty"`
-	// Path is a JSON pointer (RFC 6901) to the value at fault; "" is the root.
+	// Path is a JSON pointer (RFC 6901) to the invalid value; "" is the root.
 	Path string `json:"path"`
-	// Problem says what is wrong, without the place.
+	// Problem describes the error, without its location.
 	Problem string `json:"problem"`
 }
 
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.Problem)
 }
 
-// Faults is the error of a document that cannot be used. It is never empty.
+// Faults is the error of an invalid document. As an error it is never empty.
 type Faults []Fault
 
 func (fs Faults) Error() string {
--- a/internal/jsonc/fuzz_test.go
+++ b/internal/jsonc/fuzz_test.go
@@ -17,28 +17,28 @@
 	Named map[string]sample `json:"named"`
 }
 
-// FuzzDecode feeds broken and hostile documents. Decode must not panic, must
-// report faults by its own type with a line, and what it accepts must be plain
-// JSON that encoding/json accepts too.
+// FuzzDecode checks invalid and malicious documents. Decode must not panic, must
+// return Faults with a line, and must accept only documents whose standard form
+// encoding/json accepts too.
 func FuzzDecode(f *testing.F) {
 	f.Fuzz(func(t *testing.T, text []byte) {
 		doc, err := jsonc.Parse("f", text)
 		var faults jsonc.Faults
 		if err != nil {
 			if !errors.As(err, &faults) || len(faults) == 0 || faults[0].Line < 1 {
-				t.Fatalf("no fault with a line: %v", err)
+				t.Fatalf("error is not a Faults value with a line: %v", err)
 			}
 			return
 		}
 		if !json.Valid(doc.StandardJSON()) {
-			t.Fatalf("accepted, but its plain form is not JSON: %q", doc.StandardJSON())
+			t.Fatalf("accepted, but its standard form is not valid JSON: %q", doc.StandardJSON())
 		}
 		err = doc.Decode(&sample{})
 		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
-			t.Fatalf("no faults: %v", err)
+			t.Fatalf("error is not a Faults value: %v", err)
 		}
 		if err == nil && len(doc.DuplicateNames()) > 0 {
-			t.Fatalf("accepted a name that stands twice")
+			t.Fatalf("accepted a duplicate name")
 		}
 	})
 }
