--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,9 @@
-// Package clock reads the time that decisions go by.
+// Package clock provides the time used for timeouts, leases and ages.
 //
-// A host may be suspended. CLOCK_MONOTONIC stands still meanwhile, so a daemon
-// that wakes up would believe that its configuration and leases are as fresh
-// as before, and would admit a key that was withdrawn while it slept. The time
-// of day counts the suspension but jumps when it is set. CLOCK_BOOTTIME counts
-// the suspension and never jumps.
+// A host may be suspended. CLOCK_MONOTONIC does not advance during a suspension, so a
+// resumed daemon would consider its configuration and leases as recent as before, and
+// would accept a key that was revoked meanwhile. The wall clock advances, but jumps
+// when it is set. CLOCK_BOOTTIME advances during a suspension and never jumps.
 package clock
 
 import (
@@ -13,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the host's boot, suspensions included, as a point in
-// time. Values of one process compare and subtract; they say nothing about the
-// time of day, nor about the clock of another host.
+// Now returns the time since the host's boot, including suspensions, as a time.Time.
+// Values of one process can be compared and subtracted. They are not related to the
+// wall clock or to the clocks of other hosts.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every Linux kernel since 2.6.39 has the clock. Without it a
-		// suspension goes unnoticed, which is what most programs live with.
+		// All Linux kernels since 2.6.39 have CLOCK_BOOTTIME. Without it the
+		// daemon does not notice a suspension, like most programs.
 		return time.Now()
 	}
 	return time.Unix(ts.Unix())
