--- a/internal/tlsfiles/doc.go
+++ b/internal/tlsfiles/doc.go
@@ -1,7 +1,7 @@
-// Package tlsfiles authenticates daemons to each other by TLS. Certificate,
-// key and authority come from files, and are read again when these change.
+// Package tlsfiles provides mutual TLS between daemons. The certificate, key and CA
+// come from files, which are read again when they change.
 //
-// Whoever holds a certificate of the authority is a daemon of the fleet: the
-// name in it is not compared, since hosts come and go and are known by IP
-// number. The authority must therefore sign nothing else.
+// Every holder of a certificate signed by the CA counts as a daemon of the fleet. The
+// name in the certificate is not checked, because hosts are added and removed and are
+// addressed by IP. The CA must therefore sign nothing but daemons' certificates.
 package tlsfiles
--- a/internal/tlsfiles/source.go
+++ b/internal/tlsfiles/source.go
@@ -15,40 +15,41 @@
 
 // Errors of this package.
 var (
-	// ErrNoCACertificate says that a CA file holds no certificate.
+	// ErrNoCACertificate means that the CA file holds no certificate.
 	ErrNoCACertificate = errors.New("tlsfiles: no certificate in the CA file")
-	// ErrNoCertificate says that a peer showed no certificate.
+	// ErrNoCertificate means that a peer has presented no certificate.
 	ErrNoCertificate = errors.New("tlsfiles: peer shows no certificate")
 )
 
-// Files names the three files, all PEM.
+// Files holds the paths of the three files, all in PEM format.
 type Files struct {
 	Cert, Key, CA string
 }
 
-// contents is what the files held at one moment.
+// contents holds the bytes of the three files.
 type contents struct {
 	cert, key, ca []byte
 }
 
-// material is what the contents mean.
-type material struct {
+// credentials holds the parsed contents.
+type credentials struct {
 	contents
 	certificate tls.Certificate
-	authority   *x509.CertPool
-	// trusted are the digests ([32]byte) of clients' certificates that were
-	// checked against this authority; a fleet has one or two for each daemon.
-	trusted sync.Map
+	caPool      *x509.CertPool
+	// verifiedClients holds the SHA-256 digests ([32]byte) of the client
+	// certificates that were verified against this CA. There are one or two for
+	// each daemon of the fleet.
+	verifiedClients sync.Map
 }
 
-// Source holds the certificate in force. It is safe for concurrent use;
-// Refresh is for one goroutine.
+// Source holds the current credentials. It is safe for concurrent use, except that
+// only one goroutine may call Refresh.
 type Source struct {
 	files   Files
-	current atomic.Pointer[material]
+	current atomic.Pointer[credentials]
 }
 
-// Load reads the files.
+// Load reads the files and returns a Source.
 func Load(files Files) (*Source, error) {
 	s := &Source{files: files}
 	if _, err := s.Refresh(); err != nil {
@@ -57,15 +58,15 @@
 	return s, nil
 }
 
-// Refresh reads the files again and reports whether they changed. Files that
-// cannot be used leave the ones before in force: a certificate and a key are
-// replaced one after the other, and between the two they do not fit.
+// Refresh reads the files again and reports whether they have changed. If they are
+// unusable, the previous credentials stay in use: a certificate and its key are
+// replaced one after the other, and do not match in between.
 func (s *Source) Refresh() (changed bool, err error) {
 	read, err := s.files.read()
 	if err != nil {
 		return false, err
 	}
-	if now := s.current.Load(); now != nil && now.equal(read) {
+	if current := s.current.Load(); current != nil && current.equal(read) {
 		return false, nil
 	}
 	next, err := parse(read)
@@ -78,12 +79,12 @@
 
 func (f Files) read() (contents, error) {
 	var c contents
-	for path, into := range map[string]*[]byte{f.Cert: &c.cert, f.Key: &c.key, f.CA: &c.ca} {
+	for path, dst := range map[string]*[]byte{f.Cert: &c.cert, f.Key: &c.key, f.CA: &c.ca} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return contents{}, errors.Wrap(err, "read TLS file")
 		}
-		*into = text
+		*dst = text
 	}
 	return c, nil
 }
@@ -92,85 +93,85 @@
 	return bytes.Equal(c.cert, other.cert) && bytes.Equal(c.key, other.key) && bytes.Equal(c.ca, other.ca)
 }
 
-func parse(c contents) (*material, error) {
+func parse(c contents) (*credentials, error) {
 	certificate, err := tls.X509KeyPair(c.cert, c.key)
 	if err != nil {
 		return nil, errors.Wrap(err, "read certificate and key")
 	}
-	authority := x509.NewCertPool()
-	if !authority.AppendCertsFromPEM(c.ca) {
+	caPool := x509.NewCertPool()
+	if !caPool.AppendCertsFromPEM(c.ca) {
 		return nil, ErrNoCACertificate
 	}
-	return &material{contents: c, certificate: certificate, authority: authority}, nil
+	return &credentials{contents: c, certificate: certificate, caPool: caPool}, nil
 }
 
-// ServerConfig returns the configuration of a listener. Each handshake uses what is
-// in force at that moment.
+// ServerConfig returns the TLS configuration of a listener. Each handshake uses the
+// credentials that are current at that time.
 func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			now := s.current.Load()
+			current := s.current.Load()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{now.certificate},
+				Certificates: []tls.Certificate{current.certificate},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    now.authority,
-				// A resumed session would outlive the authority that let it in.
+				ClientCAs:    current.caPool,
+				// A resumed session would stay valid after its CA was replaced.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
 	}
 }
 
-// ClientConfig returns the configuration of one new connection to another daemon.
+// ClientConfig returns the TLS configuration of one new connection to another daemon.
 //
-// The library's own check is replaced because it compares names. The chain to
-// the authority, the dates and the purpose are checked here, on every
-// handshake; without that anyone who can answer at a daemon's address would be
-// given callers' requests.
+// The default verification of crypto/tls is replaced, because it compares names.
+// VerifyConnection checks the chain to the CA, the validity period and the key usage
+// on every handshake. Without this check, anyone who can listen at a daemon's address
+// would receive callers' requests.
 func (s *Source) ClientConfig() *tls.Config {
-	now := s.current.Load()
+	current := s.current.Load()
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		Certificates:       []tls.Certificate{now.certificate},
+		Certificates:       []tls.Certificate{current.certificate},
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return verify(now.authority, state, x509.ExtKeyUsageServerAuth)
+			return verifyPeer(current.caPool, state, x509.ExtKeyUsageServerAuth)
 		},
 	}
 }
 
-// VerifyClient checks the client of a standing connection against the authority in
-// force now. A connection that is in use outlives the files that it was made
-// by: a daemon whose authority was withdrawn would go on being believed.
+// VerifyClient verifies the client certificate of an established connection against
+// the current CA. A connection may outlive the credentials with which it was opened;
+// without this check, a client would stay trusted after its CA was replaced.
 func (s *Source) VerifyClient(state *tls.ConnectionState) error {
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
 	}
-	now := s.current.Load()
+	current := s.current.Load()
 	leaf := state.PeerCertificates[0]
 	digest := sha256.Sum256(leaf.Raw)
-	if _, known := now.trusted.Load(digest); known && time.Now().Before(leaf.NotAfter) {
+	if _, known := current.verifiedClients.Load(digest); known && time.Now().Before(leaf.NotAfter) {
 		return nil
 	}
-	if err := verify(now.authority, *state, x509.ExtKeyUsageClientAuth); err != nil {
+	if err := verifyPeer(current.caPool, *state, x509.ExtKeyUsageClientAuth); err != nil {
 		return err
 	}
-	now.trusted.Store(digest, struct{}{})
+	current.verifiedClients.Store(digest, struct{}{})
 	return nil
 }
 
-func verify(authority *x509.CertPool, state tls.ConnectionState, usage x509.ExtKeyUsage) error {
+func verifyPeer(caPool *x509.CertPool, state tls.ConnectionState, usage x509.ExtKeyUsage) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: authority, Intermediates: between, CurrentTime: time.Now(),
+		Roots: caPool, Intermediates: intermediates, CurrentTime: time.Now(),
 		KeyUsages: []x509.ExtKeyUsage{usage},
 	})
 	return errors.Wrap(err, "verify peer")
--- a/internal/tlsfiles/source_test.go
+++ b/internal/tlsfiles/source_test.go
@@ -21,13 +21,13 @@
 	"balsambarrow/internal/tlsfiles"
 )
 
-// authority signs certificates for tests.
-type authority struct {
+// testCA is a CA that signs certificates for tests.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newCA(t *testing.T) *testCA {
 	t.Helper()
 	g := NewWithT(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -41,11 +41,12 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	cert, err := x509.ParseCertificate(der)
 	g.Expect(err).NotTo(HaveOccurred())
-	return &authority{cert: cert, key: key}
+	return &testCA{cert: cert, key: key}
 }
 
-// write puts a certificate that ends at until into dir, with this authority.
-func (a *authority) write(t *testing.T, dir string, until time.Time) tlsfiles.Files {
+// write writes a new certificate that is valid until the given time into dir, with its
+// key and the CA's certificate.
+func (a *testCA) write(t *testing.T, dir string, until time.Time) tlsfiles.Files {
 	t.Helper()
 	g := NewWithT(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -69,16 +70,16 @@
 	return files
 }
 
-func (a *authority) source(t *testing.T, until time.Time) *tlsfiles.Source {
+func (a *testCA) source(t *testing.T, until time.Time) *tlsfiles.Source {
 	t.Helper()
 	s, err := tlsfiles.Load(a.write(t, t.TempDir(), until))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-// talk lets a client of one configuration read a byte from a server of
-// another; both must agree.
-func talk(t *testing.T, client, server *tls.Config) error {
+// readByte connects a client to a server with the given configurations and reads one
+// byte. It fails if either side rejects the other.
+func readByte(t *testing.T, client, server *tls.Config) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -100,35 +101,35 @@
 	return err
 }
 
-// Someone who can reach a daemon's port, or answer at its address, without a
-// certificate of the fleet must get nowhere.
-func TestOnlyTheFleetsCertificatesAreBelieved(t *testing.T) {
+// A client or server without a valid certificate of the fleet's CA must be rejected,
+// even if it can connect to a daemon's port or listen at its address.
+func TestOnlyFleetCertificatesAreAccepted(t *testing.T) {
 	g := NewWithT(t)
 	soon := time.Now().Add(time.Hour)
-	fleet, stranger := newAuthority(t), newAuthority(t)
+	fleet, stranger := newCA(t), newCA(t)
 	good, wrong := fleet.source(t, soon), stranger.source(t, soon)
 	expired := fleet.source(t, time.Now().Add(-time.Hour))
-	bare := good.ClientConfig()
-	bare.Certificates = nil
+	noCertificate := good.ClientConfig()
+	noCertificate.Certificates = nil
 
-	g.Expect(talk(t, good.ClientConfig(), good.ServerConfig())).To(Succeed())
+	g.Expect(readByte(t, good.ClientConfig(), good.ServerConfig())).To(Succeed())
 	for name, pair := range map[string][2]*tls.Config{
 		"client of another authority": {wrong.ClientConfig(), good.ServerConfig()},
 		"server of another authority": {good.ClientConfig(), wrong.ServerConfig()},
-		"client without certificate":  {bare, good.ServerConfig()},
+		"client without certificate":  {noCertificate, good.ServerConfig()},
 		"expired client":              {expired.ClientConfig(), good.ServerConfig()},
 		"expired server":              {good.ClientConfig(), expired.ServerConfig()},
 	} {
-		g.Expect(talk(t, pair[0], pair[1])).NotTo(Succeed(), name)
+		g.Expect(readByte(t, pair[0], pair[1])).NotTo(Succeed(), name)
 	}
 }
 
-// An operator replaces the three files, one after the other, by those of a new
-// authority. Half-written files change nothing; whole ones count at once.
-func TestChangedFilesCount(t *testing.T) {
+// An operator replaces the three files one after the other with those of a new CA.
+// Partially written files change nothing; complete files take effect at once.
+func TestChangedFilesTakeEffect(t *testing.T) {
 	g := NewWithT(t)
 	soon := time.Now().Add(time.Hour)
-	before, after := newAuthority(t), newAuthority(t)
+	before, after := newCA(t), newCA(t)
 	dir := t.TempDir()
 	files := before.write(t, dir, soon)
 	s, err := tlsfiles.Load(files)
@@ -138,12 +139,12 @@
 	changed, err := s.Refresh()
 	g.Expect(changed).To(BeFalse())
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(talk(t, before.source(t, soon).ClientConfig(), server)).To(Succeed())
+	g.Expect(readByte(t, before.source(t, soon).ClientConfig(), server)).To(Succeed())
 
 	after.write(t, dir, soon)
 	changed, err = s.Refresh()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(changed).To(BeTrue())
-	g.Expect(talk(t, after.source(t, soon).ClientConfig(), server)).To(Succeed())
-	g.Expect(talk(t, before.source(t, soon).ClientConfig(), server)).NotTo(Succeed())
+	g.Expect(readByte(t, after.source(t, soon).ClientConfig(), server)).To(Succeed())
+	g.Expect(readByte(t, before.source(t, soon).ClientConfig(), server)).NotTo(Succeed())
 }
