--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -16,11 +16,11 @@
 	// that has gone silent is detected only by this timeout.
 	responseTimeout = 1200 * time.Millisecond
 	// minBackoff and maxBackoff bound the pause after a failed call, before jitter;
-	// Timing.MaxBackoff may raise the upper bound. The platform
-	// charges for failed calls too, and all hosts reconnect at once after an
-	// outage. The pause is still short enough that a host learns which upstreams
-	// have left well before it counts as connected again, which is four seconds
-	// after the end of the outage.
+	// Timing.MaxBackoff may raise the upper bound. A pause is needed because the
+	// platform charges for failed calls too, and all hosts reconnect at once after
+	// an outage. It is short enough that a host learns which upstreams have left
+	// well before it counts as connected again, which is four seconds after the end
+	// of the outage.
 	minBackoff = 80 * time.Millisecond
 	maxBackoff = 250 * time.Millisecond
 )
--- a/internal/follow/journal.go
+++ b/internal/follow/journal.go
@@ -11,7 +11,7 @@
 	// values.
 	maxSteps     = 1024
 	maxStepBytes = 2 << 20
-	// patchFrom is the size in bytes from which a value is sent as a patch.
+	// minPatchBytes is the size in bytes from which a value is sent as a patch.
 	minPatchBytes = 4 << 10
 )
 
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// DecodeFaults is like Decode, for callers that validate the decoded values further and
-// report all faults at once. decoded is true if every value of a known name has the
+// DecodeFaults is like Decode, for callers that validate the decoded values further
+// and report all faults at once. decoded is true if every value of a known name has the
 // right type; dst then holds these values, and faults lists only unknown and duplicate
 // names.
 func (d *Document) DecodeFaults(dst any) (faults Faults, decoded bool) {
--- a/internal/telemetry/events.go
+++ b/internal/telemetry/events.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// put writes one line. A failed write cannot be logged, so it is only counted.
+// writeLine writes one line. A failed write cannot be logged, so it is only counted.
 func (e *Events) writeLine(line []byte) {
 	if _, err := e.out.Write(line); err != nil {
 		e.countDropped("output-failed")
