--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -72,13 +72,13 @@
 
 type candidate struct {
 	*upstream
-	path   *zonePath
-	weight uint64
-	cold   bool
-	warm   bool
-	finish time.Duration
-	cost   time.Duration
-	wait   time.Duration
+	path     *zonePath
+	weight   uint64
+	cold     bool
+	warm     bool
+	latency  time.Duration
+	cost     time.Duration
+	queueing time.Duration
 }
 
 // Choose places a request. The error is a *NoneError or a *FullError.
@@ -102,11 +102,11 @@
 	for len(list) > 0 {
 		i := cheapest(list)
 		c := list[i]
-		c.standing.observe(now, c.wait)
-		if allowed := t.queueLimit(now, q, c); c.wait > allowed {
-			return Choice{}, &QueueLimitError{q.Service, c.wait, allowed}
+		c.standingQueue.observe(now, c.queueing)
+		if allowed := t.queueLimit(now, q, c); c.queueing > allowed {
+			return Choice{}, &QueueLimitError{q.Service, c.queueing, allowed}
 		}
-		if c.cold && !c.slowStart.take(now, t.coldRate(c.Service)) {
+		if c.cold && !c.slowStart.allow(now, t.coldRate(c.Service)) {
 			last := len(list) - 1
 			list[i] = list[last]
 			list = list[:last]
@@ -119,7 +119,7 @@
 		c.load.inflight++
 		t.shares.observe(now, c.region)
 		return Choice{
-			ID: c.ID, Address: c.Address, Zone: c.Zone, Region: c.region, ExpectedLatency: c.finish, ExpectedQueueing: c.wait,
+			ID: c.ID, Address: c.Address, Zone: c.Zone, Region: c.region, ExpectedLatency: c.latency, ExpectedQueueing: c.queueing,
 			upstream: c.upstream, object: object, route: q.Route, Warm: warm, cold: c.cold,
 		}, nil
 	}
@@ -140,7 +140,7 @@
 
 // queueLimit is how long the request may wait at a candidate.
 func (t *Table) queueLimit(now time.Time, q Query, c candidate) time.Duration {
-	rest := c.finish - c.wait
+	rest := c.latency - c.queueing
 	r := t.queueLimits[q.Service]
 	if r == nil {
 		r = queueLimits{}
@@ -151,11 +151,11 @@
 		target = q.Remaining
 	}
 	wait := min(r.limit(now, q.Priority, target, rest), max(q.Remaining-rest, 0))
-	if inTime := inTimeWait(target, rest); rest < target && c.standing.wait(now) > inTime {
+	if inTime := onTimeQueueLimit(target, rest); rest < target && c.standingQueue.shortest(now) > inTime {
 		wait = min(wait, inTime)
 	}
 	if q.OverRate {
-		return min(wait, time.Duration(overRateQueuePart*float64(inTimeWait(target, rest))))
+		return min(wait, time.Duration(overRateQueuePart*float64(onTimeQueueLimit(target, rest))))
 	}
 	return wait
 }
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -20,8 +20,8 @@
 	for i := range list {
 		c := &list[i]
 		load := c.load.estimate(now)
-		e.finish(c, load)
-		e.cost(c, load)
+		e.estimateLatency(c, load)
+		e.estimateCost(c, load)
 	}
 	if object == 0 {
 		return
@@ -29,10 +29,10 @@
 	top := rank(list)
 	for place, i := range top.index[:top.n] {
 		// The others have the last rank.
-		list[i].cost -= time.Duration(maxRanks-place) * e.rank
+		list[i].cost -= time.Duration(maxRanks-place) * e.rankPenalty
 	}
 	if first := &list[top.index[0]]; t.needsFirstObject(now, *first) {
-		first.cost = first.wait
+		first.cost = first.queueing
 	}
 }
 
@@ -41,51 +41,51 @@
 	table *Table
 	query Query
 	// affine says that the request is about an object.
-	affine bool
-	route  *serviceTime
+	hasAffinity bool
+	route       *serviceTime
 	// queued is how long a request that waits takes.
-	queued time.Duration
+	queuedServiceTime time.Duration
 	// rank and away are added for each rank and where the object has not its home.
-	rank, away time.Duration
+	rankPenalty, awayPenalty time.Duration
 	// homeHere says that its home is in this region.
-	homeHere bool
+	homeIsLocal bool
 }
 
 func (t *Table) estimator(q Query, object Object) *estimator {
 	route := getOrCreate(t.serviceTimes, q.Route)
 	route.setInitial(q.Target)
 	return &estimator{
-		table: t, query: q, affine: object != 0, route: route, queued: t.queuedWork(q.Service, route),
-		rank: time.Duration(rankPenaltyPart * float64(route.affinityGain())), away: t.awayPenalty(route),
-		homeHere: t.links.staysInZone(q.Route) || t.isHomeRegion(object),
+		table: t, query: q, hasAffinity: object != 0, route: route, queuedServiceTime: t.queuedServiceTime(q.Service, route),
+		rankPenalty: time.Duration(rankPenaltyPart * float64(route.affinityGain())), awayPenalty: t.awayPenalty(route),
+		homeIsLocal: t.links.isZoneLocal(q.Route) || t.isHomeRegion(object),
 	}
 }
 
 // finish fills in how long the request would wait and take where load requests are.
-func (e *estimator) finish(c *candidate, load float64) {
-	c.wait = queueTime(load, c.Slots, time.Duration(float64(e.queued)*c.health.slowness))
+func (e *estimator) estimateLatency(c *candidate, load float64) {
+	c.queueing = queueTime(load, c.Slots, time.Duration(float64(e.queuedServiceTime)*c.health.slowness))
 	work := time.Duration(float64(e.route.estimate(c.warm)) * c.health.slowness)
-	c.finish = work + c.wait + c.path.roundTrip
+	c.latency = work + c.queueing + c.path.roundTrip
 }
 
 // cost adds what a choice costs others to the finish of a candidate of the last rank.
-func (e *estimator) cost(c *candidate, load float64) {
-	c.cost = c.finish + c.path.transferCost + time.Duration(c.health.failures*float64(failureCost))
-	if !e.affine {
+func (e *estimator) estimateCost(c *candidate, load float64) {
+	c.cost = c.latency + c.path.transferCost + time.Duration(c.health.failures*float64(failureCost))
+	if !e.hasAffinity {
 		return
 	}
-	c.cost += maxRanks * e.rank
+	c.cost += maxRanks * e.rankPenalty
 	if c.warm {
 		return
 	}
-	c.cost += displacedWork(load, c.Slots, e.route)
-	if c.path.local != e.homeHere {
-		c.cost += e.away
+	c.cost += displacementCost(load, c.Slots, e.route)
+	if c.path.local != e.homeIsLocal {
+		c.cost += e.awayPenalty
 	}
 }
 
 // queuedWork is how long a request that waits at an upstream of a service takes.
-func (t *Table) queuedWork(service string, route *serviceTime) time.Duration {
+func (t *Table) queuedServiceTime(service string, route *serviceTime) time.Duration {
 	if usual := getOrCreate(t.queuedTimes, service); usual.samples > 0 {
 		return usual.value
 	}
@@ -108,12 +108,12 @@
 	nearest := -1
 	for i := range list {
 		c := &list[i]
-		c.warm = c.mark == t.mark
+		c.warm = c.warmForQuery == t.querySequence
 		if c.Zone == t.self.Zone && (nearest < 0 || c.weight > list[nearest].weight) {
 			nearest = i
 		}
 	}
-	if nearest >= 0 && t.links.staysInZone(q.Route) {
+	if nearest >= 0 && t.links.isZoneLocal(q.Route) {
 		list[nearest].warm = true
 	}
 }
@@ -127,7 +127,7 @@
 // would wait long where they are warm go where they are cold as soon as that is
 // a little sooner for themselves; each then takes the room of several, all queues
 // grow, and more go cold, long after the burst that began it.
-func displacedWork(load float64, slots int, w *serviceTime) time.Duration {
+func displacementCost(load float64, slots int, w *serviceTime) time.Duration {
 	busy := min(load/float64(slots), maxDisplaced)
 	return time.Duration(busy * float64(w.affinityGain()))
 }
--- a/internal/place/firstobject.go
+++ b/internal/place/firstobject.go
@@ -16,5 +16,5 @@
 
 // needsFirstObject tells whether a candidate gets an object because nobody has asked it yet.
 func (t *Table) needsFirstObject(now time.Time, first candidate) bool {
-	return !first.used && now.Sub(first.since) >= joinDelay && t.isSlowStartSender(first.upstream)
+	return !first.hasReceived && now.Sub(first.firstSeen) >= joinDelay && t.isSlowStartSender(first.upstream)
 }
--- a/internal/place/gossip.go
+++ b/internal/place/gossip.go
@@ -5,7 +5,7 @@
 const (
 	// gossipEvery is how often the hosts tell each other again that an object is
 	// still warm; well below the time for which that is believed.
-	gossipEvery = 8 * time.Second
+	gossipInterval = 8 * time.Second
 	// maxWarmReports bounds the size of a heartbeat.
 	maxWarmReports = 120
 )
@@ -27,7 +27,7 @@
 	var out []WarmReport
 	for _, w := range t.byID {
 		for object, known := range w.warm {
-			if now.Sub(known.at) > gossipEvery || now.Sub(known.gossipedAt) < gossipEvery {
+			if now.Sub(known.lastUsed) > gossipInterval || now.Sub(known.gossipedAt) < gossipInterval {
 				continue
 			}
 			if len(out) == maxWarmReports {
--- a/internal/place/holders.go
+++ b/internal/place/holders.go
@@ -11,7 +11,7 @@
 // recordSent notes that an upstream is sent a request about an object.
 func (t *Table) recordSent(now time.Time, w *upstream, object Object) {
 	t.addHolder(w, object)
-	w.markSent(now, object)
+	w.markUsed(now, object)
 }
 
 // addHolder makes room for an object at an upstream that does not know it yet. One that has
@@ -54,10 +54,10 @@
 
 // markHolders marks the upstreams that are warm for an object.
 func (t *Table) markHolders(now time.Time, object Object) {
-	t.mark++
+	t.querySequence++
 	for _, w := range t.holders[object] {
 		if w.isWarm(now, object) {
-			w.mark = t.mark
+			w.warmForQuery = t.querySequence
 		}
 	}
 }
--- a/internal/place/holders_test.go
+++ b/internal/place/holders_test.go
@@ -12,7 +12,7 @@
 
 // Guards against memory that grows with each object ever asked for, and with answers of
 // upstreams that have left meanwhile.
-func TestHoldersAreThoseThatKnowAnObject(t *testing.T) {
+func TestHoldersAreBoundedAndExcludeRemovedUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	table := NewTable(Host{Instance: "me", Zone: "z", Region: "r"}, map[string]string{"z": "r"})
--- a/internal/place/home.go
+++ b/internal/place/home.go
@@ -13,14 +13,14 @@
 const (
 	// awayPart of what warm work saves is added, beside the way to the farthest
 	// region, to the expected finish where an object has not its home.
-	awayPart = 0.25
+	awayPenaltyPart = 0.25
 )
 
 // awayPenalty is added to the expected finish where an object has not its home: more
 // than the way between regions, so that the home counts, and no more than what is
 // lost by cold work.
 func (t *Table) awayPenalty(route *serviceTime) time.Duration {
-	return min(t.links.longestRoundTrip()+time.Duration(awayPart*float64(route.affinityGain())), route.affinityGain())
+	return min(t.links.longestRoundTrip()+time.Duration(awayPenaltyPart*float64(route.affinityGain())), route.affinityGain())
 }
 
 // homeShare is the part of this region's objects that has its home here, by the slots
--- a/internal/place/hot_test.go
+++ b/internal/place/hot_test.go
@@ -14,28 +14,28 @@
 // queueingUpstream works on requests in the order in which they come.
 type queueingUpstream struct {
 	// free is when each slot is free again.
-	free []time.Time
+	slotFreeAt []time.Time
 }
 
 // take returns when a request that comes now is answered.
-func (u *queueingUpstream) take(now time.Time, work time.Duration) time.Time {
+func (u *queueingUpstream) serve(now time.Time, work time.Duration) time.Time {
 	first := 0
-	for i, at := range u.free {
-		if at.Before(u.free[first]) {
+	for i, at := range u.slotFreeAt {
+		if at.Before(u.slotFreeAt[first]) {
 			first = i
 		}
 	}
-	if u.free[first].Before(now) {
-		u.free[first] = now
+	if u.slotFreeAt[first].Before(now) {
+		u.slotFreeAt[first] = now
 	}
-	u.free[first] = u.free[first].Add(work)
-	return u.free[first]
+	u.slotFreeAt[first] = u.slotFreeAt[first].Add(work)
+	return u.slotFreeAt[first]
 }
 
 // busy is how many requests run or wait, if each takes work.
-func (u *queueingUpstream) busy(now time.Time, work time.Duration) int {
+func (u *queueingUpstream) pending(now time.Time, work time.Duration) int {
 	n := 0
-	for _, at := range u.free {
+	for _, at := range u.slotFreeAt {
 		if at.After(now) {
 			n += int((at.Sub(now) + work - 1) / work)
 		}
@@ -44,19 +44,19 @@
 }
 
 // played is what callers got.
-type played struct{ sent, inTime, refused int }
+type callerResults struct{ sent, inTime, refused int }
 
 // playHotCustomer sends requests for five seconds to four upstreams of four slots:
 // a customer within its rate asks for half of what they can do, and one over its
 // rate is admitted for as much as they can do. It returns what each got.
-func playHotCustomer(t *testing.T, over bool) (within, hot played) {
+func simulateHotCustomer(t *testing.T, over bool) (within, hot callerResults) {
 	const work, target = 100 * time.Millisecond, 300 * time.Millisecond
 	g := NewWithT(t)
 	table := newTable(t, "a1")
 	upstreams := map[string]*queueingUpstream{}
 	for i := range 4 {
 		u := upstream(fmt.Sprint("u-", i), "a1")
-		upstreams[u.ID] = &queueingUpstream{free: make([]time.Time, u.Slots)}
+		upstreams[u.ID] = &queueingUpstream{slotFreeAt: make([]time.Time, u.Slots)}
 		table.PutUpstream(start, u)
 	}
 	type open struct {
@@ -73,7 +73,7 @@
 				left = append(left, o)
 				continue
 			}
-			told := traffic.Load{Running: 1 + upstreams[o.choice.ID].busy(o.at, work), Slots: 4}
+			told := traffic.Load{Running: 1 + upstreams[o.choice.ID].pending(o.at, work), Slots: 4}
 			table.Done(o.at, o.choice, place.Report{Result: place.Succeeded, TimeToHeader: o.took, HasLoad: true, Load: told})
 		}
 		running = left
@@ -92,7 +92,7 @@
 			who.refused++
 			continue
 		}
-		at := upstreams[c.ID].take(now, work)
+		at := upstreams[c.ID].serve(now, work)
 		if at.Sub(now) <= target {
 			who.inTime++
 		}
@@ -105,10 +105,10 @@
 // A customer asks for several times its rate, and what it is admitted fills the
 // upstreams. Without a bound of its own its requests stand in every queue, and the
 // callers of all other customers get their answers late.
-func TestCustomerOverItsRateLeavesTheQueuesToOthers(t *testing.T) {
+func TestCustomerOverRateDoesNotDelayOthers(t *testing.T) {
 	g := NewWithT(t)
-	before, hotBefore := playHotCustomer(t, false)
-	now, hotNow := playHotCustomer(t, true)
+	before, hotBefore := simulateHotCustomer(t, false)
+	now, hotNow := simulateHotCustomer(t, true)
 	t.Logf("in time of the customer within its rate: %d of %d, before %d", now.inTime, now.sent, before.inTime)
 	t.Logf("in time of the other: %d of %d (%d refused), before %d (%d refused)",
 		hotNow.inTime, hotNow.sent, hotNow.refused, hotBefore.inTime, hotBefore.refused)
--- a/internal/place/links.go
+++ b/internal/place/links.go
@@ -15,22 +15,22 @@
 	zoneCostPerKB   = 2500 * time.Microsecond
 	// staysInZoneBytes is the size of answer from which a route has a home in each
 	// zone: its transfer to another zone weighs as much as warm work.
-	staysInZoneBytes = 30_000
+	zoneLocalBytes = 30_000
 	// initialAnswerBytes is assumed of an answer before any has come.
-	initialAnswerBytes = 4000
-	rttGain            = 0.2
-	bytesGain          = 0.1
+	initialResponseBytes = 4000
+	rttGain              = 0.2
+	bytesGain            = 0.1
 )
 
 // linkCosts is what it takes to reach other zones and regions.
 type linkCosts struct {
-	self        Host
-	regionRTT   map[string]time.Duration
-	answerBytes map[string]float64
+	self          Host
+	regionRTT     map[string]time.Duration
+	responseBytes map[string]float64
 }
 
 func newLinkCosts(self Host) linkCosts {
-	return linkCosts{self: self, regionRTT: map[string]time.Duration{}, answerBytes: map[string]float64{}}
+	return linkCosts{self: self, regionRTT: map[string]time.Duration{}, responseBytes: map[string]float64{}}
 }
 
 // observeRTT takes the time of a new connection, which is one way there and back.
@@ -46,16 +46,16 @@
 	w.regionRTT[region] = known + time.Duration(rttGain*float64(took-known))
 }
 
-func (w *linkCosts) observeAnswerBytes(route string, n int) {
-	known, ok := w.answerBytes[route]
+func (w *linkCosts) observeResponseBytes(route string, n int) {
+	known, ok := w.responseBytes[route]
 	if !ok {
 		known = float64(n)
 	}
-	w.answerBytes[route] = known + bytesGain*(float64(n)-known)
+	w.responseBytes[route] = known + bytesGain*(float64(n)-known)
 }
 
 // staysInZone tells whether a route's answers should not leave their zone.
-func (w *linkCosts) staysInZone(route string) bool { return w.answerBytes[route] >= staysInZoneBytes }
+func (w *linkCosts) isZoneLocal(route string) bool { return w.responseBytes[route] >= zoneLocalBytes }
 
 // roundTrip is the time to a zone and back.
 func (w *linkCosts) roundTrip(region, zone string) time.Duration {
@@ -89,9 +89,9 @@
 	if zone == w.self.Zone {
 		return 0
 	}
-	size, ok := w.answerBytes[route]
+	size, ok := w.responseBytes[route]
 	if !ok {
-		size = initialAnswerBytes
+		size = initialResponseBytes
 	}
 	kb := (size + float64(up)) / 1000
 	if region == w.self.Region {
--- a/internal/place/load.go
+++ b/internal/place/load.go
@@ -12,7 +12,7 @@
 	// loses most of its meaning.
 	loadDecay = 400 * time.Millisecond
 	// meanGain is the weight of one account in the mean of others' requests.
-	meanGain = 0.1
+	backgroundGain = 0.1
 )
 
 // load estimates how many requests are at an upstream, from its own accounts
@@ -24,8 +24,8 @@
 	others float64
 	at     time.Time
 	// mean of others over the last accounts.
-	mean     float64
-	reported bool
+	background float64
+	reported   bool
 }
 
 // observe takes an account in. The account and inflight both still count the request
@@ -33,10 +33,10 @@
 func (l *load) observe(now time.Time, told traffic.Load) {
 	others := max(float64(told.Running+told.Waiting-l.inflight), 0)
 	if !l.reported {
-		l.mean = others
+		l.background = others
 	}
 	l.reported = true
-	l.mean += meanGain * (others - l.mean)
+	l.background += backgroundGain * (others - l.background)
 	l.others, l.at = others, now
 }
 
@@ -46,5 +46,5 @@
 		return float64(l.inflight)
 	}
 	fade := math.Exp(-float64(now.Sub(l.at)) / float64(loadDecay))
-	return float64(l.inflight) + l.mean + (l.others-l.mean)*fade
+	return float64(l.inflight) + l.background + (l.others-l.background)*fade
 }
--- a/internal/place/memory.go
+++ b/internal/place/memory.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for name, w := range t.serviceTimes {
-		m.Routes = append(m.Routes, RouteState{Name: name, Warm: w.warm.value, Cold: w.cold.value, ResponseBytes: int(t.links.answerBytes[name])})
+		m.Routes = append(m.Routes, RouteState{Name: name, Warm: w.warm.value, Cold: w.cold.value, ResponseBytes: int(t.links.responseBytes[name])})
 	}
 	return m
 }
@@ -51,7 +51,7 @@
 func (w *upstream) memory(now time.Time) UpstreamState {
 	out := UpstreamState{ID: w.ID, StartedAt: w.Born}
 	for object, known := range w.warm {
-		if age := now.Sub(known.at); known.answered && age < WarmTTL {
+		if age := now.Sub(known.lastUsed); known.answered && age < WarmTTL {
 			out.Objects = append(out.Objects, WarmObject{object, age})
 		}
 	}
@@ -72,8 +72,8 @@
 	}
 	for _, r := range m.Routes {
 		getOrCreate(t.serviceTimes, r.Name).restore(r)
-		if _, ok := t.links.answerBytes[r.Name]; !ok && r.ResponseBytes > 0 {
-			t.links.answerBytes[r.Name] = float64(r.ResponseBytes)
+		if _, ok := t.links.responseBytes[r.Name]; !ok && r.ResponseBytes > 0 {
+			t.links.responseBytes[r.Name] = float64(r.ResponseBytes)
 		}
 	}
 	return objects
--- a/internal/place/memory_test.go
+++ b/internal/place/memory_test.go
@@ -11,7 +11,7 @@
 
 // All hosts start again. Objects must be asked for where they were, but not at an
 // upstream that has itself started again meanwhile, nor after it has forgotten them.
-func TestRecalledObjectsStayWhereTheyWere(t *testing.T) {
+func TestRestoredObjectsKeepTheirUpstream(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*place.Table, *place.LearnedState)
@@ -31,16 +31,16 @@
 			// The upstream that answers is not the first in rank among those of later.
 			before := newTable(t, "a1")
 			before.PutUpstream(start, upstream("a1-9", "a1"))
-			g.Expect(ask(t, before, start, query("object")).ID).To(Equal("a1-9"))
-			g.Expect(ask(t, full(t, "a1"), start, query("object")).ID).NotTo(Equal("a1-9"))
+			g.Expect(placeAndFinish(t, before, start, query("object")).ID).To(Equal("a1-9"))
+			g.Expect(placeAndFinish(t, newFullTable(t, "a1"), start, query("object")).ID).NotTo(Equal("a1-9"))
 			m := before.LearnedState(start)
 			g.Expect(m.Upstreams).To(HaveLen(1))
 
-			after := full(t, "a1")
+			after := newFullTable(t, "a1")
 			after.PutUpstream(start, upstream("a1-9", "a1"))
 			c.change(after, &m)
 			g.Expect(after.Restore(start, m)).To(Equal(map[bool]int{true: 1}[c.stays]))
-			choice := ask(t, after, start, query("object"))
+			choice := placeAndFinish(t, after, start, query("object"))
 			g.Expect(choice.Warm).To(Equal(c.stays))
 			g.Expect(choice.ID == "a1-9").To(Equal(c.stays))
 		})
--- a/internal/place/outlier.go
+++ b/internal/place/outlier.go
@@ -9,7 +9,7 @@
 	// after a pause, somewhere cold.
 	failureCost = 1500 * time.Millisecond
 	// maxUnanswered answers that are lost in a row eject an upstream.
-	maxUnanswered = 3
+	maxConsecutiveNoResponse = 3
 	// baseEjection and ejectMost bound how long an upstream is left alone. A
 	// crashed one is back after three to five seconds.
 	baseEjection = 500 * time.Millisecond
@@ -17,21 +17,21 @@
 	// restartDoubt is how long an upstream that could not be reached may have
 	// started again without this host's knowing: a heartbeat comes every
 	// 1.5 s, so three are missing then.
-	restartDoubt = 5 * time.Second
+	restartDetectionDelay = 5 * time.Second
 	// speedGain is the weight of one sample of an upstream's slowness.
-	speedGain   = 0.2
-	maxSlowness = 20.0
+	slownessGain = 0.2
+	maxSlowness  = 20.0
 )
 
 // health is what this host has met at one upstream.
 type health struct {
 	// failures is the rate of requests that ended badly, 0 to 1.
-	failures     float64
-	unanswered   int
-	ejectedUntil time.Time
-	ejection     time.Duration
+	failures              float64
+	consecutiveNoResponse int
+	ejectedUntil          time.Time
+	ejection              time.Duration
 	// restartDoubtUntil: it was out of reach, and may have started again, cold, since.
-	restartDoubtUntil time.Time
+	possibleRestartUntil time.Time
 	// slowness is the time it takes relative to the others; 1 is usual.
 	slowness float64
 }
@@ -45,19 +45,19 @@
 	return !h.ejectedUntil.IsZero() && now.Sub(h.ejectedUntil) < span
 }
 
-func (h *health) mayHaveRestarted(now time.Time) bool { return now.Before(h.restartDoubtUntil) }
+func (h *health) mayHaveRestarted(now time.Time) bool { return now.Before(h.possibleRestartUntil) }
 
 func (h *health) recordSuccess() {
-	h.unanswered, h.ejection = 0, 0
+	h.consecutiveNoResponse, h.ejection = 0, 0
 	h.failures -= failureGain * h.failures
 }
 
 func (h *health) recordFailure() { h.failures += failureGain * (1 - h.failures) }
 
 // recordNoAnswer notes that a request was sent and its answer lost.
-func (h *health) recordNoAnswer(now time.Time) {
+func (h *health) recordNoResponse(now time.Time) {
 	h.recordFailure()
-	if h.unanswered++; h.unanswered >= maxUnanswered {
+	if h.consecutiveNoResponse++; h.consecutiveNoResponse >= maxConsecutiveNoResponse {
 		h.eject(now)
 	}
 }
@@ -67,7 +67,7 @@
 func (h *health) recordUnreachable(now time.Time) {
 	h.recordFailure()
 	h.eject(now)
-	h.restartDoubtUntil = now.Add(restartDoubt)
+	h.possibleRestartUntil = now.Add(restartDetectionDelay)
 }
 
 func (h *health) eject(now time.Time) {
@@ -75,10 +75,10 @@
 	h.ejectedUntil = now.Add(h.ejection)
 }
 
-func (h *health) observeSpeed(took, usual time.Duration) {
+func (h *health) observeServiceTime(took, usual time.Duration) {
 	if usual <= 0 {
 		return
 	}
 	ratio := min(float64(took)/float64(usual), maxSlowness)
-	h.slowness += speedGain * (ratio - h.slowness)
+	h.slowness += slownessGain * (ratio - h.slowness)
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -31,7 +31,7 @@
 }
 
 // full has four upstreams in each zone.
-func full(t *testing.T, zone string) *place.Table {
+func newFullTable(t *testing.T, zone string) *place.Table {
 	table := newTable(t, zone)
 	for _, z := range []string{"a1", "a2", "b1", "b2"} {
 		for i := range 4 {
@@ -47,7 +47,7 @@
 
 // ask places a request and answers it at once, three times as fast where the
 // object is warm.
-func ask(t *testing.T, table *place.Table, now time.Time, q place.Query) place.Choice {
+func placeAndFinish(t *testing.T, table *place.Table, now time.Time, q place.Query) place.Choice {
 	c, err := table.Choose(now, q)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	took := 900 * time.Millisecond
@@ -62,15 +62,15 @@
 // agree on it without having heard of each other.
 func TestObjectsKeepTheirUpstream(t *testing.T) {
 	g := NewWithT(t)
-	one, other := full(t, "a1"), full(t, "a2")
+	one, other := newFullTable(t, "a1"), newFullTable(t, "a2")
 	used := map[string]bool{}
 	moved := 0
 	for i := range 60 {
 		object := fmt.Sprint(i)
-		first := ask(t, one, start, query(object))
+		first := placeAndFinish(t, one, start, query(object))
 		used[first.ID] = true
-		g.Expect(ask(t, one, start, query(object)).ID).To(Equal(first.ID))
-		if ask(t, other, start, query(object)).ID != first.ID {
+		g.Expect(placeAndFinish(t, one, start, query(object)).ID).To(Equal(first.ID))
+		if placeAndFinish(t, other, start, query(object)).ID != first.ID {
 			moved++
 		}
 	}
@@ -82,12 +82,12 @@
 
 // What one host has warmed, another one uses: callers that moved to another
 // region find their animals' histories where they are warm.
-func TestHostsShareWhatIsWarm(t *testing.T) {
+func TestWarmObjectsAreGossiped(t *testing.T) {
 	g := NewWithT(t)
-	one, far := full(t, "a1"), full(t, "b1")
+	one, far := newFullTable(t, "a1"), newFullTable(t, "b1")
 	homes := map[string]string{}
 	for i := range 40 {
-		homes[fmt.Sprint(i)] = ask(t, one, start, query(fmt.Sprint(i))).ID
+		homes[fmt.Sprint(i)] = placeAndFinish(t, one, start, query(fmt.Sprint(i))).ID
 	}
 	var news []uint64
 	for _, n := range one.WarmReports(start) {
@@ -98,13 +98,13 @@
 	far.ApplyWarmReports(start, news)
 	g.Expect(far.WarmReports(start)).To(BeEmpty(), "and not told on")
 	for object, home := range homes {
-		g.Expect(ask(t, far, start, query(object)).ID).To(Equal(home))
+		g.Expect(placeAndFinish(t, far, start, query(object)).ID).To(Equal(home))
 	}
 }
 
 // Upstreams that are draining, evacuated or outside the homes of a request get
 // nothing, and where there is no other the request is refused with the reason.
-func TestClosedUpstreamsGetNothing(t *testing.T) {
+func TestClosedUpstreamsReceiveNoRequests(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*place.Table)
@@ -139,7 +139,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			table := full(t, "a1")
+			table := newFullTable(t, "a1")
 			c.change(table)
 			for i := range 20 {
 				q := query(fmt.Sprint(i))
@@ -162,7 +162,7 @@
 
 // A zone comes back cold. Ten hosts that all send to its upstreams would crash
 // them again; only one of them may, at the pace that the upstreams bear.
-func TestColdUpstreamsGetTheirPace(t *testing.T) {
+func TestColdUpstreamsAreRateLimited(t *testing.T) {
 	g := NewWithT(t)
 	var hosts []place.Host
 	for i := range 10 {
@@ -195,7 +195,7 @@
 
 // A worker crashed and is back under the same id, cold, before its new entry is
 // heard. Hosts that could not reach it must not all return to it at once.
-func TestUnreachableUpstreamIsDoubtful(t *testing.T) {
+func TestUnreachableUpstreamCountsAsCold(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
 	other := place.Host{Instance: "zone-mate", Zone: "b1", Region: "b"}
@@ -216,8 +216,8 @@
 // lose its traffic, and get it back when it has recovered.
 func TestFailingUpstreamIsAvoided(t *testing.T) {
 	g := NewWithT(t)
-	table := full(t, "a1")
-	sick := ask(t, table, start, query("1")).ID
+	table := newFullTable(t, "a1")
+	sick := placeAndFinish(t, table, start, query("1")).ID
 	now := start
 	sent := 0
 	for i := range 300 {
@@ -264,13 +264,13 @@
 // request there itself must go by that.
 func TestLoadOfOthersCounts(t *testing.T) {
 	g := NewWithT(t)
-	table := full(t, "a1")
+	table := newFullTable(t, "a1")
 	first, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
 	table.Done(start, first, place.Report{
 		Result: place.Shed, HasLoad: true, Load: traffic.Load{Running: 4, Waiting: 12, Slots: 4},
 	})
-	g.Expect(ask(t, table, start, query("1")).ID).NotTo(Equal(first.ID))
+	g.Expect(placeAndFinish(t, table, start, query("1")).ID).NotTo(Equal(first.ID))
 }
 
 // An upstream counts the request that it answers among those that run. Counted once
@@ -293,9 +293,9 @@
 // Callers of a region multiply from one second to the next, and its own
 // upstreams are full. The part of the requests that runs in the other region may
 // grow by steps only.
-func TestRegionsShiftBySteps(t *testing.T) {
+func TestRegionShareGrowthIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	table := full(t, "a1")
+	table := newFullTable(t, "a1")
 	table.SetMaxRegionShift(0.15)
 	now := start
 	// A table whose object has homes in both regions and little load.
@@ -359,15 +359,15 @@
 // routes. Callers saw one summary in eight take three times as long as usual: it
 // was sent to the upstream that had the history warm, and that has its own work
 // for each of the two. What one route has warmed says nothing about the other.
-func TestRoutesWarmApart(t *testing.T) {
+func TestRoutesAreWarmedSeparately(t *testing.T) {
 	g := NewWithT(t)
-	table := full(t, "a1")
+	table := newFullTable(t, "a1")
 	history, summary := query("7"), query("7")
 	summary.Route = "other"
-	g.Expect(ask(t, table, start, history).Warm).To(BeFalse())
-	g.Expect(ask(t, table, start, history).Warm).To(BeTrue())
-	g.Expect(ask(t, table, start, summary).Warm).To(BeFalse())
-	g.Expect(ask(t, table, start, summary).Warm).To(BeTrue())
+	g.Expect(placeAndFinish(t, table, start, history).Warm).To(BeFalse())
+	g.Expect(placeAndFinish(t, table, start, history).Warm).To(BeTrue())
+	g.Expect(placeAndFinish(t, table, start, summary).Warm).To(BeFalse())
+	g.Expect(placeAndFinish(t, table, start, summary).Warm).To(BeTrue())
 }
 
 // Parents in one region top up at an upstream two hundred milliseconds away, and
@@ -400,9 +400,9 @@
 // others, and the next request would warm the animal at a second one: each object
 // took the cold time 1.5 times, just when all upstreams were full. The upstream
 // that was asked first is the warm one from then on.
-func TestColdObjectsAreWarmedOnce(t *testing.T) {
+func TestColdObjectIsWarmedAtOneUpstream(t *testing.T) {
 	g := NewWithT(t)
-	table := full(t, "a1")
+	table := newFullTable(t, "a1")
 	used := map[string]map[string]bool{}
 	for i := range 120 {
 		object := fmt.Sprint(i % 30)
@@ -423,7 +423,7 @@
 
 // The upstream that an object was sent to first refuses it, cannot be reached or
 // is another one. It has warmed nothing.
-func TestRefusedWorkWarmsNothing(t *testing.T) {
+func TestUnservedRequestWarmsNothing(t *testing.T) {
 	for _, result := range []place.Result{place.Shed, place.Unreachable, place.Misdirected} {
 		g := NewWithT(t)
 		table := newTable(t, "a1")
@@ -440,28 +440,28 @@
 
 // The second request about an object is refused where the first one was served.
 // The object stays warm there.
-func TestRefusalLeavesWhatIsWarm(t *testing.T) {
+func TestShedRequestKeepsObjectWarm(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
 	table.PutUpstream(start, upstream("x", "a1"))
-	ask(t, table, start, query("1"))
+	placeAndFinish(t, table, start, query("1"))
 	c, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
 	table.Done(start, c, place.Report{Result: place.Shed})
-	g.Expect(ask(t, table, start, query("1")).Warm).To(BeTrue())
+	g.Expect(placeAndFinish(t, table, start, query("1")).Warm).To(BeTrue())
 }
 
 // Objects are warm and their upstreams idle when another upstream joins. It must get
 // a few of the objects while nobody needs it, and no more.
-func TestUpstreamThatJoinsGetsItsFirstObjects(t *testing.T) {
+func TestNewUpstreamReceivesFirstObjects(t *testing.T) {
 	g := NewWithT(t)
-	table := full(t, "a1")
+	table := newFullTable(t, "a1")
 	now := start
 	round := func() int {
 		got := 0
 		for i := range 60 {
 			now = now.Add(20 * time.Millisecond)
-			if ask(t, table, now, query(fmt.Sprint(i))).ID == "a1-new" {
+			if placeAndFinish(t, table, now, query(fmt.Sprint(i))).ID == "a1-new" {
 				got++
 			}
 		}
@@ -486,7 +486,7 @@
 func TestNoAffinityWithoutGain(t *testing.T) {
 	wait := func(cold time.Duration, told bool) time.Duration {
 		g := NewWithT(t)
-		table := full(t, "a1")
+		table := newFullTable(t, "a1")
 		now := start
 		for i := range 400 {
 			now = now.Add(10 * time.Millisecond)
--- a/internal/place/queuelimit.go
+++ b/internal/place/queuelimit.go
@@ -27,12 +27,12 @@
 	lowerPriorityPart = 0.75
 	// priorityMemory is how long a more urgent kind of request is reckoned with
 	// after the last one.
-	priorityMemory = 5 * time.Second
+	priorityWindow = 5 * time.Second
 )
 
 // standingFor is how long the shortest wait at an upstream is remembered. A queue that
 // does not get shorter for so long does not come from a burst.
-const standingFor = 500 * time.Millisecond
+const standingQueueWindow = 500 * time.Millisecond
 
 // standingQueue is the shortest wait that requests have met at an upstream lately, over
 // the present half of standingFor and the one before.
@@ -41,29 +41,29 @@
 // the queue is full, all of them are late. A queue that never gets short enough for an
 // answer in time gains nothing, so it is kept as short as that.
 type standingQueue struct {
-	half          int64
-	least, before time.Duration
+	window            int64
+	current, previous time.Duration
 }
 
 func (s *standingQueue) observe(now time.Time, wait time.Duration) {
-	half := now.UnixNano() / int64(standingFor/2)
-	switch half - s.half {
+	half := now.UnixNano() / int64(standingQueueWindow/2)
+	switch half - s.window {
 	case 0:
-		s.least = min(s.least, wait)
+		s.current = min(s.current, wait)
 	case 1:
-		*s = standingQueue{half, wait, s.least}
+		*s = standingQueue{half, wait, s.current}
 	default:
 		*s = standingQueue{half, wait, 0}
 	}
 }
 
 // wait is the shortest wait over the last moments; 0 if there were no requests.
-func (s *standingQueue) wait(now time.Time) time.Duration {
-	switch now.UnixNano()/int64(standingFor/2) - s.half {
+func (s *standingQueue) shortest(now time.Time) time.Duration {
+	switch now.UnixNano()/int64(standingQueueWindow/2) - s.window {
 	case 0:
-		return min(s.least, s.before)
+		return min(s.current, s.previous)
 	case 1:
-		return s.least
+		return s.current
 	}
 	return 0
 }
@@ -72,24 +72,24 @@
 type queueLimits map[int]queueLimit
 
 type queueLimit struct {
-	wait time.Duration
-	at   time.Time
+	limit time.Duration
+	at    time.Time
 }
 
 // inTimeWait is how long a request may wait and be served in time, if its work and way
 // take rest of its target; leastWait of the target at least.
-func inTimeWait(target, rest time.Duration) time.Duration {
+func onTimeQueueLimit(target, rest time.Duration) time.Duration {
 	return max(target-rest, time.Duration(minQueuePart*float64(target)))
 }
 
 // limit is how long a request of the priority may wait if its work and way take
 // rest of its target.
 func (r queueLimits) limit(now time.Time, priority int, target, rest time.Duration) time.Duration {
-	wait := queueLimitFactor * inTimeWait(target, rest)
+	wait := queueLimitFactor * onTimeQueueLimit(target, rest)
 	r[priority] = queueLimit{wait, now}
 	for p, a := range r {
-		if p < priority && now.Sub(a.at) < priorityMemory {
-			wait = min(wait, time.Duration(lowerPriorityPart*float64(a.wait)))
+		if p < priority && now.Sub(a.at) < priorityWindow {
+			wait = min(wait, time.Duration(lowerPriorityPart*float64(a.limit)))
 		}
 	}
 	return wait
--- a/internal/place/regionshift.go
+++ b/internal/place/regionshift.go
@@ -25,7 +25,7 @@
 	shiftPenalty = 250 * time.Millisecond
 	// failoverFor is how long after an upstream of this region has failed
 	// requests may go wherever there is room.
-	failoverFor = 5 * time.Second
+	failoverWindow = 5 * time.Second
 )
 
 // regionShares counts in which regions this host's requests ran lately.
--- a/internal/place/servicetime.go
+++ b/internal/place/servicetime.go
@@ -5,8 +5,8 @@
 const (
 	// initialWork is assumed of warm work on a route without a target, before any
 	// answer has come, and firstPart of its target on one that has.
-	initialWork = 150 * time.Millisecond
-	initialPart = 1.0 / 3
+	initialWork       = 150 * time.Millisecond
+	initialTargetPart = 1.0 / 3
 	// coldFactor is how many times as long as warm work cold work is reckoned to
 	// take. A request that goes where it is cold takes the room of others, so the
 	// placement errs on the side of affinity.
@@ -26,7 +26,7 @@
 // known to have handled the object lately and at others.
 type serviceTime struct {
 	// first is assumed of warm work until there are samples.
-	first      time.Duration
+	initial    time.Duration
 	warm, cold mean
 }
 
@@ -51,14 +51,14 @@
 // setInitial sets what is assumed before any answer has come, from the time within
 // which operators want one.
 func (w *serviceTime) setInitial(target time.Duration) {
-	if w.first = time.Duration(initialPart * float64(target)); target <= 0 {
-		w.first = initialWork
+	if w.initial = time.Duration(initialTargetPart * float64(target)); target <= 0 {
+		w.initial = initialWork
 	}
 }
 
 // estimate is how long the work is reckoned to take.
 func (w *serviceTime) estimate(warm bool) time.Duration {
-	known := w.first
+	known := w.initial
 	if w.warm.samples > 0 {
 		known = w.warm.value
 	}
--- a/internal/place/slowstart.go
+++ b/internal/place/slowstart.go
@@ -19,7 +19,7 @@
 }
 
 // take uses one request of rate per second; rate 0 is no bound.
-func (p *slowStart) take(now time.Time, rate float64) bool {
+func (p *slowStart) allow(now time.Time, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
--- a/internal/place/standing_test.go
+++ b/internal/place/standing_test.go
@@ -13,7 +13,7 @@
 	"balsambarrow/internal/traffic"
 )
 
-func TestStandingQueueIsTheShortestWaitLately(t *testing.T) {
+func TestStandingQueueTracksShortestDelay(t *testing.T) {
 	const ms = time.Millisecond
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -36,7 +36,7 @@
 					s.observe(now.Add(at), wait)
 				}
 			}
-			g.Expect(s.wait(now.Add(c.at))).To(Equal(c.want))
+			g.Expect(s.shortest(now.Add(c.at))).To(Equal(c.want))
 		})
 	}
 }
@@ -51,29 +51,29 @@
 }
 
 // outcomes is what callers got in the end.
-type outcomes struct{ sent, inTime, late, refused int }
+type requestOutcomes struct{ sent, inTime, late, refused int }
 
 const (
-	warmWork      = 160 * time.Millisecond
-	coldWork      = 530 * time.Millisecond
-	overloadAim   = 400 * time.Millisecond
-	warmUpFor     = 12 * time.Second
-	warmUpDemand  = .5
-	overloadFor   = 4 * time.Second
-	overloadSlots = 4
-	overloadQueue = 12
-	objectsEach   = 12
+	warmWork           = 160 * time.Millisecond
+	coldWork           = 530 * time.Millisecond
+	overloadTarget     = 400 * time.Millisecond
+	warmUpFor          = 12 * time.Second
+	warmUpDemand       = .5
+	overloadFor        = 4 * time.Second
+	overloadSlots      = 4
+	overloadQueue      = 12
+	objectsPerUpstream = 12
 )
 
 // slots is when each slot of an upstream is free again, and when its requests end.
-type slots struct {
+type simulatedUpstream struct {
 	free  [overloadSlots]time.Time
 	done  []time.Time
 	known map[string]bool
 }
 
-func (s *slots) take(now time.Time, object string) (at time.Time, ok bool) {
-	if s.there(now) >= overloadSlots+overloadQueue {
+func (s *simulatedUpstream) serve(now time.Time, object string) (at time.Time, ok bool) {
+	if s.pending(now) >= overloadSlots+overloadQueue {
 		return now, false
 	}
 	work := coldWork
@@ -95,13 +95,13 @@
 	return s.free[first], true
 }
 
-func (s *slots) there(now time.Time) int {
+func (s *simulatedUpstream) pending(now time.Time) int {
 	s.done = slices.DeleteFunc(s.done, func(at time.Time) bool { return !at.After(now) })
 	return len(s.done)
 }
 
-func (s *slots) load(now time.Time) traffic.Load {
-	there := s.there(now)
+func (s *simulatedUpstream) load(now time.Time) traffic.Load {
+	there := s.pending(now)
 	return traffic.Load{Running: min(there, overloadSlots), Waiting: max(there-overloadSlots, 0), Slots: overloadSlots}
 }
 
@@ -109,7 +109,7 @@
 type fleet struct {
 	rng    *rand.Rand
 	tables []*Table
-	ups    map[string]*slots
+	ups    map[string]*simulatedUpstream
 	open   []sentRequest
 }
 
@@ -121,12 +121,12 @@
 }
 
 func (o overload) newFleet(start time.Time) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(3, uint64(o.hosts))), ups: map[string]*slots{}}
+	f := &fleet{rng: rand.New(rand.NewPCG(3, uint64(o.hosts))), ups: map[string]*simulatedUpstream{}}
 	for i := range o.hosts {
 		t := NewTable(Host{Instance: fmt.Sprint("h-", i), Zone: "a1", Region: "a"}, map[string]string{"a1": "a"})
 		for n := range o.upstreams {
 			id := fmt.Sprint("u-", n)
-			f.ups[id] = &slots{known: map[string]bool{}}
+			f.ups[id] = &simulatedUpstream{known: map[string]bool{}}
 			t.PutUpstream(start, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "a1", Slots: overloadSlots, State: catalog.StateReady})
 		}
 		f.tables = append(f.tables, t)
@@ -164,21 +164,21 @@
 }
 
 // send plays one request and counts what its caller gets.
-func (f *fleet) send(now time.Time, object string, out *outcomes) {
+func (f *fleet) send(now time.Time, object string, out *requestOutcomes) {
 	out.sent++
 	t := f.tables[f.rng.IntN(len(f.tables))]
-	c, err := t.Choose(now, Query{Service: "s", Route: "r", Object: object, Target: overloadAim, Remaining: 3 * time.Second})
+	c, err := t.Choose(now, Query{Service: "s", Route: "r", Object: object, Target: overloadTarget, Remaining: 3 * time.Second})
 	if err != nil {
 		out.refused++
 		return
 	}
-	at, ok := f.ups[c.ID].take(now, object)
+	at, ok := f.ups[c.ID].serve(now, object)
 	switch {
 	case !ok:
 		out.refused++
 		t.Done(now, c, Report{Result: Shed, HasLoad: true, Load: f.ups[c.ID].load(now)})
 		return
-	case at.Sub(now) <= overloadAim:
+	case at.Sub(now) <= overloadTarget:
 		out.inTime++
 	default:
 		out.late++
@@ -188,12 +188,12 @@
 
 // play returns what callers got once demand is high. With fixed, the bound on waits is the
 // fixed one alone.
-func (o overload) play(fixed bool) outcomes {
+func (o overload) run(fixed bool) requestOutcomes {
 	start := time.Unix(1000, 0)
 	f := o.newFleet(start)
 	capacity := float64(o.upstreams*overloadSlots) / warmWork.Seconds()
 	now, gossiped := start, start
-	var before, out outcomes
+	var before, out requestOutcomes
 	for now.Sub(start) < warmUpFor+overloadFor {
 		demand, counted := warmUpDemand, &before
 		if now.Sub(start) >= warmUpFor {
@@ -207,11 +207,11 @@
 		if fixed {
 			for _, t := range f.tables {
 				for _, u := range t.byID {
-					u.standing = standingQueue{}
+					u.standingQueue = standingQueue{}
 				}
 			}
 		}
-		f.send(now, fmt.Sprint("o-", f.rng.IntN(o.upstreams*objectsEach)), counted)
+		f.send(now, fmt.Sprint("o-", f.rng.IntN(o.upstreams*objectsPerUpstream)), counted)
 		now = now.Add(time.Duration(float64(time.Second) / (demand * capacity)))
 	}
 	return out
@@ -219,14 +219,14 @@
 
 // Guards against an overload of some seconds in which every request waits until the
 // queues are full, so that callers get late answers where they could be in time.
-func TestAStandingQueueIsKeptShort(t *testing.T) {
+func TestStandingQueueIsKeptShort(t *testing.T) {
 	for _, o := range []overload{
 		{hosts: 10, upstreams: 12, demand: 1.3}, {hosts: 10, upstreams: 12, demand: .9},
 		{hosts: 60, upstreams: 40, demand: 1.3}, {hosts: 60, upstreams: 40, demand: .9},
 	} {
 		t.Run(fmt.Sprintf("%d hosts, demand %v", o.hosts, o.demand), func(t *testing.T) {
 			g := NewWithT(t)
-			before, now := o.play(true), o.play(false)
+			before, now := o.run(true), o.run(false)
 			t.Logf("fixed bound %+v, standing queues %+v", before, now)
 			g.Expect(now.inTime).To(BeNumerically(">=", before.inTime*98/100))
 			if o.demand > 1 {
--- a/internal/place/survey.go
+++ b/internal/place/survey.go
@@ -38,7 +38,7 @@
 func (t *Table) refreshZonePaths(q Query) {
 	for i := range t.zonePaths {
 		l := &t.zonePaths[i]
-		l.closed = t.evacuate[l.zone]
+		l.closed = t.evacuatedZones[l.zone]
 		l.local = l.region == t.self.Region
 		l.roundTrip = t.links.roundTrip(l.region, l.zone)
 		l.transferCost = t.links.transferCost(q.Route, l.region, l.zone, q.BodyBytes)
@@ -64,13 +64,13 @@
 	s.candidates, s.reason, s.localFailure = s.candidates[:0], NotRegistered, false
 	key := uint64(object)
 	if object == 0 {
-		t.sequence++
-		key = t.sequence
+		t.keylessSequence++
+		key = t.keylessSequence
 	}
 	var ejected []candidate
 	for _, w := range t.services[q.Service] {
 		l := &t.zonePaths[w.zonePath]
-		if l.local && w.health.failedSince(now, failoverFor) {
+		if l.local && w.health.failedSince(now, failoverWindow) {
 			s.localFailure = true
 		}
 		if q.RegionRestricted && !slices.Contains(q.AllowedRegions, w.region) || slices.Contains(q.Excluded, w.ID) {
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -25,10 +25,10 @@
 	mu   sync.Mutex
 	byID map[string]*upstream
 	// byHash has the upstreams by the lower half of their hash.
-	byHash   map[uint32]*upstream
-	services map[string][]*upstream
-	declared *catalog.Catalog
-	evacuate map[string]bool
+	byHash         map[uint32]*upstream
+	services       map[string][]*upstream
+	declared       *catalog.Catalog
+	evacuatedZones map[string]bool
 	// hosts are those that are ready, hostHashes those of their instances, and hostsAt
 	// grows with each change of them.
 	hosts           []Host
@@ -37,11 +37,11 @@
 	// holders are the upstreams that may be warm for an object.
 	holders map[Object][]*upstream
 	// mark grows with each request about an object, and turn with each other one.
-	mark, sequence uint64
-	zonePaths      []zonePath
-	scratch        survey
-	regionHash     uint64
-	serviceTimes   map[string]*serviceTime
+	querySequence, keylessSequence uint64
+	zonePaths                      []zonePath
+	scratch                        survey
+	regionHash                     uint64
+	serviceTimes                   map[string]*serviceTime
 	// queuedTimes is the mean work of a service, for what waits at its upstreams.
 	queuedTimes map[string]*mean
 	queueLimits map[string]queueLimits
@@ -56,9 +56,9 @@
 func NewTable(self Host, zones map[string]string) *Table {
 	return &Table{
 		self: self, zones: zones, byID: map[string]*upstream{}, byHash: map[uint32]*upstream{},
-		services: map[string][]*upstream{}, evacuate: map[string]bool{}, serviceTimes: map[string]*serviceTime{},
+		services: map[string][]*upstream{}, evacuatedZones: map[string]bool{}, serviceTimes: map[string]*serviceTime{},
 		queuedTimes: map[string]*mean{}, queueLimits: map[string]queueLimits{}, holders: map[Object][]*upstream{},
-		links: newLinkCosts(self), regionHash: hash(self.Region), hostsGeneration: 1, sequence: hash(self.Instance),
+		links: newLinkCosts(self), regionHash: hash(self.Region), hostsGeneration: 1, keylessSequence: hash(self.Instance),
 	}
 }
 
@@ -90,11 +90,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range t.byID {
-		if t.evacuate[w.Zone] && !zones[w.Zone] {
+		if t.evacuatedZones[w.Zone] && !zones[w.Zone] {
 			w.coldUntil = now.Add(t.coldFor(w.Service))
 		}
 	}
-	t.evacuate = zones
+	t.evacuatedZones = zones
 }
 
 func (t *Table) coldFor(service string) time.Duration {
@@ -128,7 +128,7 @@
 	w.zonePath, w.senderGeneration = t.zonePathIndex(u.Zone), 0
 	w.coldUntil = now.Add(u.ColdFor)
 	// It is alive, and says itself whether it is cold.
-	w.health.restartDoubtUntil = time.Time{}
+	w.health.possibleRestartUntil = time.Time{}
 	return news
 }
 
@@ -232,7 +232,7 @@
 	case Failed:
 		w.health.recordFailure()
 	case NoResponse:
-		w.health.recordNoAnswer(now)
+		w.health.recordNoResponse(now)
 	case Unreachable:
 		w.health.recordUnreachable(now)
 		t.dropUnanswered(w, c.object)
@@ -252,7 +252,7 @@
 		t.addHolder(w, c.object)
 		w.markAnswered(now, c.object)
 	}
-	t.links.observeAnswerBytes(c.route, r.ResponseBytes)
+	t.links.observeResponseBytes(c.route, r.ResponseBytes)
 	// Only work that did not wait says how long work takes.
 	queued := r.HasLoad && r.Load.Running+r.Load.Waiting >= r.Load.Slots
 	if queued || c.cold {
@@ -265,7 +265,7 @@
 		route.observe(took, c.Warm)
 	}
 	if c.Warm {
-		w.health.observeSpeed(took, route.estimate(true))
+		w.health.observeServiceTime(took, route.estimate(true))
 		getOrCreate(t.queuedTimes, w.Service).observe(took)
 	}
 }
