--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -2,67 +2,66 @@
 
 import "time"
 
-// Query is a request to be placed.
+// Query describes a request for which an upstream is to be selected.
 type Query struct {
 	Service string
-	// Route whose work and size of answer are looked up.
+	// Route selects the service time and response size estimates.
 	Route string
 	// Object is the affinity key; "" if the route has none.
 	Object string
-	// Homes are the regions that may run it, if Bound.
+	// AllowedRegions are the regions that may run the request if RegionRestricted is set.
 	AllowedRegions   []string
 	RegionRestricted bool
-	// Tried are the upstreams that are not to be asked again.
+	// Excluded are the IDs of upstreams that have already been tried.
 	Excluded []string
-	// BodyBytes of the request.
+	// BodyBytes is the size of the request body.
 	BodyBytes int
 	// Priority ranks the request; 0 is the most urgent.
 	Priority int
-	// Over says that the customer asks for more than its rate.
+	// OverRate is set if the customer exceeds its request rate.
 	OverRate bool
-	// Target is the time within which an answer has its full use, and Remaining
-	// the time within which it has any.
+	// Target is the latency objective. Remaining is the time until the request times out.
 	Target    time.Duration
 	Remaining time.Duration
 }
 
-// Choice is where a request goes. Table.Done ends it.
+// Choice is the selected upstream. Each choice must be ended by Table.Done.
 type Choice struct {
 	ID      string
 	Address string
 	Zone    string
 	Region  string
-	// Expected is the time until the answer, and Wait the part of it that is
-	// spent in the upstream's queue.
+	// ExpectedLatency is the estimated time until the response. ExpectedQueueing is the
+	// part of it that the request spends in the upstream's queue.
 	ExpectedLatency  time.Duration
 	ExpectedQueueing time.Duration
 
-	// Warm says that the upstream has answered about the object lately, as far as is known.
+	// Warm is set if the upstream is known to have served the object recently.
 	Warm bool
 
 	upstream *upstream
 	object   Object
 	route    string
-	// cold: the upstream itself has just started.
+	// cold is set if the upstream itself started recently.
 	cold bool
 }
 
-// Reason says why there is no choice.
+// Reason is the reason why no upstream can be selected.
 type Reason string
 
-// Reasons.
+// Reasons for rejecting a request.
 const (
-	// NoneKnown: no upstream of the service is registered where it may run.
+	// NotRegistered: no upstream of the service is registered in an allowed region.
 	NotRegistered Reason = "no-upstream"
-	// NoneOpen: those that are registered are evacuated or draining.
+	// AllClosed: the registered upstreams are evacuated or draining.
 	AllClosed Reason = "all-closed"
-	// NoneReachable: those that are open have failed lately.
+	// AllEjected: the open upstreams are ejected because of recent failures.
 	AllEjected Reason = "all-ejected"
-	// NoneWarm: those that are left are cold and have had their share.
+	// AllCold: the remaining upstreams are cold and have reached their request rate.
 	AllCold Reason = "all-cold"
 )
 
-// NoneError says that a request cannot be placed now.
+// NoUpstreamError reports that no upstream can take the request at present.
 type NoUpstreamError struct {
 	Service string
 	Reason  Reason
@@ -81,7 +80,8 @@
 	queueing time.Duration
 }
 
-// Choose places a request. The error is a *NoneError or a *FullError.
+// Choose selects the upstream for a request. The error is a *NoUpstreamError or a
+// *QueueLimitError.
 func (t *Table) Choose(now time.Time, q Query) (Choice, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,9 +95,10 @@
 	return t.chooseCheapest(now, q, object, s.candidates)
 }
 
-// chooseCheapest takes the first candidate, by cost, that may be asked. One at which the
-// request would wait too long ends the search: the others cost more, because
-// the work there is cold and would take the room of several warm requests.
+// chooseCheapest selects the candidate with the lowest cost that may receive the
+// request. The search ends at the first candidate whose queue exceeds the limit: the
+// others cost more because the object is cold there, and cold work would take the
+// capacity of several warm requests.
 func (t *Table) chooseCheapest(now time.Time, q Query, object Object, list []candidate) (Choice, error) {
 	for len(list) > 0 {
 		i := cheapest(list)
@@ -126,8 +127,8 @@
 	return Choice{}, &NoUpstreamError{q.Service, AllCold}
 }
 
-// cheapest is the index of the candidate of least cost; among equals that of the
-// highest weight, so that all hosts agree.
+// cheapest returns the index of the candidate with the lowest cost. Ties go to the
+// highest rendezvous weight, so that all hosts select the same one.
 func cheapest(list []candidate) int {
 	best := 0
 	for i := 1; i < len(list); i++ {
@@ -138,7 +139,8 @@
 	return best
 }
 
-// queueLimit is how long the request may wait at a candidate.
+// queueLimit returns the longest queueing delay that the request may have at a
+// candidate.
 func (t *Table) queueLimit(now time.Time, q Query, c candidate) time.Duration {
 	rest := c.latency - c.queueing
 	r := t.queueLimits[q.Service]
--- a/internal/place/doc.go
+++ b/internal/place/doc.go
@@ -1,15 +1,18 @@
-// Package place decides which upstream a request is sent to.
+// Package place selects the upstream for each request.
 //
-// Load pattern: many requests about few objects, and upstreams that need a part of
-// the time for an object that they have handled lately. Without affinity all
-// upstreams are over capacity; with affinity alone, those that have the popular
-// objects are. Where affinity gains nothing, the least expected finish decides.
+// Many requests are about few objects, and an upstream serves an object that it has
+// handled recently in a fraction of the time. Without affinity, all upstreams are
+// overloaded; with strict affinity, the upstreams of popular objects are.
 //
-// So each candidate gets an expected finish: the work there, warm or cold, what
-// waits there before it, the way there, and what its failures cost on the
-// average. The least wins. All entry hosts rank the upstreams of an object by
-// the same rendezvous hash, so they agree without talking on who is warm, and
-// on who is the next to warm if that one is full.
+// The table therefore estimates the latency of a request at each candidate: its warm
+// or cold service time there, the queueing delay, and the round-trip time. It adds
+// costs for recent failures, for transferred bytes and for delaying other requests,
+// and selects the candidate with the lowest total. Where affinity saves no time, warm
+// and cold service times count as equal, so the candidate with the lowest expected
+// latency is preferred. All entry hosts rank the upstreams of an object by the same
+// rendezvous hash, so they agree without communication on the upstream that is warm
+// and on the next one to warm up when that one is full.
 //
-// The package does no I/O, starts no goroutine and takes time as an argument.
+// The package does no I/O, starts no goroutines and takes the current time as an
+// argument.
 package place
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// rankPenaltyPart of what warm work saves is added to the expected finish for each rank,
-// so that all hosts prefer the same upstream as an object's next one.
+// rankPenaltyPart is the cost per rank, as a part of the time that affinity saves. It
+// makes all hosts prefer the same upstream as the next one for an object.
 const (
 	rankPenaltyPart = 1.0 / 16
 	maxRanks        = 8
 )
 
-// estimate fills in the expected finish and the cost of each candidate.
+// estimate computes the expected latency and the cost of each candidate.
 func (t *Table) estimate(now time.Time, q Query, object Object, s *survey) {
 	list := s.candidates
 	t.markWarm(now, q, object, list)
@@ -28,7 +28,7 @@
 	}
 	top := rank(list)
 	for place, i := range top.index[:top.n] {
-		// The others have the last rank.
+		// Candidates outside the top ranks keep the penalty of the last rank.
 		list[i].cost -= time.Duration(maxRanks-place) * e.rankPenalty
 	}
 	if first := &list[top.index[0]]; t.needsFirstObject(now, *first) {
@@ -36,18 +36,18 @@
 	}
 }
 
-// estimator is what the estimates of one request have in common.
+// estimator holds the estimates that all candidates of one request share.
 type estimator struct {
 	table *Table
 	query Query
-	// affine says that the request is about an object.
+	// hasAffinity is set if the request has an affinity key.
 	hasAffinity bool
 	route       *serviceTime
-	// queued is how long a request that waits takes.
+	// queuedServiceTime is the mean service time of requests that wait in a queue.
 	queuedServiceTime time.Duration
-	// rank and away are added for each rank and where the object has not its home.
+	// rankPenalty is added per rank. awayPenalty is added outside the object's home region.
 	rankPenalty, awayPenalty time.Duration
-	// homeHere says that its home is in this region.
+	// homeIsLocal is set if this host's region is the home region of the object.
 	homeIsLocal bool
 }
 
@@ -61,14 +61,16 @@
 	}
 }
 
-// finish fills in how long the request would wait and take where load requests are.
+// estimateLatency computes the queueing delay and the latency of the request at a
+// candidate that has load requests.
 func (e *estimator) estimateLatency(c *candidate, load float64) {
 	c.queueing = queueTime(load, c.Slots, time.Duration(float64(e.queuedServiceTime)*c.health.slowness))
 	work := time.Duration(float64(e.route.estimate(c.warm)) * c.health.slowness)
 	c.latency = work + c.queueing + c.path.roundTrip
 }
 
-// cost adds what a choice costs others to the finish of a candidate of the last rank.
+// estimateCost computes the cost of a candidate of the last rank: its latency, and
+// what the choice costs other requests.
 func (e *estimator) estimateCost(c *candidate, load float64) {
 	c.cost = c.latency + c.path.transferCost + time.Duration(c.health.failures*float64(failureCost))
 	if !e.hasAffinity {
@@ -84,7 +86,8 @@
 	}
 }
 
-// queuedWork is how long a request that waits at an upstream of a service takes.
+// queuedServiceTime returns the mean service time of requests that wait at upstreams
+// of the service.
 func (t *Table) queuedServiceTime(service string, route *serviceTime) time.Duration {
 	if usual := getOrCreate(t.queuedTimes, service); usual.samples > 0 {
 		return usual.value
@@ -92,11 +95,11 @@
 	return route.estimate(true)
 }
 
-// markWarm ranks the candidates of an object and tells which of them are warm:
-// those that any host has asked lately.
+// markWarm sets warm for the candidates to which any host has recently sent the object.
 //
-// Where an answer is so large that it should not leave its zone, the first in rank of
-// the zone counts as warm: it costs one cold request, and then no transfer any more.
+// If the route's responses are so large that they should not leave their zone, the
+// first-ranked upstream of the zone also counts as warm: one cold request there avoids
+// all later transfers between zones.
 func (t *Table) markWarm(now time.Time, q Query, object Object, list []candidate) {
 	if object == 0 {
 		for i := range list {
@@ -118,22 +121,23 @@
 	}
 }
 
-// maxDisplaced bounds what cold work is reckoned to take from others, in full
-// upstreams.
+// maxDisplaced bounds the displacement cost of cold work, as a multiple of the slots
+// of an upstream.
 const maxDisplaced = 2.0
 
-// displacedWork is what cold work at an upstream takes from the requests that it
-// would do warm in the same time, as far as it has any. Without it, requests that
-// would wait long where they are warm go where they are cold as soon as that is
-// a little sooner for themselves; each then takes the room of several, all queues
-// grow, and more go cold, long after the burst that began it.
+// displacementCost is the delay that cold work at an upstream causes to the warm
+// requests it displaces, in proportion to the upstream's load. Without this cost,
+// requests that expect a long queue at a warm upstream move to a cold one as soon as
+// they would finish slightly earlier there. Each of them takes the capacity of several
+// warm requests, all queues grow, and more requests move to cold upstreams long after
+// the burst that started it.
 func displacementCost(load float64, slots int, w *serviceTime) time.Duration {
 	busy := min(load/float64(slots), maxDisplaced)
 	return time.Duration(busy * float64(w.affinityGain()))
 }
 
-// queueTime is how long a new request waits for one of the slots, if each of those
-// before it takes as long as given.
+// queueTime returns the expected queueing delay of a new request if each request ahead
+// of it takes the given time.
 func queueTime(load float64, slots int, each time.Duration) time.Duration {
 	ahead := load + 1 - float64(slots)
 	if ahead <= 0 {
--- a/internal/place/gossip.go
+++ b/internal/place/gossip.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// gossipEvery is how often the hosts tell each other again that an object is
-	// still warm; well below the time for which that is believed.
+	// gossipInterval is how often a host reports again that an object is still warm. It
+	// is well below WarmTTL.
 	gossipInterval = 8 * time.Second
 	// maxWarmReports bounds the size of a heartbeat.
 	maxWarmReports = 120
 )
 
-// WarmReport says that an upstream has handled an object lately: the object in the
-// upper half, the upstream's hash in the lower.
+// WarmReport says that an upstream has handled an object recently. The upper half
+// holds the object, the lower half the low bits of the hash of the upstream's ID.
 type WarmReport uint64
 
 func newWarmReport(object Object, w *upstream) WarmReport {
 	return WarmReport(uint64(object)<<32 | uint64(uint32(w.id)))
 }
 
-// WarmReports returns what this host has seen and the others have not been told. What
-// was told or heard is not told again for a while, so in a fleet of any size
-// each fact is told by about one host.
+// WarmReports returns the warm objects that need to be reported to the other hosts. An
+// object that was reported or received within gossipInterval is left out, so in a fleet
+// of any size about one host reports each fact.
 func (t *Table) WarmReports(now time.Time) []WarmReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,7 +41,7 @@
 	return out
 }
 
-// ApplyWarmReports takes in what another host has seen.
+// ApplyWarmReports applies the reports of another host.
 func (t *Table) ApplyWarmReports(now time.Time, news []uint64) {
 	if len(news) == 0 {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// applyWarm takes in that an upstream answered about an object at a time.
+// applyWarm records that an upstream answered a request about an object at time at.
 func (t *Table) applyWarm(now, at time.Time, w *upstream, object Object) {
 	t.addHolder(w, object)
 	w.markReported(now, at, object)
--- a/internal/place/holders.go
+++ b/internal/place/holders.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// The upstreams know which objects they have handled; holders is the same by object,
-// so that a request need not look at all upstreams.
+// Each upstream lists the objects that it has handled. Table.holders is the reverse
+// index, so that a request need not scan all upstreams.
 
-// recordSent notes that an upstream is sent a request about an object.
+// recordSent records that a request about an object is sent to an upstream.
 func (t *Table) recordSent(now time.Time, w *upstream, object Object) {
 	t.addHolder(w, object)
 	w.markUsed(now, object)
 }
 
-// addHolder makes room for an object at an upstream that does not know it yet. One that has
-// been removed meanwhile holds nothing.
+// addHolder adds an object to an upstream that does not have it yet, and evicts the
+// least recently used object if necessary. A removed upstream is ignored.
 func (t *Table) addHolder(w *upstream, object Object) {
 	if _, ok := w.warm[object]; ok || t.byID[w.ID] != w {
 		return
@@ -27,7 +27,7 @@
 	t.holders[object] = append(t.holders[object], w)
 }
 
-// dropHolder forgets that an upstream knows an object.
+// dropHolder removes an object from an upstream and from the index.
 func (t *Table) dropHolder(w *upstream, object Object) {
 	delete(w.warm, object)
 	list := slices.DeleteFunc(t.holders[object], func(x *upstream) bool { return x == w })
@@ -38,21 +38,22 @@
 	t.holders[object] = list
 }
 
-// dropHolders forgets what an upstream knows.
+// dropHolders removes all objects of an upstream.
 func (t *Table) dropHolders(w *upstream) {
 	for object := range w.warm {
 		t.dropHolder(w, object)
 	}
 }
 
-// dropUnanswered notes that an upstream has not done what it was asked for.
+// dropUnanswered removes an object whose request the upstream did not serve, unless
+// the upstream has answered an earlier request about it.
 func (t *Table) dropUnanswered(w *upstream, object Object) {
 	if known, ok := w.warm[object]; ok && !known.answered {
 		t.dropHolder(w, object)
 	}
 }
 
-// markHolders marks the upstreams that are warm for an object.
+// markHolders marks the upstreams that are warm for the object of the current query.
 func (t *Table) markHolders(now time.Time, object Object) {
 	t.querySequence++
 	for _, w := range t.holders[object] {
--- a/internal/place/home.go
+++ b/internal/place/home.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Where an object that is warm nowhere gets its home.
+// Selection of the home region of an object that is not warm anywhere.
 //
-// Callers ask mostly for objects of their own region, so the home is there: the
-// way to another region and the bytes are saved. But a region may have a third
-// of the callers and a tenth of the upstreams. If its objects all begin at home
-// and move when queues have grown, the first seconds are late and a large part
-// of the region's requests moves at once. So a fixed part of its objects, by
-// hash, has its home elsewhere from the beginning.
+// Callers mostly request objects of their own region, so the home is usually there,
+// which saves the round trip to another region and the transferred bytes. But a region
+// may have a third of the callers and a tenth of the upstreams. If all its objects
+// started at home and moved only when queues have grown, responses would be late in the
+// first seconds and many of the region's requests would move at once. A fixed part of
+// its objects, selected by hash, therefore has its home in another region from the start.
 const (
-	// awayPart of what warm work saves is added, beside the way to the farthest
-	// region, to the expected finish where an object has not its home.
+	// awayPenaltyPart is the part of the time saved by affinity that is added, besides
+	// the longest round-trip time between regions, to the cost outside the home region.
 	awayPenaltyPart = 0.25
 )
 
-// awayPenalty is added to the expected finish where an object has not its home: more
-// than the way between regions, so that the home counts, and no more than what is
-// lost by cold work.
+// awayPenalty returns the cost added outside an object's home region. It exceeds the
+// round-trip time between regions, so that the home takes effect, but never exceeds the
+// time that cold work loses.
 func (t *Table) awayPenalty(route *serviceTime) time.Duration {
 	return min(t.links.longestRoundTrip()+time.Duration(awayPenaltyPart*float64(route.affinityGain())), route.affinityGain())
 }
 
-// homeShare is the part of this region's objects that has its home here, by the slots
-// of the upstreams that may be asked.
+// homeShare returns the part of this region's objects that has its home here, in
+// proportion to the slots of the available upstreams.
 func (t *Table) homeShare() float64 {
 	own, all, regions := 0, 0, 0
 	for i, l := range t.zonePaths {
@@ -42,7 +42,7 @@
 	return float64(own) * float64(regions) / float64(all)
 }
 
-// isFirstOpenZone tells whether a zone is the first of its region that has slots.
+// isFirstOpenZone reports whether a zone is the first of its region with open slots.
 func (t *Table) isFirstOpenZone(i int) bool {
 	for _, l := range t.zonePaths[:i] {
 		if l.openSlots > 0 && l.region == t.zonePaths[i].region {
@@ -52,7 +52,7 @@
 	return true
 }
 
-// isHomeRegion tells whether the object has its home in this region.
+// isHomeRegion reports whether this host's region is the home of the object.
 func (t *Table) isHomeRegion(object Object) bool {
 	const buckets = 1 << 16
 	return float64(weight(uint64(object), t.regionHash)%buckets) < t.homeShare()*buckets
--- a/internal/place/links.go
+++ b/internal/place/links.go
@@ -3,26 +3,25 @@
 import "time"
 
 const (
-	// initialRegionRTT is assumed of the way to another region and back, before a
-	// connection has shown it.
+	// initialRegionRTT is the assumed round-trip time to another region until a
+	// connection to it has been measured.
 	initialRegionRTT = 80 * time.Millisecond
-	// zoneRTT is the way to another zone of the region and back.
+	// zoneRTT is the assumed round-trip time to another zone of the region.
 	zoneRTT = 1 * time.Millisecond
-	// regionCostPerKB and zonePerKB weigh what a transfer takes of links that are
-	// shared and paid for, in time per kilobyte that leaves the region or the
-	// zone.
+	// regionCostPerKB and zoneCostPerKB are the costs, as time per kilobyte that leaves
+	// the region or the zone, of using shared and metered links.
 	regionCostPerKB = 6700 * time.Microsecond
 	zoneCostPerKB   = 2500 * time.Microsecond
-	// staysInZoneBytes is the size of answer from which a route has a home in each
-	// zone: its transfer to another zone weighs as much as warm work.
+	// zoneLocalBytes is the mean response size from which a route's objects have a home
+	// in each zone: a transfer to another zone then costs as much as warm work.
 	zoneLocalBytes = 30_000
-	// initialAnswerBytes is assumed of an answer before any has come.
+	// initialResponseBytes is the assumed size of a response before any has been received.
 	initialResponseBytes = 4000
 	rttGain              = 0.2
 	bytesGain            = 0.1
 )
 
-// linkCosts is what it takes to reach other zones and regions.
+// linkCosts estimates the round-trip times and transfer costs to zones and regions.
 type linkCosts struct {
 	self          Host
 	regionRTT     map[string]time.Duration
@@ -33,7 +32,7 @@
 	return linkCosts{self: self, regionRTT: map[string]time.Duration{}, responseBytes: map[string]float64{}}
 }
 
-// observeRTT takes the time of a new connection, which is one way there and back.
+// observeRTT records the time to establish a connection, which takes one round trip.
 func (w *linkCosts) observeRTT(region string, took time.Duration) {
 	if region == w.self.Region {
 		return
@@ -54,10 +53,10 @@
 	w.responseBytes[route] = known + bytesGain*(float64(n)-known)
 }
 
-// staysInZone tells whether a route's answers should not leave their zone.
+// isZoneLocal reports whether the route's responses are too large to leave their zone.
 func (w *linkCosts) isZoneLocal(route string) bool { return w.responseBytes[route] >= zoneLocalBytes }
 
-// roundTrip is the time to a zone and back.
+// roundTrip returns the round-trip time to a zone.
 func (w *linkCosts) roundTrip(region, zone string) time.Duration {
 	switch {
 	case zone == w.self.Zone:
@@ -71,7 +70,7 @@
 	return initialRegionRTT
 }
 
-// longestRoundTrip is the time to the farthest region and back.
+// longestRoundTrip returns the round-trip time to the farthest region.
 func (w *linkCosts) longestRoundTrip() time.Duration {
 	longest := time.Duration(0)
 	for _, d := range w.regionRTT {
@@ -83,8 +82,8 @@
 	return longest
 }
 
-// transferCost is what a transfer of a route's answer, and of up bytes of its body,
-// takes of links.
+// transferCost returns the cost of transferring a response of the route and up bytes
+// of request body.
 func (w *linkCosts) transferCost(route, region, zone string, up int) time.Duration {
 	if zone == w.self.Zone {
 		return 0
--- a/internal/place/load.go
+++ b/internal/place/load.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// loadDecay is the time in which what an upstream said of others' requests
-	// loses most of its meaning.
+	// loadDecay is the time constant with which the reported load of other hosts decays
+	// towards its mean.
 	loadDecay = 400 * time.Millisecond
-	// meanGain is the weight of one account in the mean of others' requests.
+	// backgroundGain is the weight of one load report in the mean load of other hosts.
 	backgroundGain = 0.1
 )
 
-// load estimates how many requests are at an upstream, from its own accounts
-// and from what this host has sent since.
+// load estimates how many requests are at an upstream, from the upstream's load reports
+// and the requests that this host has in flight.
 type load struct {
-	// inflight are this host's requests.
+	// inflight is the number of this host's requests.
 	inflight int
-	// others is what the upstream had from elsewhere at the time at.
+	// others is the load from other hosts in the last report, received at time at.
 	others float64
 	at     time.Time
-	// mean of others over the last accounts.
+	// background is the moving average of others.
 	background float64
 	reported   bool
 }
 
-// observe takes an account in. The account and inflight both still count the request
-// that is answered with it.
+// observe applies a load report. The report and inflight both still count the request
+// that the report was received with.
 func (l *load) observe(now time.Time, told traffic.Load) {
 	others := max(float64(told.Running+told.Waiting-l.inflight), 0)
 	if !l.reported {
@@ -40,7 +40,7 @@
 	l.others, l.at = others, now
 }
 
-// estimate is the number of requests that are at the upstream now.
+// estimate returns the estimated number of requests at the upstream now.
 func (l *load) estimate(now time.Time) float64 {
 	if !l.reported {
 		return float64(l.inflight)
--- a/internal/place/memory.go
+++ b/internal/place/memory.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Memory is what a table has learned that is still true after all entry hosts
-// have started again: upstreams live on.
+// LearnedState is the state of a table that is restored after all entry hosts have
+// restarted. It stays valid because the upstreams keep running.
 type LearnedState struct {
 	Upstreams []UpstreamState
 	Routes    []RouteState
 }
 
-// UpstreamMemory is one run of an upstream.
+// UpstreamState is the learned state of one instance of an upstream.
 type UpstreamState struct {
 	ID        string
 	StartedAt int64
 	Objects   []WarmObject
 }
 
-// ObjectMemory is an object that is warm at an upstream.
+// WarmObject is an object that is warm at an upstream.
 type WarmObject struct {
 	Object Object
-	// Age is the time since the upstream was last asked about it.
+	// Age is the time since the upstream last received a request about the object.
 	Age time.Duration
 }
 
-// RouteMemory is what a route's requests take.
+// RouteState is the learned state of a route.
 type RouteState struct {
 	Name string
-	// Warm and Cold are the times that work takes; 0: not known.
+	// Warm and Cold are the mean service times; 0 if unknown.
 	Warm, Cold time.Duration
-	// Bytes of an answer.
+	// ResponseBytes is the mean size of a response.
 	ResponseBytes int
 }
 
-// Memory returns what this host knows.
+// LearnedState returns the state that this host has learned.
 func (t *Table) LearnedState(now time.Time) LearnedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,9 +58,9 @@
 	return out
 }
 
-// Restore takes over what was known before this process began, and returns the
-// number of objects. What was learned since goes before it, and an upstream that
-// has started again holds nothing of before.
+// Restore applies state that was learned before this process started and returns the
+// number of objects restored. State learned since then takes precedence, and an
+// upstream that has restarted gets no objects.
 func (t *Table) Restore(now time.Time, m LearnedState) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/place/outlier.go
+++ b/internal/place/outlier.go
@@ -5,34 +5,36 @@
 const (
 	// failureGain is the weight of one request in an upstream's failure rate.
 	failureGain = 0.15
-	// failureCost is what a failed request costs the caller: it starts again,
-	// after a pause, somewhere cold.
+	// failureCost is the cost of a failed request to the caller, who retries after a
+	// pause, at a cold upstream.
 	failureCost = 1500 * time.Millisecond
-	// maxUnanswered answers that are lost in a row eject an upstream.
+	// maxConsecutiveNoResponse is the number of consecutive requests without a response
+	// after which an upstream is ejected.
 	maxConsecutiveNoResponse = 3
-	// baseEjection and ejectMost bound how long an upstream is left alone. A
-	// crashed one is back after three to five seconds.
+	// baseEjection and maxEjection bound the ejection time. A crashed upstream is back
+	// after 3 to 5 s.
 	baseEjection = 500 * time.Millisecond
 	maxEjection  = 4 * time.Second
-	// restartDoubt is how long an upstream that could not be reached may have
-	// started again without this host's knowing: a heartbeat comes every
-	// 1.5 s, so three are missing then.
+	// restartDetectionDelay is how long an unreachable upstream may have restarted
+	// without this host knowing: a heartbeat arrives every 1.5 s, so three are missing
+	// by then.
 	restartDetectionDelay = 5 * time.Second
-	// speedGain is the weight of one sample of an upstream's slowness.
+	// slownessGain is the weight of one sample of an upstream's slowness.
 	slownessGain = 0.2
 	maxSlowness  = 20.0
 )
 
-// health is what this host has met at one upstream.
+// health is the health of one upstream as observed by this host.
 type health struct {
-	// failures is the rate of requests that ended badly, 0 to 1.
+	// failures is the moving average of the failure rate, 0 to 1.
 	failures              float64
 	consecutiveNoResponse int
 	ejectedUntil          time.Time
 	ejection              time.Duration
-	// restartDoubtUntil: it was out of reach, and may have started again, cold, since.
+	// possibleRestartUntil is set when the upstream was unreachable: until then, it may
+	// have restarted and be cold.
 	possibleRestartUntil time.Time
-	// slowness is the time it takes relative to the others; 1 is usual.
+	// slowness is the service time relative to the other upstreams; 1 is average.
 	slowness float64
 }
 
@@ -40,7 +42,7 @@
 
 func (h *health) usable(now time.Time) bool { return !now.Before(h.ejectedUntil) }
 
-// failedSince tells whether it was ejected, or its ejection ended, within a span.
+// failedSince reports whether the upstream was ejected at any time within the span.
 func (h *health) failedSince(now time.Time, span time.Duration) bool {
 	return !h.ejectedUntil.IsZero() && now.Sub(h.ejectedUntil) < span
 }
@@ -54,7 +56,7 @@
 
 func (h *health) recordFailure() { h.failures += failureGain * (1 - h.failures) }
 
-// recordNoAnswer notes that a request was sent and its answer lost.
+// recordNoResponse records that a request was sent but no response was received.
 func (h *health) recordNoResponse(now time.Time) {
 	h.recordFailure()
 	if h.consecutiveNoResponse++; h.consecutiveNoResponse >= maxConsecutiveNoResponse {
@@ -62,8 +64,8 @@
 	}
 }
 
-// recordUnreachable notes that no connection could be made. It says more than a lost
-// answer: the upstream does not run, or nothing reaches it.
+// recordUnreachable records that no connection could be established. This is stronger
+// evidence than a lost response: the upstream is down or the network path is broken.
 func (h *health) recordUnreachable(now time.Time) {
 	h.recordFailure()
 	h.eject(now)
--- a/internal/place/queuelimit.go
+++ b/internal/place/queuelimit.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// How long a request may wait in an upstream's queue.
+// Limits on the queueing delay of a request at an upstream.
 //
-// Load pattern: a burst, a hot customer or the loss of a zone brings twice what
-// the upstreams can do, for some seconds. Without a bound queues fill until the
-// upstreams refuse. With a bound as tight as the target, requests are refused
-// that the end of the burst would have served.
+// A burst, a hot customer or the loss of a zone can bring twice the upstreams' capacity
+// for several seconds. Without a limit, queues fill until the upstreams reject requests.
+// With a limit as tight as the latency target, requests are rejected that could have
+// been served at the end of the burst.
 const (
-	// queueLimitFactor is how long a request may wait, in parts of what its target
-	// leaves beside work and way.
+	// queueLimitFactor is the longest queueing delay, as a multiple of the part of the
+	// target that remains besides the service and round-trip times.
 	queueLimitFactor = 4
-	// minQueuePart is the part of its target that a request may always wait: one
-	// whose work alone takes longer is late in any case, and warms the upstream
-	// for the next.
+	// minQueuePart is the part of its target that a request may always wait. A request
+	// whose service time alone exceeds the target is late in any case, and warms the
+	// object for the next one.
 	minQueuePart = 0.25
-	// overRateQueuePart is the part of the wait within which it would be served in time that
-	// a request may wait whose customer asks for more than its rate. Its callers
-	// have more to ask at any time; if they fill the queues, those of all other
-	// customers are late as well.
+	// overRateQueuePart is the queueing limit of requests of a customer that exceeds its
+	// rate, as a part of the delay at which the response is still on time. Callers of
+	// such a customer always have more requests to send; if these filled the queues,
+	// the responses to all other customers would be late as well.
 	overRateQueuePart = 2.0 / 3
-	// lowerPriorityPart is what a less urgent request may wait of the wait that is
-	// allowed to a more urgent one of the same service. Otherwise those with
-	// the longer target would fill the queues first.
+	// lowerPriorityPart is the queueing limit of a less urgent request, as a part of the
+	// limit of a more urgent one of the same service. Otherwise the requests with the
+	// longer target would fill the queues first.
 	lowerPriorityPart = 0.75
-	// priorityMemory is how long a more urgent kind of request is reckoned with
-	// after the last one.
+	// priorityWindow is how long the limit of a more urgent priority counts after its
+	// last request.
 	priorityWindow = 5 * time.Second
 )
 
-// standingFor is how long the shortest wait at an upstream is remembered. A queue that
-// does not get shorter for so long does not come from a burst.
+// standingQueueWindow is the time over which the minimum queueing delay at an upstream
+// is tracked. A queue that does not get shorter for this long is not due to a burst.
 const standingQueueWindow = 500 * time.Millisecond
 
-// standingQueue is the shortest wait that requests have met at an upstream lately, over
-// the present half of standingFor and the one before.
+// standingQueue tracks the minimum queueing delay at an upstream over the current half
+// of standingQueueWindow and the previous one.
 //
-// Load pattern: more requests than an upstream can do, for seconds. If each may wait until
-// the queue is full, all of them are late. A queue that never gets short enough for an
-// answer in time gains nothing, so it is kept as short as that.
+// While an upstream is overloaded for seconds, all responses are late if each request may
+// wait until the queue is full. A queue that never becomes short enough for a response
+// on time is of no use, so it is kept at the length at which responses are on time.
 type standingQueue struct {
 	window            int64
 	current, previous time.Duration
@@ -57,7 +57,7 @@
 	}
 }
 
-// wait is the shortest wait over the last moments; 0 if there were no requests.
+// shortest returns the minimum queueing delay over the window; 0 if there were no requests.
 func (s *standingQueue) shortest(now time.Time) time.Duration {
 	switch now.UnixNano()/int64(standingQueueWindow/2) - s.window {
 	case 0:
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// queueLimits is the wait that is allowed to each priority of one service.
+// queueLimits holds the queueing limit of each priority of one service.
 type queueLimits map[int]queueLimit
 
 type queueLimit struct {
@@ -76,14 +76,14 @@
 	at    time.Time
 }
 
-// inTimeWait is how long a request may wait and be served in time, if its work and way
-// take rest of its target; leastWait of the target at least.
+// onTimeQueueLimit is the queueing delay at which a response is still on time if the
+// service and round-trip times take rest; at least minQueuePart of the target.
 func onTimeQueueLimit(target, rest time.Duration) time.Duration {
 	return max(target-rest, time.Duration(minQueuePart*float64(target)))
 }
 
-// limit is how long a request of the priority may wait if its work and way take
-// rest of its target.
+// limit returns the longest queueing delay of a request of the priority whose service
+// and round-trip times take rest.
 func (r queueLimits) limit(now time.Time, priority int, target, rest time.Duration) time.Duration {
 	wait := queueLimitFactor * onTimeQueueLimit(target, rest)
 	r[priority] = queueLimit{wait, now}
@@ -95,10 +95,11 @@
 	return wait
 }
 
-// FullError says that a request would wait too long at every upstream.
+// QueueLimitError reports that the queueing delay at every upstream exceeds the limit.
 type QueueLimitError struct {
 	Service string
-	// Wait is the shortest that there is, and Allowed what the request may wait.
+	// ExpectedQueueing is the delay at the preferred upstream. Limit is the longest
+	// delay that the request may have.
 	ExpectedQueueing time.Duration
 	Limit            time.Duration
 }
--- a/internal/place/rank.go
+++ b/internal/place/rank.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// weight is the rendezvous weight of an object at an upstream. The one with the
-// highest weight has the object; when it leaves, only its objects move.
+// weight returns the rendezvous weight of an object at an upstream. The upstream with
+// the highest weight ranks first; when it leaves, only its objects move.
 func weight(object, upstream uint64) uint64 {
 	x := object*0x9e3779b97f4a7c15 ^ upstream
 	x ^= x >> 33
@@ -13,10 +13,9 @@
 	return x ^ x>>33
 }
 
-// objectOf hashes an affinity key and the route on which it came; 0 stands for
-// none.
-//
-// What one route has warmed at an upstream does not help another.
+// objectOf hashes an affinity key together with its route; 0 stands for no key. Each
+// route has objects of its own, because work that one route has warmed at an upstream
+// does not speed up requests of another.
 func objectOf(route, key string) Object {
 	if key == "" {
 		return 0
--- a/internal/place/regionshift.go
+++ b/internal/place/regionshift.go
@@ -2,33 +2,32 @@
 
 import "time"
 
-// How fast the regions in which requests run may change.
+// Limits on how quickly requests move between regions.
 //
-// Load pattern: callers of one region move or multiply within a second, or
-// upstreams of one region join or leave. If every host sends what does not fit
-// elsewhere at once, the other regions get far more from one second to the next,
-// with cold upstreams, and give it back as quickly. So the share of each
-// region among this host's requests may grow by a bounded part from one span to
-// the next. Where the region's own upstreams fail, no share is held back.
+// Callers of one region may move or multiply within a second, and upstreams of a region
+// join or leave. If every host sent all excess requests to other regions at once, the
+// load of these regions would jump from one second to the next while their upstreams are
+// cold, and drop again as quickly. The share of each region in this host's requests may
+// therefore grow only by a bounded part per window. If upstreams of the local region
+// fail, no share is limited.
 const (
-	// shiftWindow is the span over which shares are compared, and mixSlots how many
-	// parts of one are counted apart, so that spans slide.
+	// shiftWindow is the window over which shares are compared. It is divided into
+	// shiftSlots slots, so that the window slides.
 	shiftWindow = 2 * time.Second
 	shiftSlots  = 8
-	// hostShiftPart of what is allowed is used by each host: a host counts its own
-	// requests only, and a share of a few is a rough one.
+	// hostShiftPart is the part of the allowed growth that each host uses. A host counts
+	// only its own requests, and a share of few requests is inaccurate.
 	hostShiftPart = 0.8
-	// minShiftSamples is the number of requests from which a share is compared.
+	// minShiftSamples is the number of requests from which shares are compared.
 	minShiftSamples = 20
-	// shiftPenalty is added to the expected finish in a region that has got as much
-	// more as it may.
+	// shiftPenalty is added to the cost in a region whose share has reached its limit.
 	shiftPenalty = 250 * time.Millisecond
-	// failoverFor is how long after an upstream of this region has failed
-	// requests may go wherever there is room.
+	// failoverWindow is how long requests may go to any region after an upstream of this
+	// region has failed.
 	failoverWindow = 5 * time.Second
 )
 
-// regionShares counts in which regions this host's requests ran lately.
+// regionShares counts this host's recent requests by the region they were sent to.
 type regionShares struct {
 	slots [2 * shiftSlots]shiftSlot
 }
@@ -51,7 +50,7 @@
 	s.byRegion[region]++
 }
 
-// count sums the slots from..to, counted back from now.
+// count sums the slots whose age, in slots, is at least from and less than to.
 func (m *regionShares) count(now time.Time, region string, from, to int64) (part, total float64) {
 	n := shiftSlotNumber(now)
 	for i := range m.slots {
@@ -63,7 +62,7 @@
 	return part, total
 }
 
-// mayGrow tells whether one more request may run in the region.
+// mayGrow reports whether one more request may be sent to the region.
 func (m *regionShares) mayGrow(now time.Time, region string, most float64) bool {
 	before, all := m.count(now, region, shiftSlots, 2*shiftSlots)
 	if all < minShiftSamples {
@@ -73,17 +72,16 @@
 	return (part+1)/(total+1) <= before/all+most*hostShiftPart
 }
 
-// SetMaxShift says by how much the share of a region may grow from one span of
-// two seconds to the next; 0: without bound.
+// SetMaxRegionShift sets by how much the share of a region may grow from one window of
+// two seconds to the next; 0 means no limit.
 func (t *Table) SetMaxRegionShift(most float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.maxShift = most
 }
 
-// limitShift adds to the cost of the candidates of those regions whose share has
-// grown as much as it may, so that a request goes there only if it would wait
-// long elsewhere.
+// limitShift adds a penalty to candidates in regions whose share has reached its limit,
+// so that they receive a request only if the delay elsewhere is long.
 func (t *Table) limitShift(now time.Time, s *survey) {
 	if t.maxShift <= 0 || s.localFailure {
 		return
--- a/internal/place/servicetime.go
+++ b/internal/place/servicetime.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// initialWork is assumed of warm work on a route without a target, before any
-	// answer has come, and firstPart of its target on one that has.
+	// initialWork is the assumed warm service time on a route without a target until
+	// a response is received. initialTargetPart is the part of the target assumed on
+	// a route that has one.
 	initialWork       = 150 * time.Millisecond
 	initialTargetPart = 1.0 / 3
-	// coldFactor is how many times as long as warm work cold work is reckoned to
-	// take. A request that goes where it is cold takes the room of others, so the
-	// placement errs on the side of affinity.
+	// coldFactor is the assumed ratio of cold to warm service time. Cold work displaces
+	// other requests, so the assumption errs on the side of affinity.
 	coldFactor = 3.3
-	// minAffinityGain is the ratio of cold to warm work from which affinity pays at all,
-	// and gainSamples the number of either that shows it.
+	// minAffinityGain is the ratio of cold to warm service time from which affinity is
+	// used. minAffinitySamples is the number of samples of each that must confirm it.
 	minAffinityGain    = 1.25
 	minAffinitySamples = 20
-	// serviceTimeGain is the weight of one sample, so that a change of load shows within
-	// seconds.
+	// serviceTimeGain is the weight of one sample, chosen so that a change of load shows
+	// within seconds.
 	serviceTimeGain = 0.05
-	// restoredSamples is the weight of what was known before this process began.
+	// restoredSamples is the weight, in samples, of a mean restored at startup.
 	restoredSamples = 5
 )
 
-// serviceTime is the learned time that work of one route takes, at upstreams that are
-// known to have handled the object lately and at others.
+// serviceTime is the learned service time of a route, separately for upstreams where the
+// object is known to be warm and for others.
 type serviceTime struct {
-	// first is assumed of warm work until there are samples.
+	// initial is the assumed warm service time until there are samples.
 	initial    time.Duration
 	warm, cold mean
 }
 
-// mean is a moving average, plain over the first samples.
+// mean is an exponential moving average, or the arithmetic mean of the first samples.
 type mean struct {
 	value   time.Duration
 	samples int
@@ -48,15 +48,14 @@
 	}
 }
 
-// setInitial sets what is assumed before any answer has come, from the time within
-// which operators want one.
+// setInitial derives the initial service time from the latency target.
 func (w *serviceTime) setInitial(target time.Duration) {
 	if w.initial = time.Duration(initialTargetPart * float64(target)); target <= 0 {
 		w.initial = initialWork
 	}
 }
 
-// estimate is how long the work is reckoned to take.
+// estimate returns the expected service time.
 func (w *serviceTime) estimate(warm bool) time.Duration {
 	known := w.initial
 	if w.warm.samples > 0 {
@@ -68,12 +67,11 @@
 	return time.Duration(coldFactor * float64(known))
 }
 
-// affinityGain is what an upstream is reckoned to save on an object that it has handled
-// lately; 0 if it saves nothing.
+// affinityGain is the time that an upstream is expected to save on an object that is
+// warm there; 0 if none.
 func (w *serviceTime) affinityGain() time.Duration { return w.estimate(false) - w.estimate(true) }
 
-// gainsFromAffinity tells whether an upstream that has handled an object lately is faster with
-// it, as far as is known.
+// gainsFromAffinity reports whether warm requests are faster, as far as is known.
 func (w *serviceTime) gainsFromAffinity() bool {
 	if w.warm.samples < minAffinitySamples || w.cold.samples < minAffinitySamples {
 		return true
@@ -89,7 +87,7 @@
 	w.cold.observe(took)
 }
 
-// restore takes over what was known before, if nothing is known yet.
+// restore applies restored means where there are no samples yet.
 func (w *serviceTime) restore(r RouteState) {
 	w.warm.restore(r.Warm)
 	w.cold.restore(r.Cold)
--- a/internal/place/slowstart.go
+++ b/internal/place/slowstart.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// slowStartPart of what a cold upstream bears is sent. The rest is for a second
-	// host that believes, for a moment after a change of members, that it is
-	// the one to send.
+	// slowStartPart is the part of the rate a cold upstream can take that one host
+	// sends. The rest is for a second host that considers itself the sender for a moment
+	// after a change of membership.
 	slowStartPart = 0.85
-	// slowStartBurst lets requests that arrive close together through.
+	// slowStartBurst is the token bucket size; it admits requests that arrive close together.
 	slowStartBurst = 2
 )
 
-// slowStart bounds what is sent to a cold upstream: it crashes at well above what it
-// bears. One host alone sends to it, so no count has to be shared.
+// slowStart is the token bucket that limits requests to a cold upstream, which crashes at
+// well above its cold rate. Only one host sends to it, so no count is shared.
 type slowStart struct {
 	tokens float64
 	at     time.Time
 }
 
-// take uses one request of rate per second; rate 0 is no bound.
+// allow takes a token, refilled at rate per second; rate 0 means no limit.
 func (p *slowStart) allow(now time.Time, rate float64) bool {
 	if rate <= 0 {
 		return true
@@ -36,9 +36,9 @@
 	return true
 }
 
-// isSlowStartSender tells whether this host is the one that sends to a cold upstream. One
-// alone does, by rendezvous among the ready hosts of the upstream's zone, else
-// of its region, else all: each host then knows the whole rate.
+// isSlowStartSender reports whether this host is the one that sends to the upstream while
+// it is cold. A single sender, which knows the full rate, is selected by rendezvous hash
+// among the ready hosts of the upstream's zone, else of its region, else of all.
 func (t *Table) isSlowStartSender(w *upstream) bool {
 	if w.senderGeneration != t.hostsGeneration {
 		w.senderGeneration, w.isSender = t.hostsGeneration, t.slowStartSender(w) == t.self.Instance
@@ -46,7 +46,7 @@
 	return w.isSender
 }
 
-// slowStartSender is the instance that sends to a cold upstream; "" if no host is ready.
+// slowStartSender returns the instance that sends to a cold upstream; "" if no host is ready.
 func (t *Table) slowStartSender(w *upstream) string {
 	// The nearest hosts come last, so that one of them has the last word.
 	var byDistance [3]struct {
--- a/internal/place/survey.go
+++ b/internal/place/survey.go
@@ -7,34 +7,34 @@
 	"balsambarrow/internal/catalog"
 )
 
-// survey is one look over the upstreams of a service on behalf of one request.
+// survey is the result of scanning the upstreams of a service for one request.
 type survey struct {
-	// candidates are those that may be asked. They are valid until the next survey.
+	// candidates may receive the request. They are valid until the next survey.
 	candidates []candidate
-	// reason says why there is none.
+	// reason explains an empty list of candidates.
 	reason Reason
-	// localFailure says that an upstream of the service in this host's region has failed
-	// lately.
+	// localFailure is set if an upstream of the service in this host's region failed
+	// recently.
 	localFailure bool
 }
 
-// zonePath is the way to the upstreams of one zone, as one request sees it.
+// zonePath describes the network path to the upstreams of one zone for one request.
 type zonePath struct {
 	zone, region string
-	// closed says that nothing may be sent there.
+	// closed is set if nothing may be sent to the zone.
 	closed bool
-	// roundTrip is the time there and back, and transfer what the request's bytes take of
-	// links.
+	// roundTrip is the round-trip time, and transferCost the cost of the transferred
+	// bytes.
 	roundTrip, transferCost time.Duration
-	// local says that it is this host's region.
+	// local is set if the zone is in this host's region.
 	local bool
-	// openSlots is the number of slots of upstreams that may be asked.
+	// openSlots is the number of slots of available upstreams.
 	openSlots int
-	// shiftLimited says that the region has got as much more as it may.
+	// shiftLimited is set if the share of the region has reached its limit.
 	shiftLimited bool
 }
 
-// refreshZonePaths fills in the way to each zone that has had an upstream.
+// refreshZonePaths recomputes the path to each zone that has had an upstream.
 func (t *Table) refreshZonePaths(q Query) {
 	for i := range t.zonePaths {
 		l := &t.zonePaths[i]
@@ -46,7 +46,7 @@
 	}
 }
 
-// zonePathIndex is the index of a zone's leg.
+// zonePathIndex returns the index of a zone's path, which is added if missing.
 func (t *Table) zonePathIndex(zone string) int {
 	for i := range t.zonePaths {
 		if t.zonePaths[i].zone == zone {
@@ -57,7 +57,7 @@
 	return len(t.zonePaths) - 1
 }
 
-// survey lists the upstreams that may be asked, and says why there is none.
+// survey lists the upstreams that may receive the request, or the reason why none may.
 func (t *Table) survey(now time.Time, q Query, object Object) *survey {
 	t.refreshZonePaths(q)
 	s := &t.scratch
@@ -96,14 +96,14 @@
 		s.candidates = append(s.candidates, c)
 	}
 	if len(s.candidates) == 0 {
-		// Where all have failed, the one that failed longest ago may be back.
+		// If all candidates are ejected, the one whose ejection ends first may have recovered.
 		s.candidates = append(s.candidates, earliestReturning(ejected)...)
 	}
 	return s
 }
 
-// earliestReturning returns the candidate whose ejection ends first, if it is a doubt
-// about lost answers only: an upstream that could not be reached stays out.
+// earliestReturning returns the candidate whose ejection ends first. Cold candidates are
+// left out, so an upstream that was unreachable stays ejected.
 func earliestReturning(ejected []candidate) []candidate {
 	var best []candidate
 	for _, c := range ejected {
@@ -117,13 +117,13 @@
 	return best
 }
 
-// ranked are the candidates of an object with the highest weights, in their order.
+// ranked holds the indexes of the candidates with the highest weights, in rank order.
 type ranked struct {
 	index [maxRanks]int
 	n     int
 }
 
-// rank finds the candidates of the highest weights.
+// rank finds the candidates with the highest weights.
 func rank(list []candidate) ranked {
 	var r ranked
 	for i := range list {
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -9,14 +9,14 @@
 	"balsambarrow/internal/traffic"
 )
 
-// Host is an entry host that may send to cold upstreams.
+// Host is an entry host that may send requests to cold upstreams.
 type Host struct {
 	Instance string
 	Zone     string
 	Region   string
 }
 
-// Table knows the upstreams and what this host has met at them. It is safe for
+// Table holds the upstreams and what this host has observed of them. It is safe for
 // concurrent use.
 type Table struct {
 	self  Host
@@ -24,35 +24,37 @@
 
 	mu   sync.Mutex
 	byID map[string]*upstream
-	// byHash has the upstreams by the lower half of their hash.
+	// byHash indexes the upstreams by the lower half of the hash of their ID.
 	byHash         map[uint32]*upstream
 	services       map[string][]*upstream
 	declared       *catalog.Catalog
 	evacuatedZones map[string]bool
-	// hosts are those that are ready, hostHashes those of their instances, and hostsAt
-	// grows with each change of them.
+	// hosts are the ready hosts, hostHashes the hashes of their instances.
+	// hostsGeneration is incremented with each change of them.
 	hosts           []Host
 	hostHashes      []uint64
 	hostsGeneration uint64
-	// holders are the upstreams that may be warm for an object.
+	// holders lists, by object, the upstreams where the object may be warm.
 	holders map[Object][]*upstream
-	// mark grows with each request about an object, and turn with each other one.
+	// querySequence is incremented for each request with an affinity key, keylessSequence
+	// for each request without one.
 	querySequence, keylessSequence uint64
 	zonePaths                      []zonePath
 	scratch                        survey
 	regionHash                     uint64
 	serviceTimes                   map[string]*serviceTime
-	// queuedTimes is the mean work of a service, for what waits at its upstreams.
+	// queuedTimes is the mean service time by service, used for requests that wait in
+	// queues.
 	queuedTimes map[string]*mean
 	queueLimits map[string]queueLimits
 	links       linkCosts
 	shares      regionShares
-	// maxShift bounds how fast the regions in which requests run change.
+	// maxShift limits how quickly requests move between regions.
 	maxShift float64
 }
 
-// NewTable returns an empty table of the entry host self. zones gives the
-// region of each zone.
+// NewTable returns an empty table of the entry host self. zones maps each zone to its
+// region.
 func NewTable(self Host, zones map[string]string) *Table {
 	return &Table{
 		self: self, zones: zones, byID: map[string]*upstream{}, byHash: map[uint32]*upstream{},
@@ -62,14 +64,14 @@
 	}
 }
 
-// SetCatalog takes a version of the operators' declaration over.
+// SetCatalog applies a version of the configuration.
 func (t *Table) SetCatalog(c *catalog.Catalog) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.declared = c
 }
 
-// SetHosts says which hosts are ready, this one included if it is.
+// SetHosts sets the list of ready hosts, including this one if it is ready.
 func (t *Table) SetHosts(hosts []Host) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,9 +85,9 @@
 	t.hostsGeneration++
 }
 
-// Evacuate says which zones get nothing new. The upstreams of a zone that comes
-// back count as cold until they say otherwise: nobody has asked them for a
-// while, and their last account is older than that.
+// SetEvacuatedZones sets the zones that receive no new requests. The upstreams of a zone
+// that returns count as cold until they report otherwise: they have received no requests
+// for a while, and their last report is older than that.
 func (t *Table) SetEvacuatedZones(now time.Time, zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,8 +113,8 @@
 	return t.declared.Service(name)
 }
 
-// Put takes an upstream's account of itself in, just written. It tells whether
-// the account says anything new beside that the upstream lives.
+// PutUpstream adds or updates an upstream from its latest registration. It reports
+// whether the registration contains any change.
 func (t *Table) PutUpstream(now time.Time, u catalog.Upstream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 	w.zonePath, w.senderGeneration = t.zonePathIndex(u.Zone), 0
 	w.coldUntil = now.Add(u.ColdFor)
-	// It is alive, and says itself whether it is cold.
+	// The registration shows that the upstream is alive and whether it is cold.
 	w.health.possibleRestartUntil = time.Time{}
 	return news
 }
@@ -144,7 +146,7 @@
 	w.Upstream, w.region = u, t.zones[u.Zone]
 }
 
-// Remove forgets an upstream that is gone.
+// RemoveUpstream removes an upstream that has left.
 func (t *Table) RemoveUpstream(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,50 +169,52 @@
 	}
 }
 
-// Size is the number of upstreams.
+// Size returns the number of upstreams.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.byID)
 }
 
-// Result is how a request at an upstream ended.
+// Result is how a request to an upstream ended.
 type Result int
 
-// Results.
+// Results of a request.
 const (
-	// Answered: an answer of its own came whole.
+	// Succeeded: a complete response was received.
 	Succeeded Result = iota
-	// Failed: it answered that it failed.
+	// Failed: the upstream responded with a failure.
 	Failed
-	// Shed: it refused without running the request.
+	// Shed: the upstream rejected the request without running it.
 	Shed
-	// Lost: no usable answer came.
+	// NoResponse: no usable response was received.
 	NoResponse
-	// Unreachable: no connection could be made.
+	// Unreachable: no connection could be established.
 	Unreachable
-	// Left: the caller has left, or the time was up. It says nothing.
+	// Canceled: the caller left or the deadline passed. It does not reflect on the
+	// upstream's health.
 	Canceled
-	// Misdirected: another upstream has the address now.
+	// Misdirected: the address now belongs to another upstream.
 	Misdirected
 )
 
-// Report is what a request has shown of its upstream.
+// Report describes what a request revealed about its upstream.
 type Report struct {
 	Result Result
-	// Took is the time to the answer's header.
+	// TimeToHeader is the time until the response header was received.
 	TimeToHeader time.Duration
-	// Connect is the part of it that a new connection took; 0: there was one.
+	// ConnectTime is the part of TimeToHeader spent connecting; 0 if a connection was
+	// reused.
 	ConnectTime time.Duration
 	Load        traffic.Load
 	HasLoad     bool
-	// ColdFor, if the upstream says it.
+	// ColdFor is how long the upstream stays cold; 0 if not reported.
 	ColdFor time.Duration
-	// Bytes of the answer.
+	// ResponseBytes is the size of the response body.
 	ResponseBytes int
 }
 
-// Done ends a placement.
+// Done ends a choice and applies the report.
 func (t *Table) Done(now time.Time, c Choice, r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -238,7 +242,7 @@
 		t.dropUnanswered(w, c.object)
 	case Misdirected:
 		t.dropUnanswered(w, c.object)
-		// Its own entry will go; until then nobody is sent there.
+		// The registration will be removed; until then, no requests are sent there.
 		w.health.eject(now)
 	case Shed:
 		t.dropUnanswered(w, c.object)
@@ -253,7 +257,7 @@
 		w.markAnswered(now, c.object)
 	}
 	t.links.observeResponseBytes(c.route, r.ResponseBytes)
-	// Only work that did not wait says how long work takes.
+	// Only requests that did not wait in a queue show the service time.
 	queued := r.HasLoad && r.Load.Running+r.Load.Waiting >= r.Load.Slots
 	if queued || c.cold {
 		return
@@ -261,7 +265,7 @@
 	took := max(r.TimeToHeader-r.ConnectTime-t.links.roundTrip(w.region, w.Zone), time.Millisecond)
 	route := getOrCreate(t.serviceTimes, c.route)
 	if c.Warm || r.HasLoad {
-		// Without a load report a wait cannot be told from cold work.
+		// Without a load report, queueing delay cannot be distinguished from cold work.
 		route.observe(took, c.Warm)
 	}
 	if c.Warm {
@@ -270,7 +274,7 @@
 	}
 }
 
-// getOrCreate returns what is known by name, which is nothing at first.
+// getOrCreate returns the entry of the given name, which is created if missing.
 func getOrCreate[T any](known map[string]*T, name string) *T {
 	x := known[name]
 	if x == nil {
--- a/internal/place/upstream.go
+++ b/internal/place/upstream.go
@@ -6,15 +6,15 @@
 	"balsambarrow/internal/catalog"
 )
 
-// WarmFor is how long an object counts as warm where a host has sent it, and
-// warmMost how many objects are remembered for each upstream. Upstreams keep
-// some tens of objects and forget the least recent.
+// WarmTTL is how long an object counts as warm after its last request. maxWarmObjects is
+// the number of objects tracked per upstream; upstreams keep some tens of objects and
+// evict the least recently used.
 const (
 	WarmTTL        = 20 * time.Second
 	maxWarmObjects = 64
 )
 
-// upstream is one upstream and what is known of it.
+// upstream is a registered upstream and the state known of it.
 type upstream struct {
 	catalog.Upstream
 	id            uint64
@@ -23,21 +23,21 @@
 	load          load
 	slowStart     slowStart
 	standingQueue standingQueue
-	// coldUntil is when it stops being cold, by its own account or because
-	// its zone comes back from an evacuation.
+	// coldUntil is when the upstream stops being cold, as reported by the upstream or
+	// because its zone returns from an evacuation.
 	coldUntil time.Time
-	// since is when this host first heard of this run, and used says that some host
-	// has sent it a request.
+	// firstSeen is when this host first learned of this instance. hasReceived is set once
+	// any host has sent it a request.
 	firstSeen   time.Time
 	hasReceived bool
-	// warm holds the objects that it is known to have handled lately.
+	// warm holds the objects that the upstream is known to have handled recently.
 	warm map[Object]warmState
-	// zonePath is the index of its zone's.
+	// zonePath is the index of the zone in Table.zonePaths.
 	zonePath int
-	// mark is the table's, if it holds the object of the request at hand.
+	// warmForQuery equals Table.querySequence if the object of the current query is warm here.
 	warmForQuery uint64
-	// isSender says that this host is the one that sends to it while it is cold, as
-	// of a generation of hosts.
+	// isSender is set if this host sends to the upstream while it is cold. It was computed
+	// for the hosts of senderGeneration.
 	isSender         bool
 	senderGeneration uint64
 }
@@ -45,8 +45,8 @@
 // Object is the hash of an affinity key and its route.
 type Object uint32
 
-// warmState is when an upstream was last asked about an object, as far as this host
-// knows, whether it has answered yet, and when the hosts last told each other so.
+// warmState is when a request about an object was last known to be sent to an upstream,
+// whether the upstream has answered one, and when the fact was last gossiped.
 type warmState struct {
 	lastUsed   time.Time
 	answered   bool
@@ -57,7 +57,7 @@
 	return &upstream{Upstream: u, id: hash(u.ID), region: region, firstSeen: now, health: newHealth(), warm: map[Object]warmState{}}
 }
 
-// reset forgets how an earlier run under the same id was met.
+// reset discards the state of an earlier instance with the same ID.
 func (w *upstream) reset(now time.Time) {
 	inflight := w.load.inflight
 	w.health, w.load = newHealth(), load{inflight: inflight}
@@ -68,22 +68,22 @@
 	return now.Before(w.coldUntil) || w.health.mayHaveRestarted(now)
 }
 
-// isWarm tells whether the upstream handles an object, or has done so lately.
+// isWarm reports whether the upstream is handling an object or has recently done so.
 func (w *upstream) isWarm(now time.Time, object Object) bool {
 	known, ok := w.warm[object]
 	return ok && now.Sub(known.lastUsed) < WarmTTL
 }
 
-// hasAnswered tells whether it has done so lately.
+// hasAnswered reports whether the upstream has recently answered about an object.
 func (w *upstream) hasAnswered(now time.Time, object Object) bool {
 	return w.isWarm(now, object) && w.warm[object].answered
 }
 
-// markSent notes that the upstream is sent a request about an object.
+// markUsed records that the upstream is sent a request about an object.
 //
-// Requests that come while the first one is at work go to the same upstream and
-// find the object warm there, or wait a little. By the load of the moment each of
-// them would warm another upstream.
+// Requests that arrive while the first one is running go to the same upstream and find
+// the object warm there, or wait briefly. If only the current load decided, each of them
+// would warm the object at another upstream.
 func (w *upstream) markUsed(now time.Time, object Object) {
 	w.hasReceived = true
 	known := w.warm[object]
@@ -91,7 +91,7 @@
 	w.warm[object] = known
 }
 
-// markAnswered notes that the upstream has answered about an object.
+// markAnswered records that the upstream has answered a request about an object.
 func (w *upstream) markAnswered(now time.Time, object Object) {
 	w.markUsed(now, object)
 	known := w.warm[object]
@@ -99,8 +99,8 @@
 	w.warm[object] = known
 }
 
-// markReported notes at now what another host has seen: that it answered about an object at
-// a time.
+// markReported records at time now that, according to another host, the upstream answered a
+// request about an object at time at.
 func (w *upstream) markReported(now, at time.Time, object Object) {
 	w.markAnswered(at, object)
 	known := w.warm[object]
@@ -108,7 +108,7 @@
 	w.warm[object] = known
 }
 
-// leastRecentObject is the object that it was asked about longest ago.
+// leastRecentObject returns the least recently used object.
 func (w *upstream) leastRecentObject() Object {
 	var oldest Object
 	var at time.Time
