--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic holds what a request and an answer say to the entry host,
-// apart from how the wire spells it.
+// Package traffic defines the metadata that requests and responses carry, and the
+// Codec that reads it from and writes it to HTTP headers.
 package traffic
 
 import (
@@ -7,68 +7,68 @@
 	"time"
 )
 
-// Request is what a caller says besides method, target and body.
+// Request is the metadata of a caller's request, besides method, target and body.
 type Request struct {
-	// ID of this attempt of the caller; upstreams echo it.
+	// ID identifies this attempt of the caller; upstreams echo it in the response.
 	ID string
-	// Object is the affinity key: requests about one object share it.
+	// Object is the affinity key, shared by all requests about one object.
 	Object string
-	// TimeBudget is how long the caller will wait; 0: not said.
+	// TimeBudget is how long the caller waits for the response; 0 if not specified.
 	TimeBudget time.Duration
-	// Key is the customer's.
+	// APIKey identifies and authenticates the customer.
 	APIKey string
 }
 
-// Forward is what the entry host says to an upstream.
+// Forward is the metadata that the entry host adds to a request to an upstream.
 type Forward struct {
-	// Remaining is the time that the upstream may use.
+	// Remaining is the time left for the upstream to respond.
 	Remaining time.Duration
-	// Instance is the upstream that is meant: any other one refuses.
+	// ExpectedInstance is the intended upstream; any other upstream rejects the request.
 	ExpectedInstance string
-	// Customer is the tenant's name; "" for a public route.
+	// Customer is the tenant name; "" for a public route.
 	Customer string
-	// DropKey says that the caller's key must not be passed on.
+	// DropAPIKey removes the caller's API key from the forwarded header.
 	DropAPIKey bool
 }
 
-// Load is what an upstream said of its load.
+// Load is the load that an upstream reports with a response.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Answer is what an upstream's answer says besides status and body.
+// Response is the metadata of an upstream's response, besides status and body.
 type Response struct {
-	// ID of the request that is answered.
+	// ID of the request that this response belongs to.
 	ID string
-	// Signed says that the answer bears the upstream's signature.
+	// Signed is set if the response carries the upstream's signature.
 	Signed bool
-	// NotRun says that the upstream certainly did not run the request.
+	// NotRun is set if the upstream certainly did not run the request.
 	NotRun bool
-	// Misdirected says that another upstream has the address now.
+	// Misdirected is set if the address now belongs to another upstream.
 	Misdirected bool
-	// Encoded says that the body is not as the upstream wrote it.
+	// Encoded is set if the body has a content encoding that the upstream did not apply.
 	Encoded bool
-	// Load, if Told is set.
+	// Load is valid only if HasLoad is set.
 	Load    Load
 	HasLoad bool
-	// ColdFor is how long the upstream stays cold; 0 if it does not say.
+	// ColdFor is how long the upstream stays cold; 0 if not reported.
 	ColdFor time.Duration
-	// KeepFor is how long the upstream keeps the connection; 0: not said.
+	// KeepAlive is how long the upstream keeps the connection open; 0 if not reported.
 	KeepAlive time.Duration
-	// Instance that answered, where it says so.
+	// Instance is the upstream that responded, if reported.
 	Instance string
 }
 
-// Codec reads and writes these on the wire.
+// Codec maps the request and response metadata to HTTP headers.
 type Codec interface {
-	// Request reads what the caller says.
+	// ParseRequest reads the metadata of a caller's request.
 	ParseRequest(r *http.Request) Request
-	// Forward makes the header for an upstream from the caller's.
+	// ForwardHeader derives the header for an upstream from the caller's header.
 	ForwardHeader(from http.Header, f Forward) http.Header
-	// Answer reads what the upstream says.
+	// ParseResponse reads the metadata of an upstream's response.
 	ParseResponse(r *http.Response) Response
-	// Refusal adds to a refusal when to come back.
+	// SetRetryAfter tells the caller of a rejected request when to retry.
 	SetRetryAfter(h http.Header, comeBack time.Duration)
 }
