--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -104,8 +104,8 @@
 		i := cheapest(list)
 		c := list[i]
 		c.standingQueue.observe(now, c.queueing)
-		if allowed := t.queueLimit(now, q, c); c.queueing > allowed {
-			return Choice{}, &QueueLimitError{q.Service, c.queueing, allowed}
+		if limit := t.queueLimit(now, q, c); c.queueing > limit {
+			return Choice{}, &QueueLimitError{q.Service, c.queueing, limit}
 		}
 		if c.cold && !c.slowStart.allow(now, t.coldRate(c.Service)) {
 			last := len(list) - 1
@@ -142,7 +142,7 @@
 // queueLimit returns the longest queueing delay that the request may have at a
 // candidate.
 func (t *Table) queueLimit(now time.Time, q Query, c candidate) time.Duration {
-	rest := c.latency - c.queueing
+	baseLatency := c.latency - c.queueing
 	r := t.queueLimits[q.Service]
 	if r == nil {
 		r = queueLimits{}
@@ -152,14 +152,14 @@
 	if target == 0 {
 		target = q.Remaining
 	}
-	wait := min(r.limit(now, q.Priority, target, rest), max(q.Remaining-rest, 0))
-	if inTime := onTimeQueueLimit(target, rest); rest < target && c.standingQueue.shortest(now) > inTime {
-		wait = min(wait, inTime)
+	limit := min(r.limit(now, q.Priority, target, baseLatency), max(q.Remaining-baseLatency, 0))
+	if onTimeLimit := onTimeQueueLimit(target, baseLatency); baseLatency < target && c.standingQueue.shortest(now) > onTimeLimit {
+		limit = min(limit, onTimeLimit)
 	}
 	if q.OverRate {
-		return min(wait, time.Duration(overRateQueuePart*float64(onTimeQueueLimit(target, rest))))
+		return min(limit, time.Duration(overRateQueuePart*float64(onTimeQueueLimit(target, baseLatency))))
 	}
-	return wait
+	return limit
 }
 
 func (t *Table) coldRate(service string) float64 {
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -27,9 +27,9 @@
 		return
 	}
 	top := rank(list)
-	for place, i := range top.index[:top.n] {
+	for position, i := range top.index[:top.n] {
 		// Candidates outside the top ranks keep the penalty of the last rank.
-		list[i].cost -= time.Duration(maxRanks-place) * e.rankPenalty
+		list[i].cost -= time.Duration(maxRanks-position) * e.rankPenalty
 	}
 	if first := &list[top.index[0]]; t.needsFirstObject(now, *first) {
 		first.cost = first.queueing
@@ -89,8 +89,8 @@
 // queuedServiceTime returns the mean service time of requests that wait at upstreams
 // of the service.
 func (t *Table) queuedServiceTime(service string, route *serviceTime) time.Duration {
-	if usual := getOrCreate(t.queuedTimes, service); usual.samples > 0 {
-		return usual.value
+	if known := getOrCreate(t.queuedTimes, service); known.samples > 0 {
+		return known.value
 	}
 	return route.estimate(true)
 }
@@ -138,10 +138,10 @@
 
 // queueTime returns the expected queueing delay of a new request if each request ahead
 // of it takes the given time.
-func queueTime(load float64, slots int, each time.Duration) time.Duration {
+func queueTime(load float64, slots int, perRequest time.Duration) time.Duration {
 	ahead := load + 1 - float64(slots)
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(math.Ceil(ahead) / float64(slots) * float64(each))
+	return time.Duration(math.Ceil(ahead) / float64(slots) * float64(perRequest))
 }
--- a/internal/place/gossip.go
+++ b/internal/place/gossip.go
@@ -15,7 +15,7 @@
 type WarmReport uint64
 
 func newWarmReport(object Object, w *upstream) WarmReport {
-	return WarmReport(uint64(object)<<32 | uint64(uint32(w.id)))
+	return WarmReport(uint64(object)<<32 | uint64(uint32(w.idHash)))
 }
 
 // WarmReports returns the warm objects that need to be reported to the other hosts. An
@@ -42,13 +42,13 @@
 }
 
 // ApplyWarmReports applies the reports of another host.
-func (t *Table) ApplyWarmReports(now time.Time, news []uint64) {
-	if len(news) == 0 {
+func (t *Table) ApplyWarmReports(now time.Time, reports []uint64) {
+	if len(reports) == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, n := range news {
+	for _, n := range reports {
 		if w := t.byHash[uint32(n)]; w != nil {
 			t.applyWarm(now, now, w, Object(n>>32))
 		}
--- a/internal/place/holders_test.go
+++ b/internal/place/holders_test.go
@@ -10,8 +10,8 @@
 	"balsambarrow/internal/catalog"
 )
 
-// Guards against memory that grows with each object ever asked for, and with answers of
-// upstreams that have left meanwhile.
+// Guards against an index that grows with each object ever requested, and against
+// entries for removed upstreams whose responses arrive after the removal.
 func TestHoldersAreBoundedAndExcludeRemovedUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -21,22 +21,22 @@
 	}
 	put("stays")
 	put("leaves")
-	var late []Choice
+	var unfinished []Choice
 	for i := range 50 * maxWarmObjects {
 		now = now.Add(time.Millisecond)
 		c, err := table.Choose(now, Query{Service: "s", Route: "r", Object: fmt.Sprint(i), Target: time.Second, Remaining: time.Hour})
 		if err != nil {
 			continue
 		}
-		if c.ID == "leaves" && len(late) == 0 {
-			late = append(late, c)
+		if c.ID == "leaves" && len(unfinished) == 0 {
+			unfinished = append(unfinished, c)
 			continue
 		}
 		table.Done(now, c, Report{Result: Succeeded, TimeToHeader: time.Millisecond})
 	}
-	g.Expect(late).NotTo(BeEmpty())
+	g.Expect(unfinished).NotTo(BeEmpty())
 	table.RemoveUpstream("leaves")
-	for _, c := range late {
+	for _, c := range unfinished {
 		table.Done(now, c, Report{Result: Succeeded, TimeToHeader: time.Millisecond})
 	}
 	held := 0
--- a/internal/place/hot_test.go
+++ b/internal/place/hot_test.go
@@ -11,13 +11,13 @@
 	"balsambarrow/internal/traffic"
 )
 
-// queueingUpstream works on requests in the order in which they come.
+// queueingUpstream serves requests in order of arrival.
 type queueingUpstream struct {
-	// free is when each slot is free again.
+	// slotFreeAt is when each slot becomes free.
 	slotFreeAt []time.Time
 }
 
-// take returns when a request that comes now is answered.
+// serve returns when a request that arrives now completes.
 func (u *queueingUpstream) serve(now time.Time, work time.Duration) time.Time {
 	first := 0
 	for i, at := range u.slotFreeAt {
@@ -32,7 +32,7 @@
 	return u.slotFreeAt[first]
 }
 
-// busy is how many requests run or wait, if each takes work.
+// pending returns the number of running or queued requests if each takes work.
 func (u *queueingUpstream) pending(now time.Time, work time.Duration) int {
 	n := 0
 	for _, at := range u.slotFreeAt {
@@ -43,12 +43,12 @@
 	return n
 }
 
-// played is what callers got.
+// callerResults counts the outcomes of one customer's requests.
 type callerResults struct{ sent, inTime, refused int }
 
-// playHotCustomer sends requests for five seconds to four upstreams of four slots:
-// a customer within its rate asks for half of what they can do, and one over its
-// rate is admitted for as much as they can do. It returns what each got.
+// simulateHotCustomer sends requests for five seconds to four upstreams of four slots.
+// One customer within its rate requests half of the total capacity; one over its rate
+// is admitted for all of it. It returns the outcomes of each.
 func simulateHotCustomer(t *testing.T, over bool) (within, hot callerResults) {
 	const work, target = 100 * time.Millisecond, 300 * time.Millisecond
 	g := NewWithT(t)
@@ -59,60 +59,60 @@
 		upstreams[u.ID] = &queueingUpstream{slotFreeAt: make([]time.Time, u.Slots)}
 		table.PutUpstream(start, u)
 	}
-	type open struct {
+	type pendingRequest struct {
 		at     time.Time
 		choice place.Choice
 		took   time.Duration
 	}
-	var running []open
+	var running []pendingRequest
 	now := start
 	finish := func() {
-		left := running[:0]
+		remaining := running[:0]
 		for _, o := range running {
 			if o.at.After(now) {
-				left = append(left, o)
+				remaining = append(remaining, o)
 				continue
 			}
-			told := traffic.Load{Running: 1 + upstreams[o.choice.ID].pending(o.at, work), Slots: 4}
-			table.Done(o.at, o.choice, place.Report{Result: place.Succeeded, TimeToHeader: o.took, HasLoad: true, Load: told})
+			load := traffic.Load{Running: 1 + upstreams[o.choice.ID].pending(o.at, work), Slots: 4}
+			table.Done(o.at, o.choice, place.Report{Result: place.Succeeded, TimeToHeader: o.took, HasLoad: true, Load: load})
 		}
-		running = left
+		running = remaining
 	}
 	const capacity = 160
 	for i := range 5 * capacity * 3 / 2 {
 		now = start.Add(time.Duration(i) * time.Second * 2 / (3 * capacity))
 		finish()
-		who, q := &hot, place.Query{Service: "s", Route: "r", Target: target, Remaining: 2 * time.Second, OverRate: over}
+		result, q := &hot, place.Query{Service: "s", Route: "r", Target: target, Remaining: 2 * time.Second, OverRate: over}
 		if i%3 == 0 {
-			who, q.OverRate = &within, false
+			result, q.OverRate = &within, false
 		}
-		who.sent++
+		result.sent++
 		c, err := table.Choose(now, q)
 		if err != nil {
-			who.refused++
+			result.refused++
 			continue
 		}
 		at := upstreams[c.ID].serve(now, work)
 		if at.Sub(now) <= target {
-			who.inTime++
+			result.inTime++
 		}
-		running = append(running, open{at, c, at.Sub(now)})
+		running = append(running, pendingRequest{at, c, at.Sub(now)})
 	}
 	g.Expect(within.sent + hot.sent).To(Equal(1200))
 	return within, hot
 }
 
-// A customer asks for several times its rate, and what it is admitted fills the
-// upstreams. Without a bound of its own its requests stand in every queue, and the
-// callers of all other customers get their answers late.
+// Guards against a customer that exceeds its rate and delays all others: the requests
+// admitted for it are enough to fill the upstreams. Without a limit of their own, they
+// would occupy every queue, and the responses to other customers would be late.
 func TestCustomerOverRateDoesNotDelayOthers(t *testing.T) {
 	g := NewWithT(t)
-	before, hotBefore := simulateHotCustomer(t, false)
-	now, hotNow := simulateHotCustomer(t, true)
-	t.Logf("in time of the customer within its rate: %d of %d, before %d", now.inTime, now.sent, before.inTime)
-	t.Logf("in time of the other: %d of %d (%d refused), before %d (%d refused)",
-		hotNow.inTime, hotNow.sent, hotNow.refused, hotBefore.inTime, hotBefore.refused)
-	g.Expect(now.inTime).To(BeNumerically(">=", now.sent*95/100))
-	g.Expect(now.inTime).To(BeNumerically(">", before.inTime))
-	g.Expect(now.inTime + hotNow.inTime).To(BeNumerically(">=", before.inTime+hotBefore.inTime))
+	unlimited, hotUnlimited := simulateHotCustomer(t, false)
+	limited, hotLimited := simulateHotCustomer(t, true)
+	t.Logf("customer within its rate: %d of %d on time, %d without the limit", limited.inTime, limited.sent, unlimited.inTime)
+	t.Logf("customer over its rate: %d of %d on time (%d rejected), without the limit %d (%d rejected)",
+		hotLimited.inTime, hotLimited.sent, hotLimited.refused, hotUnlimited.inTime, hotUnlimited.refused)
+	g.Expect(limited.inTime).To(BeNumerically(">=", limited.sent*95/100))
+	g.Expect(limited.inTime).To(BeNumerically(">", unlimited.inTime))
+	g.Expect(limited.inTime + hotLimited.inTime).To(BeNumerically(">=", unlimited.inTime+hotUnlimited.inTime))
 }
--- a/internal/place/links.go
+++ b/internal/place/links.go
@@ -33,16 +33,16 @@
 }
 
 // observeRTT records the time to establish a connection, which takes one round trip.
-func (w *linkCosts) observeRTT(region string, took time.Duration) {
+func (w *linkCosts) observeRTT(region string, rtt time.Duration) {
 	if region == w.self.Region {
 		return
 	}
 	known, ok := w.regionRTT[region]
 	if !ok {
-		w.regionRTT[region] = took
+		w.regionRTT[region] = rtt
 		return
 	}
-	w.regionRTT[region] = known + time.Duration(rttGain*float64(took-known))
+	w.regionRTT[region] = known + time.Duration(rttGain*float64(rtt-known))
 }
 
 func (w *linkCosts) observeResponseBytes(route string, n int) {
--- a/internal/place/load.go
+++ b/internal/place/load.go
@@ -30,8 +30,8 @@
 
 // observe applies a load report. The report and inflight both still count the request
 // that the report was received with.
-func (l *load) observe(now time.Time, told traffic.Load) {
-	others := max(float64(told.Running+told.Waiting-l.inflight), 0)
+func (l *load) observe(now time.Time, report traffic.Load) {
+	others := max(float64(report.Running+report.Waiting-l.inflight), 0)
 	if !l.reported {
 		l.background = others
 	}
@@ -45,6 +45,6 @@
 	if !l.reported {
 		return float64(l.inflight)
 	}
-	fade := math.Exp(-float64(now.Sub(l.at)) / float64(loadDecay))
-	return float64(l.inflight) + l.background + (l.others-l.background)*fade
+	decay := math.Exp(-float64(now.Sub(l.at)) / float64(loadDecay))
+	return float64(l.inflight) + l.background + (l.others-l.background)*decay
 }
--- a/internal/place/outlier.go
+++ b/internal/place/outlier.go
@@ -77,10 +77,10 @@
 	h.ejectedUntil = now.Add(h.ejection)
 }
 
-func (h *health) observeServiceTime(took, usual time.Duration) {
-	if usual <= 0 {
+func (h *health) observeServiceTime(took, expected time.Duration) {
+	if expected <= 0 {
 		return
 	}
-	ratio := min(float64(took)/float64(usual), maxSlowness)
+	ratio := min(float64(took)/float64(expected), maxSlowness)
 	h.slowness += slownessGain * (ratio - h.slowness)
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -30,7 +30,7 @@
 	return catalog.Upstream{ID: id, Service: "s", Address: id, Zone: zone, Slots: 4, State: catalog.StateReady, Born: 1}
 }
 
-// full has four upstreams in each zone.
+// newFullTable returns a table with four upstreams in each zone.
 func newFullTable(t *testing.T, zone string) *place.Table {
 	table := newTable(t, zone)
 	for _, z := range []string{"a1", "a2", "b1", "b2"} {
@@ -45,8 +45,8 @@
 	return place.Query{Service: "s", Route: "r", Object: object, Target: 500 * time.Millisecond, Remaining: 2 * time.Second}
 }
 
-// ask places a request and answers it at once, three times as fast where the
-// object is warm.
+// placeAndFinish places a request and completes it at once. The service time is three
+// times as long where the object is cold.
 func placeAndFinish(t *testing.T, table *place.Table, now time.Time, q place.Query) place.Choice {
 	c, err := table.Choose(now, q)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -58,8 +58,8 @@
 	return c
 }
 
-// Requests about one object go to one upstream, and most hosts of the region
-// agree on it without having heard of each other.
+// Requests about one object must go to one upstream, and most hosts of the region must
+// select the same one without communication.
 func TestObjectsKeepTheirUpstream(t *testing.T) {
 	g := NewWithT(t)
 	one, other := newFullTable(t, "a1"), newFullTable(t, "a2")
@@ -74,14 +74,14 @@
 			moved++
 		}
 	}
-	g.Expect(len(used)).To(BeNumerically(">=", 6), "objects are spread")
-	// An answer of four kilobytes weighs as much as two thirds of a rank in
-	// another zone, so some begin at the second in rank.
+	g.Expect(len(used)).To(BeNumerically(">=", 6), "objects are spread over upstreams")
+	// Transferring a response of 4 kB to another zone costs as much as two thirds of a
+	// rank, so some objects start at the second-ranked upstream.
 	g.Expect(moved).To(BeNumerically("<=", 9))
 }
 
-// What one host has warmed, another one uses: callers that moved to another
-// region find their animals' histories where they are warm.
+// Guards against repeated cold work for callers that move to another region: hosts
+// there must use the upstreams where the objects are already warm.
 func TestWarmObjectsAreGossiped(t *testing.T) {
 	g := NewWithT(t)
 	one, far := newFullTable(t, "a1"), newFullTable(t, "b1")
@@ -89,21 +89,21 @@
 	for i := range 40 {
 		homes[fmt.Sprint(i)] = placeAndFinish(t, one, start, query(fmt.Sprint(i))).ID
 	}
-	var news []uint64
+	var reports []uint64
 	for _, n := range one.WarmReports(start) {
-		news = append(news, uint64(n))
+		reports = append(reports, uint64(n))
 	}
-	g.Expect(news).To(HaveLen(40))
-	g.Expect(one.WarmReports(start.Add(time.Second))).To(BeEmpty(), "each fact is told once")
-	far.ApplyWarmReports(start, news)
-	g.Expect(far.WarmReports(start)).To(BeEmpty(), "and not told on")
+	g.Expect(reports).To(HaveLen(40))
+	g.Expect(one.WarmReports(start.Add(time.Second))).To(BeEmpty(), "each fact is reported once")
+	far.ApplyWarmReports(start, reports)
+	g.Expect(far.WarmReports(start)).To(BeEmpty(), "received reports are not forwarded")
 	for object, home := range homes {
 		g.Expect(placeAndFinish(t, far, start, query(object)).ID).To(Equal(home))
 	}
 }
 
-// Upstreams that are draining, evacuated or outside the homes of a request get
-// nothing, and where there is no other the request is refused with the reason.
+// Draining or evacuated upstreams and those outside the allowed regions must receive no
+// requests. If there is no other upstream, the request is rejected with the reason.
 func TestClosedUpstreamsReceiveNoRequests(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -116,9 +116,9 @@
 		{"all evacuated", func(tb *place.Table) {
 			tb.SetEvacuatedZones(start, map[string]bool{"a1": true, "a2": true, "b1": true, "b2": true})
 		}, nil, place.AllClosed, nil},
-		{"home in b", func(*place.Table) {}, func(q *place.Query) { q.RegionRestricted, q.AllowedRegions = true, []string{"b"} }, "", []string{"b1", "b2"}},
-		{"homes that exclude each other", func(*place.Table) {}, func(q *place.Query) { q.RegionRestricted = true }, place.NotRegistered, nil},
-		{"service unknown", func(*place.Table) {}, func(q *place.Query) { q.Service = "none" }, place.NotRegistered, nil},
+		{"restricted to region b", func(*place.Table) {}, func(q *place.Query) { q.RegionRestricted, q.AllowedRegions = true, []string{"b"} }, "", []string{"b1", "b2"}},
+		{"no allowed region", func(*place.Table) {}, func(q *place.Query) { q.RegionRestricted = true }, place.NotRegistered, nil},
+		{"unknown service", func(*place.Table) {}, func(q *place.Query) { q.Service = "none" }, place.NotRegistered, nil},
 		{"draining", func(tb *place.Table) {
 			for _, z := range []string{"a1", "a2", "b1"} {
 				for i := range 4 {
@@ -160,8 +160,8 @@
 	}
 }
 
-// A zone comes back cold. Ten hosts that all send to its upstreams would crash
-// them again; only one of them may, at the pace that the upstreams bear.
+// A zone returns from an evacuation with cold upstreams. They would crash if ten hosts
+// all sent to them, so only one host may, at the rate that cold upstreams can take.
 func TestColdUpstreamsAreRateLimited(t *testing.T) {
 	g := NewWithT(t)
 	var hosts []place.Host
@@ -193,8 +193,8 @@
 	g.Expect(sent).To(BeNumerically("<=", 3*6+2))
 }
 
-// A worker crashed and is back under the same id, cold, before its new entry is
-// heard. Hosts that could not reach it must not all return to it at once.
+// An upstream crashes and restarts under the same ID, cold, before its new registration
+// arrives. Hosts that could not reach it must not all return to it at once.
 func TestUnreachableUpstreamCountsAsCold(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
@@ -206,18 +206,18 @@
 	table.Done(start, c, place.Report{Result: place.Unreachable})
 	later := start.Add(2 * time.Second)
 	_, err = table.Choose(later, query("1"))
-	g.Expect(err).To(HaveOccurred(), "in doubt: its zone's host tries first")
+	g.Expect(err).To(HaveOccurred(), "may be cold: only the sender of its zone may try")
 	table.PutUpstream(later, upstream("x", "b1"))
 	_, err = table.Choose(later, query("1"))
-	g.Expect(err).NotTo(HaveOccurred(), "its heartbeat says that it lives and is warm")
+	g.Expect(err).NotTo(HaveOccurred(), "the registration shows that it is alive and warm")
 }
 
-// An upstream fails half of its requests, though its health is good. It must
-// lose its traffic, and get it back when it has recovered.
+// An upstream that fails half of its requests while its health check passes must lose
+// most of its traffic.
 func TestFailingUpstreamIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
-	sick := placeAndFinish(t, table, start, query("1")).ID
+	failing := placeAndFinish(t, table, start, query("1")).ID
 	now := start
 	sent := 0
 	for i := range 300 {
@@ -225,7 +225,7 @@
 		c, err := table.Choose(now, query("1"))
 		g.Expect(err).NotTo(HaveOccurred())
 		result := place.Succeeded
-		if c.ID == sick {
+		if c.ID == failing {
 			sent++
 			if i%2 == 0 {
 				result = place.Failed
@@ -236,9 +236,9 @@
 	g.Expect(sent).To(BeNumerically("<", 100))
 }
 
-// All slots and queues of an object's upstream are full. What would wait for
-// longer than it may is refused at once, with the wait, and the more urgent of
-// two kinds of request is refused later.
+// All slots and queues of an object's upstream are full. Requests whose queueing delay
+// exceeds the limit must be rejected at once with the expected delay, and more requests
+// of the more urgent priority must be admitted.
 func TestFullUpstreamsRefuse(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
@@ -260,8 +260,8 @@
 	g.Expect(admitted[0] + admitted[1]).To(BeNumerically("<", 100))
 }
 
-// The answers of an upstream say that others have filled it. A host that has no
-// request there itself must go by that.
+// The load report of an upstream shows that other hosts have filled it. A host with no
+// requests in flight there must respect the report.
 func TestLoadOfOthersCounts(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
@@ -273,9 +273,9 @@
 	g.Expect(placeAndFinish(t, table, start, query("1")).ID).NotTo(Equal(first.ID))
 }
 
-// An upstream counts the request that it answers among those that run. Counted once
-// more by the host, every upstream seems to hold a request that nobody sent, and
-// requests go to cold ones while the warm one is idle.
+// The load report counts the request that it was received with. If the host counted the
+// request again, every upstream would seem to have a request that nobody sent, and
+// requests would go to cold upstreams while the warm one is idle.
 func TestAnsweredRequestIsNotCountedTwice(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
@@ -290,15 +290,15 @@
 	g.Expect(next.ExpectedQueueing).To(BeZero())
 }
 
-// Callers of a region multiply from one second to the next, and its own
-// upstreams are full. The part of the requests that runs in the other region may
-// grow by steps only.
+// Callers of a region multiply from one second to the next, and its own upstreams are
+// full. The share of requests that run in the other region may grow only by a bounded
+// part per window.
 func TestRegionShareGrowthIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
 	table.SetMaxRegionShift(0.15)
 	now := start
-	// A table whose object has homes in both regions and little load.
+	// share sends requests for two seconds and returns the part placed in the other region.
 	share := func(perSecond int, hold time.Duration) float64 {
 		type open struct {
 			until time.Time
@@ -355,10 +355,10 @@
 	}
 }
 
-// An animal's history and its summary are asked for with the same key, on two
-// routes. Callers saw one summary in eight take three times as long as usual: it
-// was sent to the upstream that had the history warm, and that has its own work
-// for each of the two. What one route has warmed says nothing about the other.
+// An animal's history and its summary are requested with the same key on two routes.
+// Guards against counting an object as warm for both: one summary in eight took three
+// times the usual time, because it was sent to the upstream that was warm for the
+// history, although the work of the two routes is separate.
 func TestRoutesAreWarmedSeparately(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
@@ -370,36 +370,33 @@
 	g.Expect(placeAndFinish(t, table, start, summary).Warm).To(BeTrue())
 }
 
-// Parents in one region top up at an upstream two hundred milliseconds away, and
-// the first connection there takes as long again. How far the region is must be
-// learned from that: otherwise small answers wait for the way there although an
-// upstream of their own region would have served them in time. The time of the
-// connection must not count as work.
+// The round-trip time to another region must be learned from the time to connect, here
+// 200 ms. Otherwise small requests travel to a distant upstream although one in their
+// own region would be on time. Connection time must not count as service time.
 func TestDistanceIsLearnedFromConnections(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
-	const way, work = 200 * time.Millisecond, 100 * time.Millisecond
+	const roundTrip, work = 200 * time.Millisecond, 100 * time.Millisecond
 	table.PutUpstream(start, upstream("far", "b1"))
 	for i := range 30 {
 		c, err := table.Choose(start, query("1"))
 		g.Expect(err).NotTo(HaveOccurred())
-		report := place.Report{Result: place.Succeeded, TimeToHeader: way + work, ResponseBytes: 1000}
+		report := place.Report{Result: place.Succeeded, TimeToHeader: roundTrip + work, ResponseBytes: 1000}
 		if i%3 == 0 {
-			report.ConnectTime = way
-			report.TimeToHeader += way
+			report.ConnectTime = roundTrip
+			report.TimeToHeader += roundTrip
 		}
 		table.Done(start, c, report)
 	}
 	c, err := table.Choose(start, query("1"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(c.ExpectedLatency).To(BeNumerically("~", way+work, 20*time.Millisecond))
+	g.Expect(c.ExpectedLatency).To(BeNumerically("~", roundTrip+work, 20*time.Millisecond))
 }
 
-// A sale begins: many callers ask for the same cold animals at once. While the
-// first request about an animal is still at work, its upstream grows busy with
-// others, and the next request would warm the animal at a second one: each object
-// took the cold time 1.5 times, just when all upstreams were full. The upstream
-// that was asked first is the warm one from then on.
+// Many callers request the same cold objects at once. While the first request about an
+// object runs, its upstream becomes busy with others, and the next request would warm
+// the object at a second one. On average, each object was warmed 1.5 times, just when
+// all upstreams were full. The first upstream must count as warm from the first request.
 func TestColdObjectIsWarmedAtOneUpstream(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
@@ -417,12 +414,12 @@
 	for _, upstreams := range used {
 		sum += len(upstreams)
 	}
-	t.Logf("upstreams for each object: %.2f", float64(sum)/30)
+	t.Logf("upstreams per object: %.2f", float64(sum)/30)
 	g.Expect(sum).To(BeNumerically("<=", 32))
 }
 
-// The upstream that an object was sent to first refuses it, cannot be reached or
-// is another one. It has warmed nothing.
+// The first upstream of an object sheds the request, is unreachable or is misdirected.
+// The object must not count as warm there.
 func TestUnservedRequestWarmsNothing(t *testing.T) {
 	for _, result := range []place.Result{place.Shed, place.Unreachable, place.Misdirected} {
 		g := NewWithT(t)
@@ -438,8 +435,8 @@
 	}
 }
 
-// The second request about an object is refused where the first one was served.
-// The object stays warm there.
+// An upstream that has served an object sheds a second request about it. The object must
+// still count as warm there.
 func TestShedRequestKeepsObjectWarm(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
@@ -451,8 +448,8 @@
 	g.Expect(placeAndFinish(t, table, start, query("1")).Warm).To(BeTrue())
 }
 
-// Objects are warm and their upstreams idle when another upstream joins. It must get
-// a few of the objects while nobody needs it, and no more.
+// A new upstream joins while all objects are warm and their upstreams idle. It must
+// receive a few objects before its capacity is needed, and no more than that.
 func TestNewUpstreamReceivesFirstObjects(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
@@ -471,20 +468,20 @@
 		round()
 	}
 	table.PutUpstream(now, upstream("a1-new", "a1"))
-	g.Expect(round()).To(BeZero(), "the usual choice comes first")
+	g.Expect(round()).To(BeZero(), "no objects before the join delay")
 	table.PutUpstream(now, upstream("a1-new", "a1"))
 	got := 0
 	for range 3 {
 		got += round()
 	}
 	g.Expect(got).To(BeNumerically(">=", 2))
-	g.Expect(got).To(BeNumerically("<=", 6), "one object moved")
+	g.Expect(got).To(BeNumerically("<=", 6), "few objects moved")
 }
 
-// A service whose upstreams gain nothing from affinity. An object must not wait at
-// the one that had it last while others are idle.
+// A service gains nothing from affinity. Requests about an object must not queue at the
+// upstream that served it last while others are idle.
 func TestNoAffinityWithoutGain(t *testing.T) {
-	wait := func(cold time.Duration, told bool) time.Duration {
+	longestQueueing := func(cold time.Duration, hasLoad bool) time.Duration {
 		g := NewWithT(t)
 		table := newFullTable(t, "a1")
 		now := start
@@ -497,7 +494,7 @@
 				took = 300 * time.Millisecond
 			}
 			load := traffic.Load{Running: 1, Slots: 4}
-			table.Done(now, c, place.Report{Result: place.Succeeded, TimeToHeader: took, ResponseBytes: 1000, HasLoad: told, Load: load})
+			table.Done(now, c, place.Report{Result: place.Succeeded, TimeToHeader: took, ResponseBytes: 1000, HasLoad: hasLoad, Load: load})
 		}
 		longest := time.Duration(0)
 		for range 30 {
@@ -508,7 +505,7 @@
 		return longest
 	}
 	g := NewWithT(t)
-	g.Expect(wait(300*time.Millisecond, true)).To(BeZero(), "16 upstreams of 4 slots")
-	g.Expect(wait(900*time.Millisecond, true)).To(BeNumerically(">", 0), "affinity is worth a wait")
-	g.Expect(wait(300*time.Millisecond, false)).To(BeNumerically(">", 0), "what looks like no gain may be waits")
+	g.Expect(longestQueueing(300*time.Millisecond, true)).To(BeZero(), "16 upstreams of 4 slots")
+	g.Expect(longestQueueing(900*time.Millisecond, true)).To(BeNumerically(">", 0), "affinity justifies queueing")
+	g.Expect(longestQueueing(300*time.Millisecond, false)).To(BeNumerically(">", 0), "without load reports, equal times may include queueing")
 }
--- a/internal/place/queuelimit.go
+++ b/internal/place/queuelimit.go
@@ -41,25 +41,25 @@
 // wait until the queue is full. A queue that never becomes short enough for a response
 // on time is of no use, so it is kept at the length at which responses are on time.
 type standingQueue struct {
-	window            int64
+	halfIndex         int64
 	current, previous time.Duration
 }
 
-func (s *standingQueue) observe(now time.Time, wait time.Duration) {
-	half := now.UnixNano() / int64(standingQueueWindow/2)
-	switch half - s.window {
+func (s *standingQueue) observe(now time.Time, delay time.Duration) {
+	index := now.UnixNano() / int64(standingQueueWindow/2)
+	switch index - s.halfIndex {
 	case 0:
-		s.current = min(s.current, wait)
+		s.current = min(s.current, delay)
 	case 1:
-		*s = standingQueue{half, wait, s.current}
+		*s = standingQueue{index, delay, s.current}
 	default:
-		*s = standingQueue{half, wait, 0}
+		*s = standingQueue{index, delay, 0}
 	}
 }
 
 // shortest returns the minimum queueing delay over the window; 0 if there were no requests.
 func (s *standingQueue) shortest(now time.Time) time.Duration {
-	switch now.UnixNano()/int64(standingQueueWindow/2) - s.window {
+	switch now.UnixNano()/int64(standingQueueWindow/2) - s.halfIndex {
 	case 0:
 		return min(s.current, s.previous)
 	case 1:
@@ -78,21 +78,21 @@
 
 // onTimeQueueLimit is the queueing delay at which a response is still on time if the
 // service and round-trip times take rest; at least minQueuePart of the target.
-func onTimeQueueLimit(target, rest time.Duration) time.Duration {
-	return max(target-rest, time.Duration(minQueuePart*float64(target)))
+func onTimeQueueLimit(target, baseLatency time.Duration) time.Duration {
+	return max(target-baseLatency, time.Duration(minQueuePart*float64(target)))
 }
 
 // limit returns the longest queueing delay of a request of the priority whose service
 // and round-trip times take rest.
-func (r queueLimits) limit(now time.Time, priority int, target, rest time.Duration) time.Duration {
-	wait := queueLimitFactor * onTimeQueueLimit(target, rest)
-	r[priority] = queueLimit{wait, now}
+func (r queueLimits) limit(now time.Time, priority int, target, baseLatency time.Duration) time.Duration {
+	limit := queueLimitFactor * onTimeQueueLimit(target, baseLatency)
+	r[priority] = queueLimit{limit, now}
 	for p, a := range r {
 		if p < priority && now.Sub(a.at) < priorityWindow {
-			wait = min(wait, time.Duration(lowerPriorityPart*float64(a.limit)))
+			limit = min(limit, time.Duration(lowerPriorityPart*float64(a.limit)))
 		}
 	}
-	return wait
+	return limit
 }
 
 // QueueLimitError reports that the queueing delay at every upstream exceeds the limit.
--- a/internal/place/regionshift.go
+++ b/internal/place/regionshift.go
@@ -63,21 +63,21 @@
 }
 
 // mayGrow reports whether one more request may be sent to the region.
-func (m *regionShares) mayGrow(now time.Time, region string, most float64) bool {
+func (m *regionShares) mayGrow(now time.Time, region string, maxGrowth float64) bool {
 	before, all := m.count(now, region, shiftSlots, 2*shiftSlots)
 	if all < minShiftSamples {
 		return true
 	}
 	part, total := m.count(now, region, 0, shiftSlots)
-	return (part+1)/(total+1) <= before/all+most*hostShiftPart
+	return (part+1)/(total+1) <= before/all+maxGrowth*hostShiftPart
 }
 
 // SetMaxRegionShift sets by how much the share of a region may grow from one window of
 // two seconds to the next; 0 means no limit.
-func (t *Table) SetMaxRegionShift(most float64) {
+func (t *Table) SetMaxRegionShift(maxGrowth float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maxShift = most
+	t.maxShift = maxGrowth
 }
 
 // limitShift adds a penalty to candidates in regions whose share has reached its limit,
--- a/internal/place/slowstart.go
+++ b/internal/place/slowstart.go
@@ -54,15 +54,15 @@
 		weight   uint64
 	}
 	for i, h := range t.hosts {
-		near := 0
+		proximity := 0
 		switch {
 		case h.Zone == w.Zone:
-			near = 2
+			proximity = 2
 		case h.Region == w.region:
-			near = 1
+			proximity = 1
 		}
-		best := &byDistance[near]
-		if x := weight(w.id, t.hostHashes[i]); best.instance == "" || x > best.weight {
+		best := &byDistance[proximity]
+		if x := weight(w.idHash, t.hostHashes[i]); best.instance == "" || x > best.weight {
 			best.instance, best.weight = h.Instance, x
 		}
 	}
--- a/internal/place/standing_test.go
+++ b/internal/place/standing_test.go
@@ -23,10 +23,10 @@
 		want  time.Duration
 	}{
 		{"no request", nil, 0, 0},
-		{"a burst that has just begun", map[time.Duration]time.Duration{0: 400 * ms, 100 * ms: 500 * ms}, 200 * ms, 0},
-		{"a queue that stays", map[time.Duration]time.Duration{0: 400 * ms, 260 * ms: 500 * ms, 300 * ms: 450 * ms}, 310 * ms, 400 * ms},
-		{"one that was short once", map[time.Duration]time.Duration{0: 400 * ms, 260 * ms: 500 * ms, 300 * ms: 10 * ms}, 310 * ms, 10 * ms},
-		{"one that nobody has met lately", map[time.Duration]time.Duration{0: 400 * ms, 260 * ms: 500 * ms}, 2 * time.Second, 0},
+		{"burst has just started", map[time.Duration]time.Duration{0: 400 * ms, 100 * ms: 500 * ms}, 200 * ms, 0},
+		{"standing queue", map[time.Duration]time.Duration{0: 400 * ms, 260 * ms: 500 * ms, 300 * ms: 450 * ms}, 310 * ms, 400 * ms},
+		{"queue was short once", map[time.Duration]time.Duration{0: 400 * ms, 260 * ms: 500 * ms, 300 * ms: 10 * ms}, 310 * ms, 10 * ms},
+		{"no recent request", map[time.Duration]time.Duration{0: 400 * ms, 260 * ms: 500 * ms}, 2 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -41,16 +41,16 @@
 	}
 }
 
-// overload plays requests about objects at upstreams that work first come, first served,
-// are slower with objects that are new to them, and refuse beyond their queue: first few,
-// so that the objects are warm, then more than the upstreams can do.
+// overload simulates requests about objects at upstreams that serve in order of arrival,
+// are slower with objects that are new to them, and reject requests beyond their queue.
+// The demand is low at first, so that the objects become warm, and then rises.
 type overload struct {
 	hosts, upstreams int
-	// demand is what is asked for in the end, in parts of what the upstreams can do warm.
+	// demand is the final demand, as a part of the capacity of warm upstreams.
 	demand float64
 }
 
-// outcomes is what callers got in the end.
+// requestOutcomes counts the outcomes of requests during the final demand.
 type requestOutcomes struct{ sent, inTime, late, refused int }
 
 const (
@@ -65,11 +65,11 @@
 	objectsPerUpstream = 12
 )
 
-// slots is when each slot of an upstream is free again, and when its requests end.
+// simulatedUpstream holds when each slot becomes free and when its requests complete.
 type simulatedUpstream struct {
-	free  [overloadSlots]time.Time
-	done  []time.Time
-	known map[string]bool
+	free        [overloadSlots]time.Time
+	done        []time.Time
+	warmObjects map[string]bool
 }
 
 func (s *simulatedUpstream) serve(now time.Time, object string) (at time.Time, ok bool) {
@@ -77,10 +77,10 @@
 		return now, false
 	}
 	work := coldWork
-	if s.known[object] {
+	if s.warmObjects[object] {
 		work = warmWork
 	}
-	s.known[object] = true
+	s.warmObjects[object] = true
 	first := 0
 	for i := range s.free {
 		if s.free[i].Before(s.free[first]) {
@@ -105,12 +105,12 @@
 	return traffic.Load{Running: min(there, overloadSlots), Waiting: max(there-overloadSlots, 0), Slots: overloadSlots}
 }
 
-// fleet is the hosts and upstreams of one play.
+// fleet is the set of hosts and upstreams of one simulation.
 type fleet struct {
-	rng    *rand.Rand
-	tables []*Table
-	ups    map[string]*simulatedUpstream
-	open   []sentRequest
+	rng       *rand.Rand
+	tables    []*Table
+	upstreams map[string]*simulatedUpstream
+	open      []sentRequest
 }
 
 type sentRequest struct {
@@ -121,12 +121,12 @@
 }
 
 func (o overload) newFleet(start time.Time) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(3, uint64(o.hosts))), ups: map[string]*simulatedUpstream{}}
+	f := &fleet{rng: rand.New(rand.NewPCG(3, uint64(o.hosts))), upstreams: map[string]*simulatedUpstream{}}
 	for i := range o.hosts {
 		t := NewTable(Host{Instance: fmt.Sprint("h-", i), Zone: "a1", Region: "a"}, map[string]string{"a1": "a"})
 		for n := range o.upstreams {
 			id := fmt.Sprint("u-", n)
-			f.ups[id] = &simulatedUpstream{known: map[string]bool{}}
+			f.upstreams[id] = &simulatedUpstream{warmObjects: map[string]bool{}}
 			t.PutUpstream(start, catalog.Upstream{ID: id, Service: "s", Address: id, Zone: "a1", Slots: overloadSlots, State: catalog.StateReady})
 		}
 		f.tables = append(f.tables, t)
@@ -134,36 +134,36 @@
 	return f
 }
 
-// finish ends what is answered by now, and passes on which objects are warm.
+// finish completes the requests that have been answered by now.
 func (f *fleet) finish(now time.Time) {
-	left := f.open[:0]
+	remaining := f.open[:0]
 	for _, r := range f.open {
 		if r.at.After(now) {
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
-		load := f.ups[r.c.ID].load(r.at)
+		load := f.upstreams[r.c.ID].load(r.at)
 		load.Running++
 		r.table.Done(r.at, r.c, Report{Result: Succeeded, TimeToHeader: r.took, HasLoad: true, Load: load})
 	}
-	f.open = left
+	f.open = remaining
 }
 
 func (f *fleet) gossip(now time.Time) {
 	for _, from := range f.tables {
-		var told []uint64
+		var reports []uint64
 		for _, r := range from.WarmReports(now) {
-			told = append(told, uint64(r))
+			reports = append(reports, uint64(r))
 		}
 		for _, to := range f.tables {
 			if to != from {
-				to.ApplyWarmReports(now, told)
+				to.ApplyWarmReports(now, reports)
 			}
 		}
 	}
 }
 
-// send plays one request and counts what its caller gets.
+// send simulates one request and counts its outcome.
 func (f *fleet) send(now time.Time, object string, out *requestOutcomes) {
 	out.sent++
 	t := f.tables[f.rng.IntN(len(f.tables))]
@@ -172,11 +172,11 @@
 		out.refused++
 		return
 	}
-	at, ok := f.ups[c.ID].serve(now, object)
+	at, ok := f.upstreams[c.ID].serve(now, object)
 	switch {
 	case !ok:
 		out.refused++
-		t.Done(now, c, Report{Result: Shed, HasLoad: true, Load: f.ups[c.ID].load(now)})
+		t.Done(now, c, Report{Result: Shed, HasLoad: true, Load: f.upstreams[c.ID].load(now)})
 		return
 	case at.Sub(now) <= overloadTarget:
 		out.inTime++
@@ -186,8 +186,8 @@
 	f.open = append(f.open, sentRequest{at, t, c, at.Sub(now)})
 }
 
-// play returns what callers got once demand is high. With fixed, the bound on waits is the
-// fixed one alone.
+// run returns the outcomes during the final demand. If fixed is set, standing queues are
+// not detected, so only the fixed queueing limit applies.
 func (o overload) run(fixed bool) requestOutcomes {
 	start := time.Unix(1000, 0)
 	f := o.newFleet(start)
@@ -217,8 +217,8 @@
 	return out
 }
 
-// Guards against an overload of some seconds in which every request waits until the
-// queues are full, so that callers get late answers where they could be in time.
+// Guards against an overload of several seconds in which every request waits until the
+// queues are full, so that responses are late that could be on time.
 func TestStandingQueueIsKeptShort(t *testing.T) {
 	for _, o := range []overload{
 		{hosts: 10, upstreams: 12, demand: 1.3}, {hosts: 10, upstreams: 12, demand: .9},
@@ -226,11 +226,11 @@
 	} {
 		t.Run(fmt.Sprintf("%d hosts, demand %v", o.hosts, o.demand), func(t *testing.T) {
 			g := NewWithT(t)
-			before, now := o.run(true), o.run(false)
-			t.Logf("fixed bound %+v, standing queues %+v", before, now)
-			g.Expect(now.inTime).To(BeNumerically(">=", before.inTime*98/100))
+			fixedLimit, adaptive := o.run(true), o.run(false)
+			t.Logf("fixed limit %+v, with standing queue detection %+v", fixedLimit, adaptive)
+			g.Expect(adaptive.inTime).To(BeNumerically(">=", fixedLimit.inTime*98/100))
 			if o.demand > 1 {
-				g.Expect(now.inTime).To(BeNumerically(">", before.inTime))
+				g.Expect(adaptive.inTime).To(BeNumerically(">", fixedLimit.inTime))
 			}
 		})
 	}
--- a/internal/place/survey.go
+++ b/internal/place/survey.go
@@ -80,7 +80,7 @@
 			s.reason = AllClosed
 			continue
 		}
-		c := candidate{upstream: w, path: l, weight: weight(key, w.id), cold: w.isCold(now)}
+		c := candidate{upstream: w, path: l, weight: weight(key, w.idHash), cold: w.isCold(now)}
 		if c.cold && !t.isSlowStartSender(w) {
 			if s.reason != AllEjected {
 				s.reason = AllCold
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -119,10 +119,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[u.ID]
-	news := w == nil || w.Born != u.Born || w.State != u.State || w.Address != u.Address || w.Service != u.Service
+	changed := w == nil || w.Born != u.Born || w.State != u.State || w.Address != u.Address || w.Service != u.Service
 	if w == nil {
 		w = newUpstream(now, u, t.zones[u.Zone])
-		t.byID[u.ID], t.byHash[uint32(w.id)] = w, w
+		t.byID[u.ID], t.byHash[uint32(w.idHash)] = w, w
 		t.services[u.Service] = append(t.services[u.Service], w)
 	} else {
 		t.replace(now, w, u)
@@ -131,7 +131,7 @@
 	w.coldUntil = now.Add(u.ColdFor)
 	// The registration shows that the upstream is alive and whether it is cold.
 	w.health.possibleRestartUntil = time.Time{}
-	return news
+	return changed
 }
 
 func (t *Table) replace(now time.Time, w *upstream, u catalog.Upstream) {
@@ -155,8 +155,8 @@
 		return
 	}
 	delete(t.byID, id)
-	if t.byHash[uint32(w.id)] == w {
-		delete(t.byHash, uint32(w.id))
+	if t.byHash[uint32(w.idHash)] == w {
+		delete(t.byHash, uint32(w.idHash))
 	}
 	t.dropHolders(w)
 	t.removeFromService(w)
--- a/internal/place/upstream.go
+++ b/internal/place/upstream.go
@@ -17,7 +17,7 @@
 // upstream is a registered upstream and the state known of it.
 type upstream struct {
 	catalog.Upstream
-	id            uint64
+	idHash        uint64
 	region        string
 	health        health
 	load          load
@@ -54,7 +54,7 @@
 }
 
 func newUpstream(now time.Time, u catalog.Upstream, region string) *upstream {
-	return &upstream{Upstream: u, id: hash(u.ID), region: region, firstSeen: now, health: newHealth(), warm: map[Object]warmState{}}
+	return &upstream{Upstream: u, idHash: hash(u.ID), region: region, firstSeen: now, health: newHealth(), warm: map[Object]warmState{}}
 }
 
 // reset discards the state of an earlier instance with the same ID.
