--- a/internal/place/memory.go
+++ b/internal/place/learnedstate.go
@@ -38,7 +38,7 @@
 	defer t.mu.Unlock()
 	var m LearnedState
 	for _, w := range t.byID {
-		if known := w.memory(now); len(known.Objects) > 0 {
+		if known := w.learnedState(now); len(known.Objects) > 0 {
 			m.Upstreams = append(m.Upstreams, known)
 		}
 	}
@@ -48,7 +48,7 @@
 	return m
 }
 
-func (w *upstream) memory(now time.Time) UpstreamState {
+func (w *upstream) learnedState(now time.Time) UpstreamState {
 	out := UpstreamState{ID: w.ID, StartedAt: w.Born}
 	for object, known := range w.warm {
 		if age := now.Sub(known.lastUsed); known.answered && age < WarmTTL {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -300,11 +300,11 @@
 	now := start
 	// share sends requests for two seconds and returns the part placed in the other region.
 	share := func(perSecond int, hold time.Duration) float64 {
-		type open struct {
+		type runningRequest struct {
 			until time.Time
 			c     place.Choice
 		}
-		var running []open
+		var running []runningRequest
 		far, all := 0, 0
 		for end := now.Add(2 * time.Second); now.Before(end); now = now.Add(time.Second / time.Duration(perSecond)) {
 			for len(running) > 0 && !running[0].until.After(now) {
@@ -315,7 +315,7 @@
 			if err != nil {
 				continue
 			}
-			running = append(running, open{now.Add(hold), c})
+			running = append(running, runningRequest{now.Add(hold), c})
 			all++
 			if c.Region != "a" {
 				far++
--- a/internal/place/slowstart.go
+++ b/internal/place/slowstart.go
@@ -48,8 +48,8 @@
 
 // slowStartSender returns the instance that sends to a cold upstream; "" if no host is ready.
 func (t *Table) slowStartSender(w *upstream) string {
-	// The nearest hosts come last, so that one of them has the last word.
-	var byDistance [3]struct {
+	// Index 2 is for hosts of the same zone, 1 for the same region, 0 for all others.
+	var byProximity [3]struct {
 		instance string
 		weight   uint64
 	}
@@ -61,13 +61,13 @@
 		case h.Region == w.region:
 			proximity = 1
 		}
-		best := &byDistance[proximity]
+		best := &byProximity[proximity]
 		if x := weight(w.idHash, t.hostHashes[i]); best.instance == "" || x > best.weight {
 			best.instance, best.weight = h.Instance, x
 		}
 	}
-	for near := len(byDistance) - 1; near >= 0; near-- {
-		if instance := byDistance[near].instance; instance != "" {
+	for proximity := len(byProximity) - 1; proximity >= 0; proximity-- {
+		if instance := byProximity[proximity].instance; instance != "" {
 			return instance
 		}
 	}
--- a/internal/place/standing_test.go
+++ b/internal/place/standingqueue_test.go
@@ -101,8 +101,8 @@
 }
 
 func (s *simulatedUpstream) load(now time.Time) traffic.Load {
-	there := s.pending(now)
-	return traffic.Load{Running: min(there, overloadSlots), Waiting: max(there-overloadSlots, 0), Slots: overloadSlots}
+	pending := s.pending(now)
+	return traffic.Load{Running: min(pending, overloadSlots), Waiting: max(pending-overloadSlots, 0), Slots: overloadSlots}
 }
 
 // fleet is the set of hosts and upstreams of one simulation.
@@ -110,7 +110,7 @@
 	rng       *rand.Rand
 	tables    []*Table
 	upstreams map[string]*simulatedUpstream
-	open      []sentRequest
+	running   []sentRequest
 }
 
 type sentRequest struct {
@@ -136,8 +136,8 @@
 
 // finish completes the requests that have been answered by now.
 func (f *fleet) finish(now time.Time) {
-	remaining := f.open[:0]
-	for _, r := range f.open {
+	remaining := f.running[:0]
+	for _, r := range f.running {
 		if r.at.After(now) {
 			remaining = append(remaining, r)
 			continue
@@ -146,7 +146,7 @@
 		load.Running++
 		r.table.Done(r.at, r.c, Report{Result: Succeeded, TimeToHeader: r.took, HasLoad: true, Load: load})
 	}
-	f.open = remaining
+	f.running = remaining
 }
 
 func (f *fleet) gossip(now time.Time) {
@@ -183,7 +183,7 @@
 	default:
 		out.late++
 	}
-	f.open = append(f.open, sentRequest{at, t, c, at.Sub(now)})
+	f.running = append(f.running, sentRequest{at, t, c, at.Sub(now)})
 }
 
 // run returns the outcomes during the final demand. If fixed is set, standing queues are
