--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -131,9 +131,9 @@
 // they would finish slightly earlier there. Each of them takes the capacity of several
 // warm requests, all queues grow, and more requests move to cold upstreams long after
 // the burst that started it.
-func displacementCost(load float64, slots int, w *serviceTime) time.Duration {
+func displacementCost(load float64, slots int, route *serviceTime) time.Duration {
 	busy := min(load/float64(slots), maxDisplaced)
-	return time.Duration(busy * float64(w.affinityGain()))
+	return time.Duration(busy * float64(route.affinityGain()))
 }
 
 // queueTime returns the expected queueing delay of a new request if each request ahead
--- a/internal/place/home.go
+++ b/internal/place/home.go
@@ -27,12 +27,12 @@
 // proportion to the slots of the available upstreams.
 func (t *Table) homeShare() float64 {
 	own, all, regions := 0, 0, 0
-	for i, l := range t.zonePaths {
-		all += l.openSlots
-		if l.local {
-			own += l.openSlots
+	for i, path := range t.zonePaths {
+		all += path.openSlots
+		if path.local {
+			own += path.openSlots
 		}
-		if l.openSlots > 0 && t.isFirstOpenZone(i) {
+		if path.openSlots > 0 && t.isFirstOpenZone(i) {
 			regions++
 		}
 	}
@@ -44,8 +44,8 @@
 
 // isFirstOpenZone reports whether a zone is the first of its region with open slots.
 func (t *Table) isFirstOpenZone(i int) bool {
-	for _, l := range t.zonePaths[:i] {
-		if l.openSlots > 0 && l.region == t.zonePaths[i].region {
+	for _, path := range t.zonePaths[:i] {
+		if path.openSlots > 0 && path.region == t.zonePaths[i].region {
 			return false
 		}
 	}
--- a/internal/place/learnedstate.go
+++ b/internal/place/learnedstate.go
@@ -11,7 +11,8 @@
 
 // UpstreamState is the learned state of one instance of an upstream.
 type UpstreamState struct {
-	ID        string
+	ID string
+	// StartedAt is the start of the instance, in Unix milliseconds of its own clock.
 	StartedAt int64
 	Objects   []WarmObject
 }
--- a/internal/place/links.go
+++ b/internal/place/links.go
@@ -33,47 +33,47 @@
 }
 
 // observeRTT records the time to establish a connection, which takes one round trip.
-func (w *linkCosts) observeRTT(region string, rtt time.Duration) {
-	if region == w.self.Region {
+func (l *linkCosts) observeRTT(region string, rtt time.Duration) {
+	if region == l.self.Region {
 		return
 	}
-	known, ok := w.regionRTT[region]
+	known, ok := l.regionRTT[region]
 	if !ok {
-		w.regionRTT[region] = rtt
+		l.regionRTT[region] = rtt
 		return
 	}
-	w.regionRTT[region] = known + time.Duration(rttGain*float64(rtt-known))
+	l.regionRTT[region] = known + time.Duration(rttGain*float64(rtt-known))
 }
 
-func (w *linkCosts) observeResponseBytes(route string, n int) {
-	known, ok := w.responseBytes[route]
+func (l *linkCosts) observeResponseBytes(route string, n int) {
+	known, ok := l.responseBytes[route]
 	if !ok {
 		known = float64(n)
 	}
-	w.responseBytes[route] = known + bytesGain*(float64(n)-known)
+	l.responseBytes[route] = known + bytesGain*(float64(n)-known)
 }
 
 // isZoneLocal reports whether the route's responses are too large to leave their zone.
-func (w *linkCosts) isZoneLocal(route string) bool { return w.responseBytes[route] >= zoneLocalBytes }
+func (l *linkCosts) isZoneLocal(route string) bool { return l.responseBytes[route] >= zoneLocalBytes }
 
 // roundTrip returns the round-trip time to a zone.
-func (w *linkCosts) roundTrip(region, zone string) time.Duration {
+func (l *linkCosts) roundTrip(region, zone string) time.Duration {
 	switch {
-	case zone == w.self.Zone:
+	case zone == l.self.Zone:
 		return 0
-	case region == w.self.Region:
+	case region == l.self.Region:
 		return zoneRTT
 	}
-	if d, ok := w.regionRTT[region]; ok {
+	if d, ok := l.regionRTT[region]; ok {
 		return d
 	}
 	return initialRegionRTT
 }
 
 // longestRoundTrip returns the round-trip time to the farthest region.
-func (w *linkCosts) longestRoundTrip() time.Duration {
+func (l *linkCosts) longestRoundTrip() time.Duration {
 	longest := time.Duration(0)
-	for _, d := range w.regionRTT {
+	for _, d := range l.regionRTT {
 		longest = max(longest, d)
 	}
 	if longest == 0 {
@@ -84,16 +84,16 @@
 
 // transferCost returns the cost of transferring a response of the route and up bytes
 // of request body.
-func (w *linkCosts) transferCost(route, region, zone string, up int) time.Duration {
-	if zone == w.self.Zone {
+func (l *linkCosts) transferCost(route, region, zone string, up int) time.Duration {
+	if zone == l.self.Zone {
 		return 0
 	}
-	size, ok := w.responseBytes[route]
+	size, ok := l.responseBytes[route]
 	if !ok {
 		size = initialResponseBytes
 	}
 	kb := (size + float64(up)) / 1000
-	if region == w.self.Region {
+	if region == l.self.Region {
 		return time.Duration(kb * float64(zoneCostPerKB))
 	}
 	return time.Duration(kb * float64(regionCostPerKB))
--- a/internal/place/overrate_test.go
+++ b/internal/place/overrate_test.go
@@ -44,7 +44,7 @@
 }
 
 // callerResults counts the outcomes of one customer's requests.
-type callerResults struct{ sent, inTime, refused int }
+type callerResults struct{ sent, onTime, rejected int }
 
 // simulateHotCustomer sends requests for five seconds to four upstreams of four slots.
 // One customer within its rate requests half of the total capacity; one over its rate
@@ -89,12 +89,12 @@
 		result.sent++
 		c, err := table.Choose(now, q)
 		if err != nil {
-			result.refused++
+			result.rejected++
 			continue
 		}
 		at := upstreams[c.ID].serve(now, work)
 		if at.Sub(now) <= target {
-			result.inTime++
+			result.onTime++
 		}
 		running = append(running, pendingRequest{at, c, at.Sub(now)})
 	}
@@ -109,10 +109,10 @@
 	g := NewWithT(t)
 	unlimited, hotUnlimited := simulateHotCustomer(t, false)
 	limited, hotLimited := simulateHotCustomer(t, true)
-	t.Logf("customer within its rate: %d of %d on time, %d without the limit", limited.inTime, limited.sent, unlimited.inTime)
+	t.Logf("customer within its rate: %d of %d on time, %d without the limit", limited.onTime, limited.sent, unlimited.onTime)
 	t.Logf("customer over its rate: %d of %d on time (%d rejected), without the limit %d (%d rejected)",
-		hotLimited.inTime, hotLimited.sent, hotLimited.refused, hotUnlimited.inTime, hotUnlimited.refused)
-	g.Expect(limited.inTime).To(BeNumerically(">=", limited.sent*95/100))
-	g.Expect(limited.inTime).To(BeNumerically(">", unlimited.inTime))
-	g.Expect(limited.inTime + hotLimited.inTime).To(BeNumerically(">=", unlimited.inTime+hotUnlimited.inTime))
+		hotLimited.onTime, hotLimited.sent, hotLimited.rejected, hotUnlimited.onTime, hotUnlimited.rejected)
+	g.Expect(limited.onTime).To(BeNumerically(">=", limited.sent*95/100))
+	g.Expect(limited.onTime).To(BeNumerically(">", unlimited.onTime))
+	g.Expect(limited.onTime + hotLimited.onTime).To(BeNumerically(">=", unlimited.onTime+hotUnlimited.onTime))
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -370,10 +370,11 @@
 	g.Expect(placeAndFinish(t, table, start, summary).Warm).To(BeTrue())
 }
 
-// The round-trip time to another region must be learned from the time to connect, here
-// 200 ms. Otherwise small requests travel to a distant upstream although one in their
-// own region would be on time. Connection time must not count as service time.
-func TestDistanceIsLearnedFromConnections(t *testing.T) {
+// The round-trip time to another region, here 200 ms, must be learned from the time to
+// connect, which takes one round trip. Otherwise requests with small responses are sent
+// to the other region although an upstream of their own region would serve them on time.
+// Connection time must not count as service time.
+func TestRoundTripIsLearnedFromConnections(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
 	const roundTrip, work = 200 * time.Millisecond, 100 * time.Millisecond
--- a/internal/place/regionshift.go
+++ b/internal/place/regionshift.go
@@ -40,9 +40,9 @@
 
 func shiftSlotNumber(now time.Time) int64 { return now.UnixNano() / int64(shiftWindow/shiftSlots) }
 
-func (m *regionShares) observe(now time.Time, region string) {
+func (r *regionShares) observe(now time.Time, region string) {
 	n := shiftSlotNumber(now)
-	s := &m.slots[n%int64(len(m.slots))]
+	s := &r.slots[n%int64(len(r.slots))]
 	if s.number != n {
 		*s = shiftSlot{number: n, byRegion: map[string]float64{}}
 	}
@@ -51,24 +51,24 @@
 }
 
 // count sums the slots whose age, in slots, is at least from and less than to.
-func (m *regionShares) count(now time.Time, region string, from, to int64) (part, total float64) {
+func (r *regionShares) count(now time.Time, region string, from, to int64) (part, total float64) {
 	n := shiftSlotNumber(now)
-	for i := range m.slots {
-		if age := n - m.slots[i].number; age >= from && age < to {
-			part += m.slots[i].byRegion[region]
-			total += m.slots[i].total
+	for i := range r.slots {
+		if age := n - r.slots[i].number; age >= from && age < to {
+			part += r.slots[i].byRegion[region]
+			total += r.slots[i].total
 		}
 	}
 	return part, total
 }
 
 // mayGrow reports whether one more request may be sent to the region.
-func (m *regionShares) mayGrow(now time.Time, region string, maxGrowth float64) bool {
-	before, all := m.count(now, region, shiftSlots, 2*shiftSlots)
+func (r *regionShares) mayGrow(now time.Time, region string, maxGrowth float64) bool {
+	before, all := r.count(now, region, shiftSlots, 2*shiftSlots)
 	if all < minShiftSamples {
 		return true
 	}
-	part, total := m.count(now, region, 0, shiftSlots)
+	part, total := r.count(now, region, 0, shiftSlots)
 	return (part+1)/(total+1) <= before/all+maxGrowth*hostShiftPart
 }
 
@@ -87,8 +87,8 @@
 		return
 	}
 	for i := range t.zonePaths {
-		l := &t.zonePaths[i]
-		l.shiftLimited = l.openSlots > 0 && !t.shares.mayGrow(now, l.region, t.maxShift)
+		path := &t.zonePaths[i]
+		path.shiftLimited = path.openSlots > 0 && !t.shares.mayGrow(now, path.region, t.maxShift)
 	}
 	for i := range s.candidates {
 		if c := &s.candidates[i]; c.path.shiftLimited {
--- a/internal/place/servicetime.go
+++ b/internal/place/servicetime.go
@@ -49,19 +49,19 @@
 }
 
 // setInitial derives the initial service time from the latency target.
-func (w *serviceTime) setInitial(target time.Duration) {
-	if w.initial = time.Duration(initialTargetPart * float64(target)); target <= 0 {
-		w.initial = initialWork
+func (s *serviceTime) setInitial(target time.Duration) {
+	if s.initial = time.Duration(initialTargetPart * float64(target)); target <= 0 {
+		s.initial = initialWork
 	}
 }
 
 // estimate returns the expected service time.
-func (w *serviceTime) estimate(warm bool) time.Duration {
-	known := w.initial
-	if w.warm.samples > 0 {
-		known = w.warm.value
+func (s *serviceTime) estimate(warm bool) time.Duration {
+	known := s.initial
+	if s.warm.samples > 0 {
+		known = s.warm.value
 	}
-	if warm || !w.gainsFromAffinity() {
+	if warm || !s.gainsFromAffinity() {
 		return known
 	}
 	return time.Duration(coldFactor * float64(known))
@@ -69,26 +69,26 @@
 
 // affinityGain is the time that an upstream is expected to save on an object that is
 // warm there; 0 if none.
-func (w *serviceTime) affinityGain() time.Duration { return w.estimate(false) - w.estimate(true) }
+func (s *serviceTime) affinityGain() time.Duration { return s.estimate(false) - s.estimate(true) }
 
 // gainsFromAffinity reports whether warm requests are faster, as far as is known.
-func (w *serviceTime) gainsFromAffinity() bool {
-	if w.warm.samples < minAffinitySamples || w.cold.samples < minAffinitySamples {
+func (s *serviceTime) gainsFromAffinity() bool {
+	if s.warm.samples < minAffinitySamples || s.cold.samples < minAffinitySamples {
 		return true
 	}
-	return float64(w.cold.value) >= minAffinityGain*float64(w.warm.value)
+	return float64(s.cold.value) >= minAffinityGain*float64(s.warm.value)
 }
 
-func (w *serviceTime) observe(took time.Duration, warm bool) {
+func (s *serviceTime) observe(took time.Duration, warm bool) {
 	if warm {
-		w.warm.observe(took)
+		s.warm.observe(took)
 		return
 	}
-	w.cold.observe(took)
+	s.cold.observe(took)
 }
 
 // restore applies restored means where there are no samples yet.
-func (w *serviceTime) restore(r RouteState) {
-	w.warm.restore(r.Warm)
-	w.cold.restore(r.Cold)
+func (s *serviceTime) restore(r RouteState) {
+	s.warm.restore(r.Warm)
+	s.cold.restore(r.Cold)
 }
--- a/internal/place/slowstart.go
+++ b/internal/place/slowstart.go
@@ -19,26 +19,27 @@
 }
 
 // allow takes a token, refilled at rate per second; rate 0 means no limit.
-func (p *slowStart) allow(now time.Time, rate float64) bool {
+func (s *slowStart) allow(now time.Time, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
-	if p.at.IsZero() {
-		p.tokens = 1
+	if s.at.IsZero() {
+		s.tokens = 1
 	} else {
-		p.tokens = min(p.tokens+now.Sub(p.at).Seconds()*rate*slowStartPart, slowStartBurst)
+		s.tokens = min(s.tokens+now.Sub(s.at).Seconds()*rate*slowStartPart, slowStartBurst)
 	}
-	p.at = now
-	if p.tokens < 1 {
+	s.at = now
+	if s.tokens < 1 {
 		return false
 	}
-	p.tokens--
+	s.tokens--
 	return true
 }
 
 // isSlowStartSender reports whether this host is the one that sends to the upstream while
-// it is cold. A single sender, which knows the full rate, is selected by rendezvous hash
-// among the ready hosts of the upstream's zone, else of its region, else of all.
+// it is cold. With a single sender, the cold rate need not be divided among hosts. The
+// sender is selected by rendezvous hash among the ready hosts of the upstream's zone,
+// else of its region, else of all regions.
 func (t *Table) isSlowStartSender(w *upstream) bool {
 	if w.senderGeneration != t.hostsGeneration {
 		w.senderGeneration, w.isSender = t.hostsGeneration, t.slowStartSender(w) == t.self.Instance
--- a/internal/place/standingqueue_test.go
+++ b/internal/place/standingqueue_test.go
@@ -51,7 +51,7 @@
 }
 
 // requestOutcomes counts the outcomes of requests during the final demand.
-type requestOutcomes struct{ sent, inTime, late, refused int }
+type requestOutcomes struct{ sent, onTime, late, rejected int }
 
 const (
 	warmWork           = 160 * time.Millisecond
@@ -67,7 +67,7 @@
 
 // simulatedUpstream holds when each slot becomes free and when its requests complete.
 type simulatedUpstream struct {
-	free        [overloadSlots]time.Time
+	slotFreeAt  [overloadSlots]time.Time
 	done        []time.Time
 	warmObjects map[string]bool
 }
@@ -82,17 +82,17 @@
 	}
 	s.warmObjects[object] = true
 	first := 0
-	for i := range s.free {
-		if s.free[i].Before(s.free[first]) {
+	for i := range s.slotFreeAt {
+		if s.slotFreeAt[i].Before(s.slotFreeAt[first]) {
 			first = i
 		}
 	}
-	if s.free[first].Before(now) {
-		s.free[first] = now
+	if s.slotFreeAt[first].Before(now) {
+		s.slotFreeAt[first] = now
 	}
-	s.free[first] = s.free[first].Add(work)
-	s.done = append(s.done, s.free[first])
-	return s.free[first], true
+	s.slotFreeAt[first] = s.slotFreeAt[first].Add(work)
+	s.done = append(s.done, s.slotFreeAt[first])
+	return s.slotFreeAt[first], true
 }
 
 func (s *simulatedUpstream) pending(now time.Time) int {
@@ -169,17 +169,17 @@
 	t := f.tables[f.rng.IntN(len(f.tables))]
 	c, err := t.Choose(now, Query{Service: "s", Route: "r", Object: object, Target: overloadTarget, Remaining: 3 * time.Second})
 	if err != nil {
-		out.refused++
+		out.rejected++
 		return
 	}
 	at, ok := f.upstreams[c.ID].serve(now, object)
 	switch {
 	case !ok:
-		out.refused++
+		out.rejected++
 		t.Done(now, c, Report{Result: Shed, HasLoad: true, Load: f.upstreams[c.ID].load(now)})
 		return
 	case at.Sub(now) <= overloadTarget:
-		out.inTime++
+		out.onTime++
 	default:
 		out.late++
 	}
@@ -228,9 +228,9 @@
 			g := NewWithT(t)
 			fixedLimit, adaptive := o.run(true), o.run(false)
 			t.Logf("fixed limit %+v, with standing queue detection %+v", fixedLimit, adaptive)
-			g.Expect(adaptive.inTime).To(BeNumerically(">=", fixedLimit.inTime*98/100))
+			g.Expect(adaptive.onTime).To(BeNumerically(">=", fixedLimit.onTime*98/100))
 			if o.demand > 1 {
-				g.Expect(adaptive.inTime).To(BeNumerically(">", fixedLimit.inTime))
+				g.Expect(adaptive.onTime).To(BeNumerically(">", fixedLimit.onTime))
 			}
 		})
 	}
--- a/internal/place/survey.go
+++ b/internal/place/survey.go
@@ -37,12 +37,12 @@
 // refreshZonePaths recomputes the path to each zone that has had an upstream.
 func (t *Table) refreshZonePaths(q Query) {
 	for i := range t.zonePaths {
-		l := &t.zonePaths[i]
-		l.closed = t.evacuatedZones[l.zone]
-		l.local = l.region == t.self.Region
-		l.roundTrip = t.links.roundTrip(l.region, l.zone)
-		l.transferCost = t.links.transferCost(q.Route, l.region, l.zone, q.BodyBytes)
-		l.openSlots, l.shiftLimited = 0, false
+		path := &t.zonePaths[i]
+		path.closed = t.evacuatedZones[path.zone]
+		path.local = path.region == t.self.Region
+		path.roundTrip = t.links.roundTrip(path.region, path.zone)
+		path.transferCost = t.links.transferCost(q.Route, path.region, path.zone, q.BodyBytes)
+		path.openSlots, path.shiftLimited = 0, false
 	}
 }
 
@@ -69,18 +69,18 @@
 	}
 	var ejected []candidate
 	for _, w := range t.services[q.Service] {
-		l := &t.zonePaths[w.zonePath]
-		if l.local && w.health.failedSince(now, failoverWindow) {
+		path := &t.zonePaths[w.zonePath]
+		if path.local && w.health.failedSince(now, failoverWindow) {
 			s.localFailure = true
 		}
 		if q.RegionRestricted && !slices.Contains(q.AllowedRegions, w.region) || slices.Contains(q.Excluded, w.ID) {
 			continue
 		}
-		if l.closed || w.State != catalog.StateReady {
+		if path.closed || w.State != catalog.StateReady {
 			s.reason = AllClosed
 			continue
 		}
-		c := candidate{upstream: w, path: l, weight: weight(key, w.idHash), cold: w.isCold(now)}
+		c := candidate{upstream: w, path: path, weight: weight(key, w.idHash), cold: w.isCold(now)}
 		if c.cold && !t.isSlowStartSender(w) {
 			if s.reason != AllEjected {
 				s.reason = AllCold
@@ -92,7 +92,7 @@
 			s.reason = AllEjected
 			continue
 		}
-		l.openSlots += w.Slots
+		path.openSlots += w.Slots
 		s.candidates = append(s.candidates, c)
 	}
 	if len(s.candidates) == 0 {
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -27,7 +27,7 @@
 	// byHash indexes the upstreams by the lower half of the hash of their ID.
 	byHash         map[uint32]*upstream
 	services       map[string][]*upstream
-	declared       *catalog.Catalog
+	catalog        *catalog.Catalog
 	evacuatedZones map[string]bool
 	// hosts are the ready hosts, hostHashes the hashes of their instances.
 	// hostsGeneration is incremented with each change of them.
@@ -40,9 +40,10 @@
 	// for each request without one.
 	querySequence, keylessSequence uint64
 	zonePaths                      []zonePath
-	scratch                        survey
-	regionHash                     uint64
-	serviceTimes                   map[string]*serviceTime
+	// scratch is the survey that is reused for each request.
+	scratch      survey
+	regionHash   uint64
+	serviceTimes map[string]*serviceTime
 	// queuedTimes is the mean service time by service, used for requests that wait in
 	// queues.
 	queuedTimes map[string]*mean
@@ -68,7 +69,7 @@
 func (t *Table) SetCatalog(c *catalog.Catalog) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.declared = c
+	t.catalog = c
 }
 
 // SetHosts sets the list of ready hosts, including this one if it is ready.
@@ -107,14 +108,14 @@
 }
 
 func (t *Table) service(name string) *catalog.Service {
-	if t.declared == nil {
+	if t.catalog == nil {
 		return nil
 	}
-	return t.declared.Service(name)
+	return t.catalog.Service(name)
 }
 
-// PutUpstream adds or updates an upstream from its latest registration. It reports
-// whether the registration contains any change.
+// PutUpstream adds or updates an upstream from a registration that was just written. It
+// returns false if the registration only confirms that the upstream is alive.
 func (t *Table) PutUpstream(now time.Time, u catalog.Upstream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
