--- a/internal/place/links.go
+++ b/internal/place/links.go
@@ -3,78 +3,77 @@
 import "time"
 
 const (
-	// initialRegionRTT is assumed of the way to another region and back, before a
-	// connection has shown it.
+	// initialRegionRTT is the assumed round-trip time to another region until a
+	// connection to it has been measured.
 	initialRegionRTT = 80 * time.Millisecond
-	// zoneRTT is the way to another zone of the region and back.
+	// zoneRTT is the assumed round-trip time to another zone of the region.
 	zoneRTT = 1 * time.Millisecond
-	// regionCostPerKB and zonePerKB weigh what a transfer takes of links that are
-	// shared and paid for, in time per kilobyte that leaves the region or the
-	// zone.
+	// regionCostPerKB and zoneCostPerKB are the costs, as time per kilobyte that leaves
+	// the region or the zone, of using shared and metered links.
 	regionCostPerKB = 6700 * time.Microsecond
 	zoneCostPerKB   = 2500 * time.Microsecond
-	// staysInZoneBytes is the size of answer from which a route has a home in each
-	// zone: its transfer to another zone weighs as much as warm work.
-	staysInZoneBytes = 30_000
-	// initialAnswerBytes is assumed of an answer before any has come.
-	initialAnswerBytes = 4000
-	rttGain            = 0.2
-	bytesGain          = 0.1
+	// zoneLocalBytes is the mean response size from which a route's objects have a home
+	// in each zone: a transfer to another zone then costs as much as warm work.
+	zoneLocalBytes = 30_000
+	// initialResponseBytes is the assumed size of a response before any has been received.
+	initialResponseBytes = 4000
+	rttGain              = 0.2
+	bytesGain            = 0.1
 )
 
-// linkCosts is what it takes to reach other zones and regions.
+// linkCosts estimates the round-trip times and transfer costs to zones and regions.
 type linkCosts struct {
-	self        Host
-	regionRTT   map[string]time.Duration
-	answerBytes map[string]float64
+	self          Host
+	regionRTT     map[string]time.Duration
+	responseBytes map[string]float64
 }
 
 func newLinkCosts(self Host) linkCosts {
-	return linkCosts{self: self, regionRTT: map[string]time.Duration{}, answerBytes: map[string]float64{}}
+	return linkCosts{self: self, regionRTT: map[string]time.Duration{}, responseBytes: map[string]float64{}}
 }
 
-// observeRTT takes the time of a new connection, which is one way there and back.
-func (w *linkCosts) observeRTT(region string, took time.Duration) {
-	if region == w.self.Region {
+// observeRTT records the time to establish a connection, which takes one round trip.
+func (l *linkCosts) observeRTT(region string, rtt time.Duration) {
+	if region == l.self.Region {
 		return
 	}
-	known, ok := w.regionRTT[region]
+	known, ok := l.regionRTT[region]
 	if !ok {
-		w.regionRTT[region] = took
+		l.regionRTT[region] = rtt
 		return
 	}
-	w.regionRTT[region] = known + time.Duration(rttGain*float64(took-known))
+	l.regionRTT[region] = known + time.Duration(rttGain*float64(rtt-known))
 }
 
-func (w *linkCosts) observeAnswerBytes(route string, n int) {
-	known, ok := w.answerBytes[route]
+func (l *linkCosts) observeResponseBytes(route string, n int) {
+	known, ok := l.responseBytes[route]
 	if !ok {
 		known = float64(n)
 	}
-	w.answerBytes[route] = known + bytesGain*(float64(n)-known)
+	l.responseBytes[route] = known + bytesGain*(float64(n)-known)
 }
 
-// staysInZone tells whether a route's answers should not leave their zone.
-func (w *linkCosts) staysInZone(route string) bool { return w.answerBytes[route] >= staysInZoneBytes }
+// isZoneLocal reports whether the route's responses are too large to leave their zone.
+func (l *linkCosts) isZoneLocal(route string) bool { return l.responseBytes[route] >= zoneLocalBytes }
 
-// roundTrip is the time to a zone and back.
-func (w *linkCosts) roundTrip(region, zone string) time.Duration {
+// roundTrip returns the round-trip time to a zone.
+func (l *linkCosts) roundTrip(region, zone string) time.Duration {
 	switch {
-	case zone == w.self.Zone:
+	case zone == l.self.Zone:
 		return 0
-	case region == w.self.Region:
+	case region == l.self.Region:
 		return zoneRTT
 	}
-	if d, ok := w.regionRTT[region]; ok {
+	if d, ok := l.regionRTT[region]; ok {
 		return d
 	}
 	return initialRegionRTT
 }
 
-// longestRoundTrip is the time to the farthest region and back.
-func (w *linkCosts) longestRoundTrip() time.Duration {
+// longestRoundTrip returns the round-trip time to the farthest region.
+func (l *linkCosts) longestRoundTrip() time.Duration {
 	longest := time.Duration(0)
-	for _, d := range w.regionRTT {
+	for _, d := range l.regionRTT {
 		longest = max(longest, d)
 	}
 	if longest == 0 {
@@ -83,18 +82,18 @@
 	return longest
 }
 
-// transferCost is what a transfer of a route's answer, and of up bytes of its body,
-// takes of links.
-func (w *linkCosts) transferCost(route, region, zone string, up int) time.Duration {
-	if zone == w.self.Zone {
+// transferCost returns the cost of transferring a response of the route and up bytes
+// of request body.
+func (l *linkCosts) transferCost(route, region, zone string, up int) time.Duration {
+	if zone == l.self.Zone {
 		return 0
 	}
-	size, ok := w.answerBytes[route]
+	size, ok := l.responseBytes[route]
 	if !ok {
-		size = initialAnswerBytes
+		size = initialResponseBytes
 	}
 	kb := (size + float64(up)) / 1000
-	if region == w.self.Region {
+	if region == l.self.Region {
 		return time.Duration(kb * float64(zoneCostPerKB))
 	}
 	return time.Duration(kb * float64(regionCostPerKB))
--- a/internal/place/outlier.go
+++ b/internal/place/outlier.go
@@ -5,34 +5,36 @@
 const (
 	// failureGain is the weight of one request in an upstream's failure rate.
 	failureGain = 0.15
-	// failureCost is what a failed request costs the caller: it starts again,
-	// after a pause, somewhere cold.
+	// failureCost is the cost of a failed request to the caller, who retries after a
+	// pause, at a cold upstream.
 	failureCost = 1500 * time.Millisecond
-	// maxUnanswered answers that are lost in a row eject an upstream.
-	maxUnanswered = 3
-	// baseEjection and ejectMost bound how long an upstream is left alone. A
-	// crashed one is back after three to five seconds.
+	// maxConsecutiveNoResponse is the number of consecutive requests without a response
+	// after which an upstream is ejected.
+	maxConsecutiveNoResponse = 3
+	// baseEjection and maxEjection bound the ejection time. A crashed upstream is back
+	// after 3 to 5 s.
 	baseEjection = 500 * time.Millisecond
 	maxEjection  = 4 * time.Second
-	// restartDoubt is how long an upstream that could not be reached may have
-	// started again without this host's knowing: a heartbeat comes every
-	// 1.5 s, so three are missing then.
-	restartDoubt = 5 * time.Second
-	// speedGain is the weight of one sample of an upstream's slowness.
-	speedGain   = 0.2
-	maxSlowness = 20.0
+	// restartDetectionDelay is how long an unreachable upstream may have restarted
+	// without this host knowing: a heartbeat arrives every 1.5 s, so three are missing
+	// by then.
+	restartDetectionDelay = 5 * time.Second
+	// slownessGain is the weight of one sample of an upstream's slowness.
+	slownessGain = 0.2
+	maxSlowness  = 20.0
 )
 
-// health is what this host has met at one upstream.
+// health is the health of one upstream as observed by this host.
 type health struct {
-	// failures is the rate of requests that ended badly, 0 to 1.
-	failures     float64
-	unanswered   int
-	ejectedUntil time.Time
-	ejection     time.Duration
-	// restartDoubtUntil: it was out of reach, and may have started again, cold, since.
-	restartDoubtUntil time.Time
-	// slowness is the time it takes relative to the others; 1 is usual.
+	// failures is the moving average of the failure rate, 0 to 1.
+	failures              float64
+	consecutiveNoResponse int
+	ejectedUntil          time.Time
+	ejection              time.Duration
+	// possibleRestartUntil is set when the upstream was unreachable: until then, it may
+	// have restarted and be cold.
+	possibleRestartUntil time.Time
+	// slowness is the service time relative to the other upstreams; 1 is average.
 	slowness float64
 }
 
@@ -40,34 +42,34 @@
 
 func (h *health) usable(now time.Time) bool { return !now.Before(h.ejectedUntil) }
 
-// failedSince tells whether it was ejected, or its ejection ended, within a span.
+// failedSince reports whether the upstream was ejected at any time within the span.
 func (h *health) failedSince(now time.Time, span time.Duration) bool {
 	return !h.ejectedUntil.IsZero() && now.Sub(h.ejectedUntil) < span
 }
 
-func (h *health) mayHaveRestarted(now time.Time) bool { return now.Before(h.restartDoubtUntil) }
+func (h *health) mayHaveRestarted(now time.Time) bool { return now.Before(h.possibleRestartUntil) }
 
 func (h *health) recordSuccess() {
-	h.unanswered, h.ejection = 0, 0
+	h.consecutiveNoResponse, h.ejection = 0, 0
 	h.failures -= failureGain * h.failures
 }
 
 func (h *health) recordFailure() { h.failures += failureGain * (1 - h.failures) }
 
-// recordNoAnswer notes that a request was sent and its answer lost.
-func (h *health) recordNoAnswer(now time.Time) {
+// recordNoResponse records that a request was sent but no response was received.
+func (h *health) recordNoResponse(now time.Time) {
 	h.recordFailure()
-	if h.unanswered++; h.unanswered >= maxUnanswered {
+	if h.consecutiveNoResponse++; h.consecutiveNoResponse >= maxConsecutiveNoResponse {
 		h.eject(now)
 	}
 }
 
-// recordUnreachable notes that no connection could be made. It says more than a lost
-// answer: the upstream does not run, or nothing reaches it.
+// recordUnreachable records that no connection could be established. This is stronger
+// evidence than a lost response: the upstream is down or the network path is broken.
 func (h *health) recordUnreachable(now time.Time) {
 	h.recordFailure()
 	h.eject(now)
-	h.restartDoubtUntil = now.Add(restartDoubt)
+	h.possibleRestartUntil = now.Add(restartDetectionDelay)
 }
 
 func (h *health) eject(now time.Time) {
@@ -75,10 +77,10 @@
 	h.ejectedUntil = now.Add(h.ejection)
 }
 
-func (h *health) observeSpeed(took, usual time.Duration) {
-	if usual <= 0 {
+func (h *health) observeServiceTime(took, expected time.Duration) {
+	if expected <= 0 {
 		return
 	}
-	ratio := min(float64(took)/float64(usual), maxSlowness)
-	h.slowness += speedGain * (ratio - h.slowness)
+	ratio := min(float64(took)/float64(expected), maxSlowness)
+	h.slowness += slownessGain * (ratio - h.slowness)
 }
