--- a/internal/share/demand.go
+++ b/internal/share/demand.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// demandMemory is the time over which demand is averaged: long enough for a
-// customer with a few requests a second, and as short as a move of callers to
-// another zone allows.
-const demandMemory = 1200 * time.Millisecond
+// demandTimeConstant is the time constant of the moving average of demand. It is long
+// enough to average the requests of a customer with a few requests per second, and short
+// enough to follow callers that move to another zone.
+const demandTimeConstant = 1200 * time.Millisecond
 
-// demand is an exponentially fading rate of events.
+// demand is the exponentially weighted moving average of a request rate.
 type demand struct {
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 }
 
-func (d *demand) fade(now time.Time) {
-	if !d.at.IsZero() {
-		d.perSecond *= math.Exp(-now.Sub(d.at).Seconds() / demandMemory.Seconds())
+func (d *demand) decay(now time.Time) {
+	if !d.updatedAt.IsZero() {
+		d.perSecond *= math.Exp(-now.Sub(d.updatedAt).Seconds() / demandTimeConstant.Seconds())
 	}
-	d.at = now
+	d.updatedAt = now
 }
 
 func (d *demand) add(now time.Time) {
-	d.fade(now)
-	d.perSecond += 1 / demandMemory.Seconds()
+	d.decay(now)
+	d.perSecond += 1 / demandTimeConstant.Seconds()
 }
 
 func (d *demand) rate(now time.Time) float64 {
-	d.fade(now)
+	d.decay(now)
 	return d.perSecond
 }
--- a/internal/share/doc.go
+++ b/internal/share/doc.go
@@ -1,20 +1,22 @@
-// Package share decides which part of a customer's rate and burst this entry
+// Package share decides which fraction of a customer's rate and burst each entry
 // host may admit.
 //
-// Load pattern: a customer's callers spread unevenly over the hosts and move
-// between zones within a second; now and then one customer sends several times
-// its rate; hosts die, start and are cut off. Without shares by demand, an even
-// split refuses most of a customer that enters through one zone; without any
-// split, the customer gets its rate once per host.
+// The callers of a customer spread unevenly over the hosts and move between zones
+// within a second, a customer may send several times its rate, and hosts fail, start
+// and are partitioned. With an even split, most requests of a customer whose callers
+// all enter through one zone would be rejected. With independent buckets, the customer
+// would get its rate once per host.
 //
-// In each region one host, the owner, holds a customer's bucket, and the others
-// ask it (Owner, Spare). The owner tells the other hosts the rate at which the
-// customer asks there, and takes the part of the rate that this demand has in the
-// demand of all. Two owners that know the same demands give out exactly the rate.
-// They know them with a delay of about a heartbeat, so a host goes by what it has
-// told; what demand moves meanwhile stays within the tolerance that operators were
-// promised (see the tests). A host that is silent but has not given up its registration
-// keeps its part.
+// In each region one host, the shard owner, holds a customer's token bucket, and the
+// other hosts of the region query it (see ShardOwner). A host whose owner does not
+// respond admits a few requests from a local bucket (see FallbackBuckets). The owner
+// announces the demand of the customer in its region to the other owners, and gets the
+// fraction of the rate that this demand has in the total demand. Owners that know the
+// same demands together admit exactly the rate. They learn of each other's demand with
+// a delay of about one heartbeat, so an owner computes its fraction from the demand
+// that it has announced. The excess while demand moves between regions stays within
+// the tolerance that operators were promised (see the tests). A host that is
+// unresponsive but still registered keeps its fraction.
 //
 // The package does no I/O, starts no goroutine and takes time as an argument.
 package share
--- a/internal/share/pool.go
+++ b/internal/share/pool.go
@@ -8,56 +8,55 @@
 	"balsambarrow/internal/rendezvous"
 )
 
-// Why the hosts of one region share a bucket.
-//
-// Load pattern: sixty hosts and seventy customers, so that each host sees half a
-// request a second of a customer with thirty. An even split leaves each host a bucket
-// of about one token, and requests that come in pairs find it empty. One host of each
-// region therefore holds the bucket of a customer, and the others ask it by datagram,
-// a millisecond there and back.
-
-// ShardOwner picks the host of a region that holds a customer's bucket, by rendezvous:
-// hosts that know the same pool agree, and when one leaves only its customers
-// move. "" if the pool is empty.
+// The hosts of one region share a bucket for each customer because one bucket per host
+// would be too small: with sixty hosts, each host sees half a request per second of a
+// customer that sends thirty, and an even split leaves each host a bucket of about one
+// token. Requests that arrive in pairs would find that bucket empty. The owner of the
+// bucket is queried by datagram, with a round-trip time of about a millisecond.
+
+// ShardOwner returns the host of a region that holds a customer's bucket, chosen by
+// rendezvous hashing: hosts that know the same pool agree on the owner, and when a host
+// leaves only its own customers move. The result is empty if the pool is empty.
 func ShardOwner(customer string, pool []string) string { return rendezvous.Pick(customer, pool) }
 
 const (
-	// fallbackPart of a rate is split evenly over all hosts for those whose owner
-	// does not answer. It is small, since the owner may be giving out the whole
-	// rate to those that reach it.
-	fallbackPart = 0.25
-	// fallbackDepth is one request for each host and customer.
-	fallbackDepth = 1.0
+	// fallbackFraction is the fraction of a customer's rate that is split evenly over all
+	// hosts for use while the owner does not respond. It is small because the owner
+	// may be granting the full rate to the hosts that reach it.
+	fallbackFraction = 0.25
+	// fallbackBurst is the burst of one customer at one host, in requests.
+	fallbackBurst = 1.0
 )
 
-// FallbackBucket admits a few requests where the owner of a customer's bucket does not
-// answer: it has died and is still heard, or is cut off. It is safe for
-// concurrent use.
+// FallbackBuckets admit a few requests of each customer while the owner of the
+// customer's bucket does not respond, because it has failed and its heartbeats have not
+// timed out yet, or because of a partition. They are safe for concurrent use.
 type FallbackBuckets struct {
-	mu       sync.Mutex
-	accounts map[string]*account
+	mu      sync.Mutex
+	buckets map[string]*bucket
 }
 
-// NewFallbackBucket returns empty buckets.
-func NewFallbackBuckets() *FallbackBuckets { return &FallbackBuckets{accounts: map[string]*account{}} }
-
-// Admit takes one request of a customer, at one of so many hosts.
-func (s *FallbackBuckets) Admit(now time.Time, c *catalog.Customer, hosts int) Decision {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.accounts[c.Name]
-	if a == nil {
-		a = &account{}
-		s.accounts[c.Name] = a
+// NewFallbackBuckets returns buckets without any customer.
+func NewFallbackBuckets() *FallbackBuckets { return &FallbackBuckets{buckets: map[string]*bucket{}} }
+
+// Admit decides on one request of a customer. hosts is the number of entry hosts that
+// the fallback rate is split among.
+func (f *FallbackBuckets) Admit(now time.Time, c *catalog.Customer, hosts int) Decision {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	b := f.buckets[c.Name]
+	if b == nil {
+		b = &bucket{}
+		f.buckets[c.Name] = b
 	}
-	part := fallbackPart / float64(max(hosts, 1))
-	a.refill(now, now, part*c.Rate, fallbackDepth)
-	v := Decision{Fraction: part}
-	if a.tokens >= 1 {
-		a.tokens--
-		v.Admitted = true
-		return v
+	fraction := fallbackFraction / float64(max(hosts, 1))
+	b.refill(now, now, fraction*c.Rate, fallbackBurst)
+	d := Decision{Fraction: fraction}
+	if b.tokens >= 1 {
+		b.tokens--
+		d.Admitted = true
+		return d
 	}
-	v.RetryAfter = minRetryAfter
-	return v
+	d.RetryAfter = minRetryAfter
+	return d
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -12,98 +12,99 @@
 	"balsambarrow/internal/share"
 )
 
-// slack is what today's operators grant customers beyond rate and burst, in requests.
+// slack is the number of requests that operators grant customers beyond rate and burst.
 const slack = 20.0
 
-// fleet plays hosts that tell each other their demand with a delay.
-type fleet struct {
+// simulation runs hosts that exchange their demand with a delay.
+type simulation struct {
 	rng    *rand.Rand
 	now    time.Time
 	hosts  []*share.Limiter
 	demand []map[string]float64
-	// cut lists the hosts that hear nobody and are heard by nobody.
-	cut map[int]bool
+	// partitioned is the set of hosts that neither send nor receive heartbeats.
+	partitioned map[int]bool
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(7, uint64(n))), now: time.Unix(1000, 0), cut: map[int]bool{}}
+func newSimulation(n int) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(7, uint64(n))), now: time.Unix(1000, 0), partitioned: map[int]bool{}}
 	for range n {
 		s := share.New()
-		s.SetLease(f.now, true)
+		s.SetLease(sim.now, true)
 		s.SetSlack(slack)
-		f.hosts = append(f.hosts, s)
-		f.demand = append(f.demand, map[string]float64{})
+		sim.hosts = append(sim.hosts, s)
+		sim.demand = append(sim.demand, map[string]float64{})
 	}
-	f.exchange()
-	return f
+	sim.exchangeHeartbeats()
+	return sim
 }
 
-// restart has all hosts begin anew at a time.
-func (f *fleet) restart(at time.Time) {
-	f.now = at
-	for i := range f.hosts {
-		f.hosts[i] = share.New()
-		f.hosts[i].SetLease(at, true)
-		f.hosts[i].SetSlack(slack)
+// restart replaces all hosts by newly started ones at the given time.
+func (sim *simulation) restart(at time.Time) {
+	sim.now = at
+	for i := range sim.hosts {
+		sim.hosts[i] = share.New()
+		sim.hosts[i].SetLease(at, true)
+		sim.hosts[i].SetSlack(slack)
 	}
-	f.exchange()
+	sim.exchangeHeartbeats()
 }
 
-// exchange is a round of heartbeats. Whoever is cut off keeps what it knew.
-func (f *fleet) exchange() {
-	for i, s := range f.hosts {
-		if !f.cut[i] {
-			f.demand[i] = s.AnnounceDemand(f.now)
+// exchangeHeartbeats simulates a round of heartbeats. Partitioned hosts keep their last
+// known state.
+func (sim *simulation) exchangeHeartbeats() {
+	for i, s := range sim.hosts {
+		if !sim.partitioned[i] {
+			sim.demand[i] = s.AnnounceDemand(sim.now)
 		}
 	}
-	for i, s := range f.hosts {
-		if f.cut[i] {
+	for i, s := range sim.hosts {
+		if sim.partitioned[i] {
 			continue
 		}
 		others := map[string]float64{}
-		for j := range f.hosts {
+		for j := range sim.hosts {
 			if j == i {
 				continue
 			}
-			for customer, rate := range f.demand[j] {
+			for customer, rate := range sim.demand[j] {
 				others[customer] += rate
 			}
 		}
-		s.SetRemoteDemand(others, len(f.hosts), true)
+		s.SetRemoteDemand(others, len(sim.hosts), true)
 	}
 }
 
-// play sends requests at a rate for a time, spread over hosts by weight, and
-// returns when each was admitted.
-func (f *fleet) play(c *catalog.Customer, perSecond float64, d time.Duration, weights []float64) (admitted []time.Time, asked int) {
+// send sends requests at a rate for the duration d, spread over the hosts by weight.
+// It returns the times of the admitted requests and the number of all requests.
+func (sim *simulation) send(c *catalog.Customer, perSecond float64, d time.Duration, weights []float64) (admitted []time.Time, sent int) {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
 	const step = 5 * time.Millisecond
-	beat := time.Duration(0)
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
-		if beat += step; beat >= 250*time.Millisecond {
-			beat = 0
-			f.exchange()
+	sinceHeartbeat := time.Duration(0)
+	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(step) {
+		if sinceHeartbeat += step; sinceHeartbeat >= 250*time.Millisecond {
+			sinceHeartbeat = 0
+			sim.exchangeHeartbeats()
 		}
-		for expected := perSecond * step.Seconds(); f.rng.Float64() < expected; expected-- {
-			x, host := f.rng.Float64()*sum, 0
+		for expected := perSecond * step.Seconds(); sim.rng.Float64() < expected; expected-- {
+			x, host := sim.rng.Float64()*sum, 0
 			for x > weights[host] {
 				x -= weights[host]
 				host++
 			}
-			asked++
-			if f.hosts[host].Admit(f.now, c).Admitted {
-				admitted = append(admitted, f.now)
+			sent++
+			if sim.hosts[host].Admit(sim.now, c).Admitted {
+				admitted = append(admitted, sim.now)
 			}
 		}
 	}
-	return admitted, asked
+	return admitted, sent
 }
 
-// worst is the most that was admitted in any span of five seconds.
-func worst(times []time.Time) int {
+// maxInFiveSeconds returns the largest number of requests admitted within any five seconds.
+func maxInFiveSeconds(times []time.Time) int {
 	most, from := 0, 0
 	for i, at := range times {
 		for at.Sub(times[from]) > 5*time.Second {
@@ -114,7 +115,7 @@
 	return most
 }
 
-func even(n int) []float64 {
+func evenWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
 		w[i] = 1
@@ -122,63 +123,64 @@
 	return w
 }
 
-// One customer sends seven times its rate, and its callers move from host to
-// host every second and a half. Over all hosts together it must not get more
-// than its rate and burst, with the tolerance that operators were promised.
+// Guards against a customer that gets more than its rate and burst, plus the promised
+// tolerance, over all hosts together. It sends seven times its rate, and its callers
+// move from host to host every 1.5 seconds.
 func TestHotCustomerStaysWithinItsRate(t *testing.T) {
 	for _, hosts := range []int{1, 3, 10} {
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
 			g := NewWithT(t)
-			f := newFleet(hosts)
+			sim := newSimulation(hosts)
 			c := &catalog.Customer{Name: "hot", Rate: 60, Burst: 60}
 			var all []time.Time
 			for i := range 12 {
-				weights := even(hosts)
+				weights := evenWeights(hosts)
 				weights[i%hosts] = 10
-				admitted, _ := f.play(c, 7*c.Rate, 1500*time.Millisecond, weights)
+				admitted, _ := sim.send(c, 7*c.Rate, 1500*time.Millisecond, weights)
 				all = append(all, admitted...)
 			}
-			t.Logf("most in five seconds: %d, allowed %d", worst(all), 5*60+60)
-			g.Expect(worst(all)).To(BeNumerically("<=", (5*60+60)*1.1+20))
+			t.Logf("most in five seconds: %d, allowed %d", maxInFiveSeconds(all), 5*60+60)
+			g.Expect(maxInFiveSeconds(all)).To(BeNumerically("<=", (5*60+60)*1.1+20))
 			g.Expect(len(all)).To(BeNumerically(">=", int(0.9*18*60)), "most of the rate is used")
 		})
 	}
 }
 
-// A zone is cut off while a customer sends too much on both sides. Each side
-// keeps the part that it had, so the sum does not grow.
-func TestCutOffHostsKeepTheirPart(t *testing.T) {
+// Guards against a customer that gets more than its rate during a partition, while it
+// exceeds its rate on both sides. Each side keeps the fraction that it had, so the sum
+// does not grow.
+func TestPartitionedHostsKeepTheirFraction(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(6)
+	sim := newSimulation(6)
 	c := &catalog.Customer{Name: "hot", Rate: 100, Burst: 50}
-	all, _ := f.play(c, 500, 4*time.Second, even(6))
-	f.cut[0], f.cut[1], f.cut[2] = true, true, true
-	during, _ := f.play(c, 500, 8*time.Second, even(6))
-	f.cut = map[int]bool{}
-	after, _ := f.play(c, 500, 4*time.Second, even(6))
-	t.Logf("most in five seconds: %d before, %d during, %d after the cut", worst(all), worst(during), worst(after))
+	all, _ := sim.send(c, 500, 4*time.Second, evenWeights(6))
+	sim.partitioned[0], sim.partitioned[1], sim.partitioned[2] = true, true, true
+	during, _ := sim.send(c, 500, 8*time.Second, evenWeights(6))
+	sim.partitioned = map[int]bool{}
+	after, _ := sim.send(c, 500, 4*time.Second, evenWeights(6))
+	t.Logf("most in five seconds: %d before, %d during, %d after the partition", maxInFiveSeconds(all), maxInFiveSeconds(during), maxInFiveSeconds(after))
 	all = append(append(all, during...), after...)
-	g.Expect(worst(all)).To(BeNumerically("<=", (5*100+50)*1.1+20))
+	g.Expect(maxInFiveSeconds(all)).To(BeNumerically("<=", (5*100+50)*1.1+20))
 }
 
-// A provider's parents all come in through one host. With an even split nine
-// tenths of a customer within its rate would be refused.
-func TestUnevenCallersAreServed(t *testing.T) {
+// Guards against rejections within the rate of a customer whose callers almost all
+// enter through one host: an even split would reject nine tenths of its requests.
+func TestUnevenlySpreadCallersAreAdmitted(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(10)
+	sim := newSimulation(10)
 	c := &catalog.Customer{Name: "one-sided", Rate: 60, Burst: 60}
-	weights := even(10)
+	weights := evenWeights(10)
 	weights[3] = 60
-	f.play(c, 36, 5*time.Second, weights)
-	admitted, asked := f.play(c, 36, 20*time.Second, weights)
-	refused := 1 - float64(len(admitted))/float64(asked)
-	t.Logf("refused %.2f%% of a customer at 60%% of its rate", 100*refused)
-	g.Expect(refused).To(BeNumerically("<", 0.02))
+	sim.send(c, 36, 5*time.Second, weights)
+	admitted, sent := sim.send(c, 36, 20*time.Second, weights)
+	rejected := 1 - float64(len(admitted))/float64(sent)
+	t.Logf("rejected %.2f%% of the requests of a customer at 60%% of its rate", 100*rejected)
+	g.Expect(rejected).To(BeNumerically("<", 0.02))
 }
 
-// A host starts again while its customer sends too much. It has not heard of the
-// others' demand yet, so it must not take all of the rate for its own.
-func TestRestartedHostKeepsToItsEvenPart(t *testing.T) {
+// Guards against a restarted host that admits a customer's full rate while the customer
+// exceeds its rate, because the host has not learned of the demand at other hosts yet.
+func TestRestartedHostUsesTheEvenSplit(t *testing.T) {
 	g := NewWithT(t)
 	s := share.New()
 	now, admitted := time.Unix(1000, 0), 0
@@ -198,9 +200,9 @@
 	g.Expect(admitted).To(BeNumerically("<=", 2*30/3+5))
 }
 
-// A host whose registration has lapsed is not counted by the others any more, so
-// it must not spend.
-func TestNothingIsSpentWithoutRegistration(t *testing.T) {
+// Guards against requests that are admitted by a host whose registration has expired:
+// the other hosts no longer count it among the owners.
+func TestNothingIsAdmittedWithoutLease(t *testing.T) {
 	g := NewWithT(t)
 	s := share.New()
 	c := &catalog.Customer{Name: "a", Rate: 10, Burst: 10}
@@ -208,15 +210,15 @@
 	v := s.Admit(now, c)
 	g.Expect(v.Admitted).To(BeFalse())
 	g.Expect(v.RetryAfter).To(BeNumerically(">", 0))
-	g.Expect(v.NoLease).To(BeTrue(), "it says nothing about the customer")
+	g.Expect(v.NoLease).To(BeTrue(), "the rejection is not due to the customer's rate")
 	s.SetLease(now, true)
 	g.Expect(s.Admit(now.Add(time.Second), c).Admitted).To(BeTrue())
 	g.Expect(s.Admit(now, &catalog.Customer{Name: "free"}).Admitted).To(BeTrue())
 }
 
-// Everyone who is refused returns when told. If all were told the same time,
-// they would be refused together again.
-func TestRefusedReturnOneByOne(t *testing.T) {
+// Guards against rejected callers that all retry at the same time and are rejected
+// together again, because all got the same retry time.
+func TestRetryTimesAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	s := share.New()
 	now := time.Unix(1000, 0)
@@ -233,25 +235,26 @@
 	}
 }
 
-// Sixty hosts serve a customer that is within its rate, half a request a second
-// at each. With a bucket at each host a quarter is refused; with one for each of
-// three regions next to nothing is, and no more is given out.
-func TestRegionsShareABucket(t *testing.T) {
-	refused := func(buckets int) float64 {
-		f := newFleet(buckets)
+// Guards against rejections within the rate of a customer that sends half a request per
+// second to each of sixty hosts. With a bucket per host a quarter of the requests is
+// rejected. With a bucket for each of three regions almost none is, and the fleet does not
+// admit more in total.
+func TestHostsOfARegionShareABucket(t *testing.T) {
+	rejectedFraction := func(buckets int) float64 {
+		sim := newSimulation(buckets)
 		c := &catalog.Customer{Name: "thin", Rate: 45, Burst: 45}
-		f.play(c, 28, 5*time.Second, even(buckets))
-		admitted, asked := f.play(c, 28, 20*time.Second, even(buckets))
-		return 1 - float64(len(admitted))/float64(asked)
+		sim.send(c, 28, 5*time.Second, evenWeights(buckets))
+		admitted, sent := sim.send(c, 28, 20*time.Second, evenWeights(buckets))
+		return 1 - float64(len(admitted))/float64(sent)
 	}
 	g := NewWithT(t)
-	apart, pooled := refused(60), refused(3)
-	t.Logf("refused: %.1f%% with 60 buckets, %.2f%% with 3", 100*apart, 100*pooled)
-	g.Expect(pooled).To(BeNumerically("<", 0.01))
-	g.Expect(apart).To(BeNumerically(">", 5*pooled))
+	perHost, perRegion := rejectedFraction(60), rejectedFraction(3)
+	t.Logf("rejected: %.1f%% with 60 buckets, %.2f%% with 3", 100*perHost, 100*perRegion)
+	g.Expect(perRegion).To(BeNumerically("<", 0.01))
+	g.Expect(perHost).To(BeNumerically(">", 5*perRegion))
 }
 
-func TestOwnersAgreeAndStay(t *testing.T) {
+func TestShardOwnerIsConsistent(t *testing.T) {
 	g := NewWithT(t)
 	pool := []string{"a", "b", "c", "d"}
 	g.Expect(share.ShardOwner("x", nil)).To(BeEmpty())
@@ -260,46 +263,47 @@
 		owner := share.ShardOwner(customer, pool)
 		g.Expect(share.ShardOwner(customer, []string{"d", "c", "b", "a"})).To(Equal(owner))
 		if owner != "d" {
-			g.Expect(share.ShardOwner(customer, pool[:3])).To(Equal(owner), "only the customers of the host that left move")
+			g.Expect(share.ShardOwner(customer, pool[:3])).To(Equal(owner), "only the customers of the removed host move")
 		}
 	}
 }
 
-// The owner of a bucket has died and is still heard. All hosts fall back on the
-// spare: together they give out a part of the rate only.
-func TestSpareIsAPartOfTheRate(t *testing.T) {
+// Guards against a customer that gets more than the fallback fraction of its rate when
+// the owner of its bucket has failed and all hosts use their fallback buckets.
+func TestFallbackAdmitsAFractionOfTheRate(t *testing.T) {
 	g := NewWithT(t)
 	c := &catalog.Customer{Name: "hot", Rate: 100, Burst: 100}
 	now, admitted := time.Unix(1000, 0), 0
-	spares := []*share.FallbackBuckets{share.NewFallbackBuckets(), share.NewFallbackBuckets(), share.NewFallbackBuckets(), share.NewFallbackBuckets()}
+	fallbacks := []*share.FallbackBuckets{share.NewFallbackBuckets(), share.NewFallbackBuckets(), share.NewFallbackBuckets(), share.NewFallbackBuckets()}
 	for range 5000 {
 		now = now.Add(time.Millisecond)
-		for _, s := range spares {
-			if s.Admit(now, c, len(spares)).Admitted {
+		for _, s := range fallbacks {
+			if s.Admit(now, c, len(fallbacks)).Admitted {
 				admitted++
 			}
 		}
 	}
-	g.Expect(admitted).To(BeNumerically("<=", 5*25+len(spares)))
+	g.Expect(admitted).To(BeNumerically("<=", 5*25+len(fallbacks)))
 }
 
-// A customer is silent and then sends its burst at once, at one host, as a canteen
-// does at noon. All of it is its due; a fifth was refused while part of the burst was
-// held back.
-func TestWholeBurstIsServed(t *testing.T) {
+// Guards against rejections within the burst of a customer that sends its full burst at
+// once, through one host, after a low load, as a canteen does at noon. A fifth of the
+// requests was rejected when the buckets held only part of the burst.
+func TestFullBurstIsAdmitted(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(3)
+	sim := newSimulation(3)
 	c := &catalog.Customer{Name: "canteen", Rate: 30, Burst: 60}
 	alone := []float64{1, 0, 0}
-	f.play(c, 20, 10*time.Second, alone)
-	admitted, asked := f.play(c, 30+50, time.Second, alone)
-	t.Logf("%d of %d served", len(admitted), asked)
-	g.Expect(len(admitted)).To(BeNumerically(">=", asked*95/100))
+	sim.send(c, 20, 10*time.Second, alone)
+	admitted, sent := sim.send(c, 30+50, time.Second, alone)
+	t.Logf("%d of %d admitted", len(admitted), sent)
+	g.Expect(len(admitted)).To(BeNumerically(">=", sent*95/100))
 }
 
-// Guards against refusals inside the rate in the first seconds of traffic: hosts have
-// held their buckets for some time when the first callers of a customer come.
-func TestBucketFillsBeforeTheFirstCaller(t *testing.T) {
+// Guards against rejections within the rate in the first seconds of a customer's
+// traffic: a bucket fills from the time the host holds its lease, not from the first
+// request.
+func TestBucketFillsBeforeTheFirstRequest(t *testing.T) {
 	g := NewWithT(t)
 	s := share.New()
 	start := time.Unix(1000, 0)
@@ -317,38 +321,39 @@
 	again := share.New()
 	again.SetLease(start, true)
 	s = again
-	g.Expect(admitted(start)).To(BeNumerically("<=", 15), "a host that has just started may have spent before")
+	g.Expect(admitted(start)).To(BeNumerically("<=", 15), "a host that has just started may have spent tokens before its restart")
 }
 
-// Guards against refusals inside the rate of small customers: each region sees a third of
-// their callers, a few come together, and a third of a small burst is less than that.
-func TestSmallCustomersAreServedWithinTheirRate(t *testing.T) {
+// Guards against rejections within the rate of small customers: each region sees a third
+// of the callers, a few requests arrive together, and a third of a small burst is too
+// few tokens for them.
+func TestSmallCustomersAreAdmittedWithinTheirRate(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(3)
+	sim := newSimulation(3)
 	c := &catalog.Customer{Name: "small", Rate: 12, Burst: 12}
-	f.play(c, 9, 5*time.Second, even(3))
-	admitted, asked := f.play(c, 9, 60*time.Second, even(3))
-	refused := 1 - float64(len(admitted))/float64(asked)
-	t.Logf("refused %.2f%% at three quarters of the rate", 100*refused)
-	g.Expect(refused).To(BeNumerically("<", 0.01))
-	hot, _ := f.play(c, 90, 20*time.Second, even(3))
-	g.Expect(worst(append(admitted, hot...))).To(BeNumerically("<=", (5*12+12)*1.1+20))
+	sim.send(c, 9, 5*time.Second, evenWeights(3))
+	admitted, sent := sim.send(c, 9, 60*time.Second, evenWeights(3))
+	rejected := 1 - float64(len(admitted))/float64(sent)
+	t.Logf("rejected %.2f%% at three quarters of the rate", 100*rejected)
+	g.Expect(rejected).To(BeNumerically("<", 0.01))
+	hot, _ := sim.send(c, 90, 20*time.Second, evenWeights(3))
+	g.Expect(maxInFiveSeconds(append(admitted, hot...))).To(BeNumerically("<=", (5*12+12)*1.1+20))
 }
 
 // Guards against a customer that gets more than its rate because all owners of its
-// buckets start again while it sends too much, twice within one window.
-func TestStartsOfAllOwnersStayWithinTheTolerance(t *testing.T) {
+// buckets restart while it exceeds its rate, twice within one window.
+func TestRestartsOfAllOwnersStayWithinTheTolerance(t *testing.T) {
 	g := NewWithT(t)
 	c := &catalog.Customer{Name: "hot", Rate: 60, Burst: 60}
-	f := newFleet(3)
-	all, _ := f.play(c, 400, 6*time.Second, even(3))
+	sim := newSimulation(3)
+	all, _ := sim.send(c, 400, 6*time.Second, evenWeights(3))
 	for range 2 {
-		at := f.now.Add(time.Second)
-		f = newFleet(3)
-		f.restart(at)
-		admitted, _ := f.play(c, 400, 1500*time.Millisecond, even(3))
+		at := sim.now.Add(time.Second)
+		sim = newSimulation(3)
+		sim.restart(at)
+		admitted, _ := sim.send(c, 400, 1500*time.Millisecond, evenWeights(3))
 		all = append(all, admitted...)
 	}
-	t.Logf("most in five seconds: %d", worst(all))
-	g.Expect(worst(all)).To(BeNumerically("<=", (5*60+60)*1.1+20))
+	t.Logf("most in five seconds: %d", maxInFiveSeconds(all))
+	g.Expect(maxInFiveSeconds(all)).To(BeNumerically("<=", (5*60+60)*1.1+20))
 }
--- a/internal/share/shares.go
+++ b/internal/share/shares.go
@@ -8,166 +8,179 @@
 )
 
 const (
-	// evenPart of each rate is split evenly among the owners, so that a region in
-	// which a customer appears for the first time has something to give before
-	// the others have heard of the demand there.
-	evenPart = 0.3
-	// depthPart of the burst is in the buckets: all of it. What demand moves between
-	// regions before they hear of it stays within the tolerance that operators were
-	// promised (see the tests).
-	depthPart = 1.0
-	// startPart of its depth is in a bucket when a host begins to hold shares: it may
-	// have spent the rest before it started again.
-	startPart = 0.35
-	// minDepth lets one request in where a customer's part of the burst is less than
-	// one.
+	// evenFraction is the fraction of each rate that is split evenly among the owners, so
+	// that a region in which a customer appears for the first time can admit requests
+	// before the other owners have learned of the demand there.
+	evenFraction = 0.3
+	// burstFraction is the fraction of the burst that the buckets hold together. Even with
+	// the full burst, the excess while demand moves between regions, before the owners
+	// learn of the move, stays within the tolerance that operators were promised (see
+	// the tests).
+	burstFraction = 1.0
+	// initialFraction is the fraction of its depth that a bucket holds when a host begins to
+	// hold rate shares: the host may have spent the rest before it restarted.
+	initialFraction = 0.35
+	// minDepth is the least depth of a bucket, in requests, so that one request can
+	// pass where the host's fraction of the burst is less than one request.
 	minDepth = 1.0
-	// slackPart of the requests that customers are granted beyond rate and burst is in the
-	// buckets of all owners together. Each owner sees a part of the customer's callers, and
-	// a few that come together find a bucket of a few tokens empty. The rest is for what
-	// demand moves between owners before they hear of it.
-	slackPart = 0.5
-	// announceDelay is how long a heartbeat takes to be reckoned with by the
-	// others: the way between regions and a turn of the control thread.
+	// slackFraction is the fraction of the slack (see SetSlack) that is added to the buckets
+	// of all owners together. Each owner sees only some of the customer's callers, and a
+	// few requests that arrive together would find a bucket of a few tokens empty. The
+	// rest of the slack covers demand that moves between owners before they learn of it.
+	slackFraction = 0.5
+	// announceDelay is the time until the other hosts apply announced demand: the
+	// network delay between regions and one run of the control loop.
 	announceDelay = 180 * time.Millisecond
-	// shortest and longest time that a refused caller is told to stay away.
+	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller is
+	// told to retry.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
 
-// Shares admits customers' requests. It is safe for concurrent use.
+// Limiter admits customers' requests up to this host's fractions of their rates. It is
+// safe for concurrent use.
 type Limiter struct {
-	mu       sync.Mutex
-	accounts map[string]*account
-	// others is the demand of the other hosts by customer.
-	others map[string]float64
+	mu      sync.Mutex
+	buckets map[string]*bucket
+	// remoteDemand is the demand at the other hosts, by customer, in requests per second.
+	remoteDemand map[string]float64
+	// owners is the number of hosts that hold a bucket of the same customer.
 	owners int
-	// complete says that the demand of all other hosts is known.
-	complete bool
-	// slack is the number of requests beyond its rate and burst that a customer may get.
+	// remoteComplete reports whether the demand at all other hosts is known.
+	remoteComplete bool
+	// slack is the number of requests that a customer may get beyond its rate and burst.
 	slack float64
-	// leaseHeld says that this host may spend its shares, and heldSince is when it could
-	// first. Buckets fill from then on, whether a customer has asked yet or not.
+	// leaseHeld reports whether this host may admit requests, and leaseSince is when it
+	// first could. Buckets fill from leaseSince on, also those of customers that have not
+	// sent a request yet.
 	leaseHeld  bool
 	leaseSince time.Time
 }
 
-type account struct {
-	demand demand
-	tokens float64
-	at     time.Time
-	// announced is the demand that the others were told last, at announcedAt, and
-	// previouslyAnnounced what they had been told until then.
+type bucket struct {
+	demand     demand
+	tokens     float64
+	refilledAt time.Time
+	// announced is the demand that was last announced to the other hosts, at
+	// announcedAt, and previouslyAnnounced the demand that they knew until then.
 	announced, previouslyAnnounced float64
 	announcedAt                    time.Time
-	// lastRetryAt is the latest time at which a refused caller was told to return.
+	// lastRetryAt is the latest time at which a rejected caller was told to retry.
 	lastRetryAt time.Time
 }
 
-// New returns shares that admit nothing until Hold is called.
+// New returns a limiter that rejects all requests of customers with a rate until
+// SetLease is called.
 func New() *Limiter {
-	return &Limiter{accounts: map[string]*account{}, others: map[string]float64{}, owners: 1}
-}
-
-// SetOthers takes over what the other hosts want, by customer, and how many
-// owners a customer's rate is split among, one for each region, this one
-// included. complete says that all hosts have told what they want: until then a
-// host that has just started keeps to its even part, since it would take the
-// demand that it does not know for none.
-func (s *Limiter) SetRemoteDemand(perSecond map[string]float64, owners int, complete bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.others, s.owners, s.complete = perSecond, max(owners, 1), complete
-}
-
-// SetSlack says how many requests beyond its rate and burst operators grant a customer.
-func (s *Limiter) SetSlack(requests float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.slack = requests
-}
-
-// SetLease says whether this host may spend: its registration stands, so the others
-// count it.
-func (s *Limiter) SetLease(now time.Time, held bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.leaseHeld = held
-	if held && s.leaseSince.IsZero() {
-		s.leaseSince = now
+	return &Limiter{buckets: map[string]*bucket{}, remoteDemand: map[string]float64{}, owners: 1}
+}
+
+// SetRemoteDemand sets the demand at the other hosts, by customer, and the number of
+// owners that a customer's rate is split among: one for each region, this one
+// included. complete reports whether the demand at all other hosts is known. Until it
+// is, this host uses an even split, since it would otherwise treat unknown demand as
+// no demand.
+func (l *Limiter) SetRemoteDemand(perSecond map[string]float64, owners int, complete bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.remoteDemand, l.owners, l.remoteComplete = perSecond, max(owners, 1), complete
+}
+
+// SetSlack sets the number of requests that operators grant each customer beyond its
+// rate and burst.
+func (l *Limiter) SetSlack(requests float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.slack = requests
+}
+
+// SetLease sets whether this host may admit requests. It may while its registration is
+// valid, because the other hosts then count it among the owners.
+func (l *Limiter) SetLease(now time.Time, held bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leaseHeld = held
+	if held && l.leaseSince.IsZero() {
+		l.leaseSince = now
 	}
 }
 
-// Verdict on one request.
+// Decision is the result of admission control for one request.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when there is likely to be room; set if it is not admitted.
+	// RetryAfter is the time until a token is likely to be available; set only if the
+	// request is rejected.
 	RetryAfter time.Duration
-	// NoLease says that this host may not spend at all: its registration has lapsed.
+	// NoLease reports that this host may not admit requests at all, because its
+	// registration is not valid.
 	NoLease bool
-	// Part is this host's part of the rate, and Demand the rate that it is
-	// asked for, for the log.
+	// Fraction is this host's fraction of the customer's rate, and Demand the rate of
+	// the customer's requests at this host, in requests per second. Both are for the log.
 	Fraction float64
 	Demand   float64
 }
 
-// overPart is how much more than its part a customer asks for that is over its rate.
-const overPart = 1.3
+// overRateFactor is the factor by which the demand at this host must exceed this host's
+// fraction of the rate for the customer to count as over its rate.
+const overRateFactor = 1.3
 
-// Over tells whether the customer asks for more than its rate.
-func (v Decision) OverRate(rate float64) bool { return rate > 0 && v.Demand > overPart*v.Fraction*rate }
+// OverRate reports whether the customer sends more than its rate.
+func (d Decision) OverRate(rate float64) bool {
+	return rate > 0 && d.Demand > overRateFactor*d.Fraction*rate
+}
 
-// Admit takes one request of a customer.
-func (s *Limiter) Admit(now time.Time, c *catalog.Customer) Decision {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.account(c.Name)
-	a.demand.add(now)
+// Admit decides on one request of a customer.
+func (l *Limiter) Admit(now time.Time, c *catalog.Customer) Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	b := l.bucket(c.Name)
+	b.demand.add(now)
 	if c.Rate <= 0 {
 		return Decision{Admitted: true, Fraction: 1}
 	}
-	part := s.part(now, c.Name, a)
-	v := Decision{Fraction: part, Demand: a.demand.perSecond}
-	spare := slackPart * s.slack / float64(s.owners)
-	rate, depth := part*c.Rate, max(part*c.Burst*depthPart, minDepth)+spare
-	a.refill(now, s.leaseSince, rate, depth)
-	if s.leaseHeld && a.tokens >= 1 {
-		a.tokens--
-		v.Admitted = true
-		return v
+	fraction := l.fraction(now, c.Name, b)
+	d := Decision{Fraction: fraction, Demand: b.demand.perSecond}
+	slack := slackFraction * l.slack / float64(l.owners)
+	rate, depth := fraction*c.Rate, max(fraction*c.Burst*burstFraction, minDepth)+slack
+	b.refill(now, l.leaseSince, rate, depth)
+	if l.leaseHeld && b.tokens >= 1 {
+		b.tokens--
+		d.Admitted = true
+		return d
 	}
-	v.RetryAfter, v.NoLease = a.retryAfter(now, rate), !s.leaseHeld
-	return v
+	d.RetryAfter, d.NoLease = b.retryAfter(now, rate), !l.leaseHeld
+	return d
 }
 
-// Refund gives the token of a request back that certainly did not run.
-func (s *Limiter) Refund(customer string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if a := s.accounts[customer]; a != nil {
-		a.tokens++
+// Refund returns the token of an admitted request that certainly did not run.
+func (l *Limiter) Refund(customer string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if b := l.buckets[customer]; b != nil {
+		b.tokens++
 	}
 }
 
-// refill brings a bucket to now. One that nobody has asked for yet has been filling since
-// a time.
-func (a *account) refill(now, since time.Time, rate, depth float64) {
-	if a.at.IsZero() {
-		a.tokens, a.at = max(depth*startPart, 1), now
+// refill adds the tokens up to now. A bucket that has not been used before has been
+// filling since the given time.
+func (b *bucket) refill(now, since time.Time, rate, depth float64) {
+	if b.refilledAt.IsZero() {
+		b.tokens, b.refilledAt = max(depth*initialFraction, 1), now
 		if !since.IsZero() {
-			a.at = since
+			b.refilledAt = since
 		}
 	}
-	a.tokens = min(a.tokens+now.Sub(a.at).Seconds()*rate, depth)
-	a.at = now
+	b.tokens = min(b.tokens+now.Sub(b.refilledAt).Seconds()*rate, depth)
+	b.refilledAt = now
 }
 
-// retryAfter spreads those that are refused over the tokens that will come: each
-// is told a later time than the one before, or they would all return together.
-func (a *account) retryAfter(now time.Time, rate float64) time.Duration {
+// retryAfter spreads the retries of rejected callers over the tokens that will become
+// available: each caller gets a later time than the one before it. Otherwise all of
+// them would retry at the same time.
+func (b *bucket) retryAfter(now time.Time, rate float64) time.Duration {
 	next := now.Add(minRetryAfter)
-	if a.lastRetryAt.After(now) {
-		next = a.lastRetryAt
+	if b.lastRetryAt.After(now) {
+		next = b.lastRetryAt
 	}
 	if rate > 0 {
 		next = next.Add(time.Duration(float64(time.Second) / rate))
@@ -175,59 +188,59 @@
 	if next.Sub(now) > maxRetryAfter {
 		next = now.Add(maxRetryAfter)
 	}
-	a.lastRetryAt = next
+	b.lastRetryAt = next
 	return next.Sub(now)
 }
 
-// part is this host's part of a customer's rate. It goes by the demand that the
-// others have been told, not by the one of this moment: where a customer's
-// callers appear at all hosts at once, each host would else believe for the
-// length of a heartbeat that all of the rate is its own, and together they would
-// admit more than the rate.
-func (s *Limiter) part(now time.Time, customer string, a *account) float64 {
-	even := 1 / float64(s.owners)
-	own, others := a.announcedDemand(now), s.others[customer]
-	if own+others <= 0 || !s.complete {
+// fraction returns this host's fraction of a customer's rate. It uses the demand that has
+// been announced to the other hosts, not the current demand. If a customer's callers
+// appeared at all hosts at once, each host would otherwise claim the full rate for the
+// length of a heartbeat interval, and together they would admit more than the rate.
+func (l *Limiter) fraction(now time.Time, customer string, b *bucket) float64 {
+	even := 1 / float64(l.owners)
+	own, others := b.announcedDemand(now), l.remoteDemand[customer]
+	if own+others <= 0 || !l.remoteComplete {
 		return even
 	}
-	return evenPart*even + (1-evenPart)*own/(own+others)
+	return evenFraction*even + (1-evenFraction)*own/(own+others)
 }
 
-// announcedDemand is the demand here that the others know by now.
-func (a *account) announcedDemand(now time.Time) float64 {
-	if now.Sub(a.announcedAt) < announceDelay {
-		return a.previouslyAnnounced
+// announcedDemand returns the demand at this host that the other hosts know by now.
+func (b *bucket) announcedDemand(now time.Time) float64 {
+	if now.Sub(b.announcedAt) < announceDelay {
+		return b.previouslyAnnounced
 	}
-	return a.announced
+	return b.announced
 }
 
-func (s *Limiter) account(name string) *account {
-	a := s.accounts[name]
-	if a == nil {
-		a = &account{}
-		s.accounts[name] = a
+func (l *Limiter) bucket(name string) *bucket {
+	b := l.buckets[name]
+	if b == nil {
+		b = &bucket{}
+		l.buckets[name] = b
 	}
-	return a
-}
-
-// AnnounceDemand returns what each customer asks for at this host, in requests per second,
-// to be told to the others now. Customers that ask for next to nothing are left
-// out.
-func (s *Limiter) AnnounceDemand(now time.Time) map[string]float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := map[string]float64{}
-	for name, a := range s.accounts {
-		rate := a.demand.rate(now)
+	return b
+}
+
+// AnnounceDemand returns the demand of each customer at this host, in requests per
+// second, which the caller sends to the other hosts now. Customers with negligible
+// demand are omitted.
+func (l *Limiter) AnnounceDemand(now time.Time) map[string]float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	demands := map[string]float64{}
+	for name, b := range l.buckets {
+		rate := b.demand.rate(now)
 		if rate <= minDemand {
 			rate = 0
 		} else {
-			out[name] = rate
+			demands[name] = rate
 		}
-		a.previouslyAnnounced, a.announced, a.announcedAt = a.announcedDemand(now), rate, now
+		b.previouslyAnnounced, b.announced, b.announcedAt = b.announcedDemand(now), rate, now
 	}
-	return out
+	return demands
 }
 
-// minDemand is what is left of one request after four seconds.
+// minDemand is the least demand that is announced, in requests per second. The demand
+// of a single request falls below it after four seconds.
 const minDemand = 0.03
