--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func beat(instance, host string, sequence uint64) *fleet.Heartbeat {
+func heartbeat(instance, host string, sequence uint64) *fleet.Heartbeat {
 	return &fleet.Heartbeat{
 		Instance: instance, Host: host, Zone: "z", Region: "r", Callers: "c-" + instance, Peers: "p-" + instance,
 		Sequence: sequence, Ready: true, Demand: []*fleet.Demand{{Customer: "x", PerSecond: 5}},
@@ -24,14 +24,15 @@
 	return fleet.Registration{Instance: instance, Host: host, Peers: "p-" + instance}
 }
 
-// A host is cut off from this one, but callers still reach it. It is not named
-// to callers any more, but its part of customers' rates is kept for it until its
-// registration has lapsed.
-func TestSilentHostKeepsItsPart(t *testing.T) {
+// Guards against a customer that gets more than its rate because the demand of a
+// partitioned host is dropped while callers still reach that host. The host is no longer
+// listed as alive, but its fraction of the rate is reserved until its registration
+// expires.
+func TestUnresponsiveHostKeepsItsDemand(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
 	m.ApplyRegistrations(start, []fleet.Registration{registration("a", "host-a")})
-	m.ApplyHeartbeat(start, beat("a", "host-a", 1))
+	m.ApplyHeartbeat(start, heartbeat("a", "host-a", 1))
 	g.Expect(m.Alive()).To(HaveLen(1))
 	later := start.Add(10 * time.Second)
 	m.Expire(later)
@@ -44,35 +45,36 @@
 	g.Expect(m.Demand()).To(BeEmpty())
 }
 
-// A host is killed and starts again. Its earlier instance is gone at once,
-// whether its registration or its heartbeat is read first.
+// Guards against a restarted host that counts twice. Its earlier instance is removed as
+// soon as a heartbeat of the new one arrives, and does not come back while its registration
+// is still in the store.
 func TestRestartedHostCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
-	m.ApplyHeartbeat(start, beat("a-1", "host-a", 7))
-	m.ApplyHeartbeat(start, beat("a-2", "host-a", 1))
+	m.ApplyHeartbeat(start, heartbeat("a-1", "host-a", 7))
+	m.ApplyHeartbeat(start, heartbeat("a-2", "host-a", 1))
 	m.ApplyRegistrations(start, []fleet.Registration{registration("a-1", "host-a"), registration("a-2", "host-a"), registration("me-0", "host-me")})
-	heard := m.Alive()
-	g.Expect(heard).To(HaveLen(1))
-	g.Expect(heard[0].Instance).To(Equal("a-2"))
+	alive := m.Alive()
+	g.Expect(alive).To(HaveLen(1))
+	g.Expect(alive[0].Instance).To(Equal("a-2"))
 	g.Expect(m.Count()).To(Equal(2))
 }
 
-// Datagrams overtake each other: an older heartbeat must not make a leaving host
-// ready again.
-func TestOldHeartbeat(t *testing.T) {
+// Guards against an older heartbeat that arrives late, because datagrams are reordered,
+// and makes a leaving host ready again.
+func TestOutdatedHeartbeatIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
-	leaving := beat("a", "host-a", 9)
+	leaving := heartbeat("a", "host-a", 9)
 	leaving.Ready, leaving.Leaving = false, true
 	m.ApplyHeartbeat(start, leaving)
-	m.ApplyHeartbeat(start, beat("a", "host-a", 8))
+	m.ApplyHeartbeat(start, heartbeat("a", "host-a", 8))
 	g.Expect(m.Alive()[0].Leaving).To(BeTrue())
-	m.ApplyHeartbeat(start, beat("me", "host-me", 1))
-	g.Expect(m.Count()).To(Equal(2), "an echo of one's own is nobody")
+	m.ApplyHeartbeat(start, heartbeat("me", "host-me", 1))
+	g.Expect(m.Count()).To(Equal(2), "a heartbeat of this instance adds no member")
 }
 
-func TestHeartbeatsTravel(t *testing.T) {
+func TestHeartbeatsAreDelivered(t *testing.T) {
 	g := NewWithT(t)
 	a, err := fleet.Listen("127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -80,59 +82,58 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	heard, spoiled := make(chan *fleet.Packet, 8), make(chan error, 8)
-	go b.Receive(ctx, func(p *fleet.Packet, _ string) { heard <- p }, func(err error) { spoiled <- err })
-	g.Expect(a.SendHeartbeat(beat("a", "host-a", 3), []string{b.Address()})).To(Succeed())
+	received, failures := make(chan *fleet.Packet, 8), make(chan error, 8)
+	go b.Receive(ctx, func(p *fleet.Packet, _ string) { received <- p }, func(err error) { failures <- err })
+	g.Expect(a.SendHeartbeat(heartbeat("a", "host-a", 3), []string{b.Address()})).To(Succeed())
 	var got *fleet.Packet
-	g.Eventually(heard, "5s").Should(Receive(&got))
+	g.Eventually(received, "5s").Should(Receive(&got))
 	g.Expect(got.GetHeartbeat().Sequence).To(Equal(uint64(3)))
-	g.Expect(a.SendHeartbeat(beat("a", "host-a", 3), []string{"not an address"})).NotTo(Succeed())
+	g.Expect(a.SendHeartbeat(heartbeat("a", "host-a", 3), []string{"not an address"})).NotTo(Succeed())
 }
 
-// Guards against a host that has just begun to take callers and takes a customer's
-// whole rate, because brief heartbeats have told it of no demand elsewhere.
-func TestBriefHeartbeatsTellNoDemand(t *testing.T) {
+// Guards against a host that has just become active and claims a customer's full rate,
+// because the compact heartbeats that it received do not include demand.
+func TestCompactHeartbeatsClearDemand(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
-	full := beat("a", "host-a", 1)
+	full := heartbeat("a", "host-a", 1)
 	m.ApplyHeartbeat(start, full)
 	g.Expect(m.DemandComplete()).To(BeTrue())
-	brief := beat("a", "host-a", 2)
-	brief.Brief, brief.Demand = true, nil
-	m.ApplyHeartbeat(start, brief)
+	compact := heartbeat("a", "host-a", 2)
+	compact.Brief, compact.Demand = true, nil
+	m.ApplyHeartbeat(start, compact)
 	g.Expect(m.DemandComplete()).To(BeFalse())
 	g.Expect(m.Demand()).To(BeEmpty())
-	m.ApplyHeartbeat(start, beat("a", "host-a", 3))
+	m.ApplyHeartbeat(start, heartbeat("a", "host-a", 3))
 	g.Expect(m.DemandComplete()).To(BeTrue())
 	g.Expect(m.Demand()).To(HaveKeyWithValue("x", 5.0))
 }
 
-// Guards against views of the whole fleet that are rebuilt with each heartbeat: at
-// hundreds of hosts that alone takes a host's processor.
-func TestHeartbeatsThatSayNothingNewChangeNoView(t *testing.T) {
+// Guards against state of the full fleet that is rebuilt with each heartbeat: with
+// hundreds of hosts, that alone uses up a host's processor.
+func TestUnchangedHeartbeatsKeepTheGeneration(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
-	m.ApplyHeartbeat(start, beat("a", "host-a", 1))
+	m.ApplyHeartbeat(start, heartbeat("a", "host-a", 1))
 	m.Expire(start)
 	before := m.Generation()
-	again := beat("a", "host-a", 2)
+	again := heartbeat("a", "host-a", 2)
 	again.RequestsPerSecond = 70
 	m.ApplyHeartbeat(start.Add(time.Second), again)
 	m.Expire(start.Add(time.Second))
 	g.Expect(m.Generation()).To(Equal(before))
-	stops := beat("a", "host-a", 3)
-	stops.Ready = false
-	m.ApplyHeartbeat(start.Add(time.Second), stops)
-	g.Expect(m.Generation()).NotTo(Equal(before), "it takes no callers any more")
+	inactive := heartbeat("a", "host-a", 3)
+	inactive.Ready = false
+	m.ApplyHeartbeat(start.Add(time.Second), inactive)
+	g.Expect(m.Generation()).NotTo(Equal(before), "the host is no longer active")
 	before = m.Generation()
 	m.Expire(start.Add(time.Minute))
-	g.Expect(m.Generation()).NotTo(Equal(before), "it is silent")
+	g.Expect(m.Generation()).NotTo(Equal(before), "the host is unresponsive")
 }
 
-// Guards against a cost at rest that grows with the square of the fleet: a host that
-// stands by is sent nothing by the others that do, and takes them to live as long as
-// they are registered.
-func TestHostsThatStandByAreTakenToLive(t *testing.T) {
+// Guards against idle traffic that grows with the square of the fleet size. Standby hosts
+// send each other no heartbeats, and presume each other alive while they are registered.
+func TestRegisteredStandbyHostsArePresumedAlive(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
 	m.ApplyRegistrations(start, []fleet.Registration{
@@ -140,39 +141,39 @@
 		{Instance: "far", Host: "host-far", Region: "elsewhere", Peers: "p-far"},
 		registration("a", "host-a"),
 	})
-	m.ApplyHeartbeat(start, beat("a", "host-a", 1))
+	m.ApplyHeartbeat(start, heartbeat("a", "host-a", 1))
 	g.Expect(m.ReadyPeers()).To(ConsistOf("p-a"))
 	g.Expect(m.StandbyPeers(false)).To(ConsistOf("p-near"))
 	g.Expect(m.StandbyPeers(true)).To(ConsistOf("p-near", "p-far"))
-	g.Expect(m.Interval(true)).To(Equal(fleet.Interval(2)), "by the hosts that take callers")
-	unheard := m.PresumedStandbys("r")
-	g.Expect(unheard).To(HaveLen(1))
-	g.Expect(unheard[0].Capacity.Cores).To(Equal(0.8))
+	g.Expect(m.Interval(true)).To(Equal(fleet.Interval(2)), "the interval depends on the number of active hosts")
+	presumed := m.PresumedStandbys("r")
+	g.Expect(presumed).To(HaveLen(1))
+	g.Expect(presumed[0].Capacity.Cores).To(Equal(0.8))
 	m.Expire(start.Add(time.Minute))
 	g.Expect(m.Alive()).To(BeEmpty())
-	g.Expect(m.PresumedStandbys("r")).To(HaveLen(1), "a host that took callers and is silent is not")
+	g.Expect(m.PresumedStandbys("r")).To(HaveLen(1), "an active host that is unresponsive is not presumed alive")
 }
 
 func BenchmarkMembers(b *testing.B) {
 	for _, hosts := range []int{10, 84, 295} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			m := fleet.NewMembers("me", "host-me", "r")
-			beats := make([]*fleet.Heartbeat, hosts)
-			for i := range beats {
+			heartbeats := make([]*fleet.Heartbeat, hosts)
+			for i := range heartbeats {
 				name := fmt.Sprint(i)
-				beats[i] = beat(name, "host-"+name, 1)
+				heartbeats[i] = heartbeat(name, "host-"+name, 1)
 			}
 			now := start
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
-				h := beats[i%hosts]
+				h := heartbeats[i%hosts]
 				h.Sequence++
 				m.ApplyHeartbeat(now, h)
 				if i%100 == 0 {
 					m.Expire(now)
 				}
 				if m.Generation() == 0 {
-					b.Fatal("nothing was heard")
+					b.Fatal("no heartbeat was applied")
 				}
 			}
 		})
--- a/internal/fleet/fragment.go
+++ b/internal/fleet/fragment.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// fragmentBytes is the largest packet that is sent whole: its loss must not cost a
-	// weak link much.
+	// fragmentBytes is the size of the largest packet that is sent unfragmented. It is
+	// small so that the loss of a datagram does not cost a slow link much.
 	fragmentBytes = 32 << 10
-	// maxFragments bounds a packet to the largest value of the store.
+	// maxFragments limits a packet to the size of the largest value of the store.
 	maxFragments = 32
-	// maxPartial bounds the packets of which fragments are kept.
-	maxPartial = 8
+	// maxIncomplete is the number of incomplete packets whose fragments are kept.
+	maxIncomplete = 8
 )
 
-// FragmentError says that a fragment cannot belong to any packet.
+// FragmentError reports a fragment whose index or count is invalid, or differs from the
+// other fragments of its packet.
 type FragmentError struct {
 	Index, Count uint32
 }
 
 func (e *FragmentError) Error() string {
-	return fmt.Sprintf("fleet: fragment %d of %d", e.Index, e.Count)
+	return fmt.Sprintf("fleet: invalid fragment: index %d of %d", e.Index, e.Count)
 }
 
-// fragments splits the packet with the id.
+// fragments splits the marshalled packet with the given id.
 func fragments(id uint64, data []byte) []*Fragment {
 	count := (len(data) + fragmentBytes - 1) / fragmentBytes
 	out := make([]*Fragment, 0, count)
@@ -37,26 +38,27 @@
 	return out
 }
 
-// assembly puts fragments together. The oldest packet that lacks some is given up where
-// there are too many: whoever wants it asks again. The zero value is empty. It is not safe
-// for concurrent use.
-type assembly struct {
-	partial []*partialPacket
+// reassembler restores packets from fragments. If too many packets are incomplete, the
+// oldest is dropped, and the host that needs it sends its request again. The zero value
+// is empty. It is not safe for concurrent use.
+type reassembler struct {
+	incomplete []*incompletePacket
 }
 
-type partialPacket struct {
+type incompletePacket struct {
 	sender  string
 	id      uint64
 	parts   [][]byte
 	missing int
 }
 
-// add takes a fragment in, and returns the packet that it completes; nil if it does not.
-func (a *assembly) add(sender string, f *Fragment) (*Packet, error) {
+// add stores a fragment and returns the packet that it completes, or nil if the packet
+// is still incomplete.
+func (r *reassembler) add(sender string, f *Fragment) (*Packet, error) {
 	if f.Count == 0 || f.Count > maxFragments || f.Index >= f.Count {
 		return nil, errors.WithStack(&FragmentError{f.Index, f.Count})
 	}
-	p := a.packet(sender, f)
+	p := r.packet(sender, f)
 	if len(p.parts) != int(f.Count) {
 		return nil, errors.WithStack(&FragmentError{f.Index, f.Count})
 	}
@@ -67,37 +69,38 @@
 	if p.missing--; p.missing > 0 {
 		return nil, nil
 	}
-	a.drop(p)
+	r.drop(p)
 	var data []byte
 	for _, part := range p.parts {
 		data = append(data, part...)
 	}
-	whole := &Packet{}
-	if err := proto.Unmarshal(data, whole); err != nil {
+	packet := &Packet{}
+	if err := proto.Unmarshal(data, packet); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return whole, nil
+	return packet, nil
 }
 
-// packet returns the packet that a fragment belongs to.
-func (a *assembly) packet(sender string, f *Fragment) *partialPacket {
-	for _, p := range a.partial {
+// packet returns the incomplete packet that a fragment belongs to, and adds it if it is
+// new.
+func (r *reassembler) packet(sender string, f *Fragment) *incompletePacket {
+	for _, p := range r.incomplete {
 		if p.sender == sender && p.id == f.Id {
 			return p
 		}
 	}
-	if len(a.partial) == maxPartial {
-		a.partial = a.partial[1:]
+	if len(r.incomplete) == maxIncomplete {
+		r.incomplete = r.incomplete[1:]
 	}
-	p := &partialPacket{sender: sender, id: f.Id, parts: make([][]byte, f.Count), missing: int(f.Count)}
-	a.partial = append(a.partial, p)
+	p := &incompletePacket{sender: sender, id: f.Id, parts: make([][]byte, f.Count), missing: int(f.Count)}
+	r.incomplete = append(r.incomplete, p)
 	return p
 }
 
-func (a *assembly) drop(done *partialPacket) {
-	for i, p := range a.partial {
+func (r *reassembler) drop(done *incompletePacket) {
+	for i, p := range r.incomplete {
 		if p == done {
-			a.partial = append(a.partial[:i], a.partial[i+1:]...)
+			r.incomplete = append(r.incomplete[:i], r.incomplete[i+1:]...)
 			return
 		}
 	}
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -6,9 +6,10 @@
 	"balsambarrow/internal/standby"
 )
 
-// rememberFor is how long a host that is not registered is remembered after its last
-// heartbeat. Its registration may be on the way.
-const rememberFor = 5 * time.Second
+// unregisteredTTL is the time after which an unregistered host is removed, counted from
+// its last heartbeat. The registration of a new host may reach this host later than its
+// first heartbeats.
+const unregisteredTTL = 5 * time.Second
 
 // Member is another entry host.
 type Member struct {
@@ -16,75 +17,83 @@
 	Host     string
 	Zone     string
 	Region   string
-	// Callers and Peers are its addresses.
+	// CallerAddress is the address that callers connect to, and PeerAddress the one that
+	// other entry hosts send packets to.
 	CallerAddress string
 	PeerAddress   string
-	Ready         bool
-	Leaving       bool
-	Version       uint64
-	// Registered says that its registration stood when it told so.
+	// Ready reports whether the host is active: callers may be sent to it.
+	Ready bool
+	// Leaving reports whether the host has begun a planned stop.
+	Leaving bool
+	// Version of the configuration in force at the host.
+	Version uint64
+	// Registered reports whether the host's registration was valid when it sent its last
+	// heartbeat.
 	Registered bool
-	// SeesStore says that its last call to the store had succeeded.
+	// StoreReachable reports whether the host's last call to the store had succeeded.
 	StoreReachable bool
-	// Able says that it could take callers at once; Ready that it does.
+	// Eligible reports whether the host could become active at once.
 	Eligible bool
 	Capacity standby.Capacity
 	Load     standby.Load
-	// Demand of customers there, in requests per second.
+	// Demand of each customer at the host, in requests per second.
 	Demand map[string]float64
 
-	sequence   uint64
-	heard      time.Time
-	registered bool
-	// spends says that its registration is that of a host that holds shares.
-	spends bool
-	// alive is whether it was there at the last look.
+	sequence      uint64
+	lastHeartbeat time.Time
+	registered    bool
+	// holdsShares reports whether its registration is that of a host that holds rate shares.
+	holdsShares bool
+	// alive reports whether its heartbeats had not timed out at the last check.
 	alive bool
-	// complete says that its last heartbeat told what customers ask for there.
-	complete bool
+	// demandKnown reports whether its last heartbeat included the demand of customers.
+	demandKnown bool
 }
 
-// Members are the other hosts as this one knows them. It is not safe for
-// concurrent use.
+// Members holds the known state of the other hosts. It is not safe for concurrent use.
 type Members struct {
+	// self is the instance of this daemon.
 	self string
-	// host of this daemon; an earlier instance of it is gone.
-	host   string
-	region string
-	by     map[string]*Member
-	// ready is the number of hosts that take callers, and selfReady tells whether this
-	// one does.
+	// host of this daemon; its earlier instances have ended.
+	host       string
+	region     string
+	byInstance map[string]*Member
+	// ready is the number of other hosts that are active, and selfReady reports whether
+	// this host is active.
 	ready     int
 	selfReady bool
-	// generation grows with each change of who is there and what may be asked of it.
+	// generation grows with each change of the set of hosts and of their state other
+	// than load and demand.
 	generation uint64
-	// demandAt grows with each change of what customers ask for.
-	demandAt uint64
+	// demandGeneration grows with each change of the demand of customers.
+	demandGeneration uint64
 }
 
-// NewMembers returns what the instance self on a host of a region knows at its start.
+// NewMembers returns the members that the instance self, on the given host and region,
+// knows at its start: none.
 func NewMembers(self, host, region string) *Members {
-	return &Members{self: self, host: host, region: region, by: map[string]*Member{}}
+	return &Members{self: self, host: host, region: region, byInstance: map[string]*Member{}}
 }
 
-// MemberChange says that a host appeared or disappeared, for the log.
+// MemberChange reports that a host appeared, disappeared or began to leave, for the log.
 type MemberChange struct {
 	Member Member
-	// What happened: heard, silent, left, replaced.
+	// What happened: heard, leaving, replaced or forgotten.
 	What string
 }
 
-// ApplyHeartbeat takes a heartbeat in.
+// ApplyHeartbeat updates the member that sent a heartbeat, and returns the changes for
+// the log. Heartbeats of this instance, and those older than the last, are ignored.
 func (m *Members) ApplyHeartbeat(now time.Time, b *Heartbeat) []MemberChange {
 	if b.Instance == m.self || b.Instance == "" {
 		return nil
 	}
 	var changes []MemberChange
-	known := m.by[b.Instance]
+	known := m.byInstance[b.Instance]
 	if known == nil {
-		changes = m.replaceHost(b)
+		changes = m.removeEarlierInstances(b)
 		known = &Member{Instance: b.Instance}
-		m.by[b.Instance] = known
+		m.byInstance[b.Instance] = known
 	}
 	if b.Sequence <= known.sequence {
 		return changes
@@ -99,24 +108,25 @@
 		m.generation++
 	}
 	if b.Ready != known.Ready {
-		m.countReady(b.Ready)
+		m.updateReadyCount(b.Ready)
 	}
 	known.applyHeartbeat(now, b)
 	m.applyDemand(known, b)
 	return changes
 }
 
-// countReady notes that a host has begun to take callers, or has ended it.
-func (m *Members) countReady(begins bool) {
-	if begins {
+// updateReadyCount updates the number of active hosts after a host became active, or ceased
+// to be active.
+func (m *Members) updateReadyCount(ready bool) {
+	if ready {
 		m.ready++
 		return
 	}
 	m.ready--
 }
 
-// differs tells whether a heartbeat says anything of its host that others go by at
-// once; load and demand change with each.
+// differs reports whether a heartbeat changes any state of its host that other hosts
+// act on at once. Load and demand, which change with each heartbeat, do not count.
 func (k *Member) differs(b *Heartbeat) bool {
 	return k.Host != b.Host || k.Zone != b.Zone || k.Region != b.Region || k.CallerAddress != b.Callers || k.PeerAddress != b.Peers ||
 		k.Ready != b.Ready || k.Leaving != b.Leaving || k.Eligible != b.Able || k.Registered != b.Registered ||
@@ -130,60 +140,60 @@
 	k.Eligible, k.Registered, k.StoreReachable = b.Able, b.Registered, b.SeesStore
 	k.Capacity = standby.Capacity{Cores: float64(b.Cores), LinkMbps: float64(b.LinkMbps)}
 	k.Load = standby.Load{RequestsPerSecond: float64(b.RequestsPerSecond), ResponseMbps: float64(b.AnswerMbps)}
-	k.sequence, k.heard, k.alive = b.Sequence, now, true
+	k.sequence, k.lastHeartbeat, k.alive = b.Sequence, now, true
 }
 
-// applyDemand takes over what customers ask for at a member. A brief heartbeat leaves it
-// out; what was known of it is then of some time ago, and dropped.
+// applyDemand replaces the demand of customers at a member by that of its heartbeat. A
+// compact heartbeat omits the demand. The last known demand is then outdated and is
+// dropped.
 func (m *Members) applyDemand(k *Member, b *Heartbeat) {
-	if k.complete == b.Brief {
-		k.complete = !b.Brief
-		m.demandAt++
+	if k.demandKnown == b.Brief {
+		k.demandKnown = !b.Brief
+		m.demandGeneration++
 	}
 	if len(b.Demand) == 0 && len(k.Demand) == 0 {
 		return
 	}
-	m.demandAt++
+	m.demandGeneration++
 	k.Demand = make(map[string]float64, len(b.Demand))
 	for _, d := range b.Demand {
 		k.Demand[d.Customer] = float64(d.PerSecond)
 	}
 }
 
-// replaceHost forgets earlier instances of a host that has started again: they
+// removeEarlierInstances removes the earlier instances of a host that has restarted: they
 // cannot be running.
-func (m *Members) replaceHost(b *Heartbeat) []MemberChange {
+func (m *Members) removeEarlierInstances(b *Heartbeat) []MemberChange {
 	var changes []MemberChange
-	for id, old := range m.by {
+	for id, old := range m.byInstance {
 		if old.Host == b.Host && old.sequence > 0 {
-			m.forget(id)
+			m.remove(id)
 			changes = append(changes, MemberChange{*old, "replaced"})
 		}
 	}
 	return changes
 }
 
-// forget drops a host.
-func (m *Members) forget(id string) {
-	if m.by[id].Ready {
-		m.countReady(false)
+func (m *Members) remove(id string) {
+	if m.byInstance[id].Ready {
+		m.updateReadyCount(false)
 	}
-	delete(m.by, id)
+	delete(m.byInstance, id)
 	m.generation++
-	m.demandAt++
+	m.demandGeneration++
 }
 
-// Expire forgets hosts that are neither registered nor heard, notes those that have
-// gone silent, and returns those that were forgotten.
+// Expire removes unregistered hosts whose last heartbeat is unregisteredTTL or longer ago,
+// and returns them. It also updates which of the remaining hosts are alive.
 func (m *Members) Expire(now time.Time) []MemberChange {
 	var changes []MemberChange
-	for id, k := range m.by {
-		if !k.registered && now.Sub(k.heard) >= rememberFor {
-			m.forget(id)
+	for id, k := range m.byInstance {
+		if !k.registered && now.Sub(k.lastHeartbeat) >= unregisteredTTL {
+			m.remove(id)
 			changes = append(changes, MemberChange{*k, "forgotten"})
 			continue
 		}
-		if alive := k.isAlive(now, m.gapOf(k)); alive != k.alive {
+		if alive := k.isAlive(now, m.intervalFrom(k)); alive != k.alive {
 			k.alive = alive
 			m.generation++
 		}
@@ -191,8 +201,10 @@
 	return changes
 }
 
-// Generation changes with who is there and what may be asked of them.
+// Generation returns a number that grows with each change of the set of hosts and of
+// their state other than load and demand.
 func (m *Members) Generation() uint64 { return m.generation }
 
-// DemandGeneration changes with what customers ask for elsewhere.
-func (m *Members) DemandGeneration() uint64 { return m.demandAt }
+// DemandGeneration returns a number that grows with each change of the demand of
+// customers at other hosts.
+func (m *Members) DemandGeneration() uint64 { return m.demandGeneration }
--- a/internal/fleet/packer.go
+++ b/internal/fleet/packer.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// packFrom is the size from which a packet is compressed.
-	packFrom = 1 << 10
-	// packWindowBytes bounds the memory of compression; packets of many changes repeat
-	// themselves within it.
-	packWindowBytes = 64 << 10
-	// maxPacketBytes is the largest packet that is unpacked: the accounts of some thousands
-	// of upstreams and the largest configuration.
+	// compressThreshold is the size in bytes from which a packet is compressed.
+	compressThreshold = 1 << 10
+	// compressionWindowBytes bounds the memory of compression. The repetitions in a packet of
+	// many changes lie within a window of this size.
+	compressionWindowBytes = 64 << 10
+	// maxPacketBytes is the size of the largest packet that is decompressed: the entries
+	// of some thousands of upstreams and the largest configuration.
 	maxPacketBytes = 8 << 20
 )
 
-// packer compresses large packets: accounts of many upstreams are much alike. It is safe
-// for concurrent use.
+// packer compresses large packets; the store's entries of many upstreams are much
+// alike. It is safe for concurrent use.
 type packer struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
@@ -26,27 +26,28 @@
 
 func newPacker() (packer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(packWindowBytes), zstd.WithEncoderLevel(zstd.SpeedFastest))
+		zstd.WithWindowSize(compressionWindowBytes), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
-		return packer{}, errors.Wrap(err, "compress packets")
+		return packer{}, errors.Wrap(err, "fleet: create compressor")
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(maxPacketBytes))
-	return packer{encoder, decoder}, errors.Wrap(err, "decompress packets")
+	return packer{encoder, decoder}, errors.Wrap(err, "fleet: create decompressor")
 }
 
-// pack returns the packet that carries a marshalled one compressed.
+// pack returns a marshalled packet that carries the given marshalled packet in
+// compressed form.
 func (p packer) pack(data []byte) ([]byte, error) {
 	packed := &Packet{Content: &Packet_Packed{p.encoder.EncodeAll(data, nil)}}
 	out, err := proto.Marshal(packed)
 	return out, errors.WithStack(err)
 }
 
-// unpack returns the packet that was compressed.
+// unpack decompresses and parses a packet.
 func (p packer) unpack(packed []byte) (*Packet, error) {
 	data, err := p.decoder.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "unpack")
+		return nil, errors.Wrap(err, "fleet: decompress packet")
 	}
 	out := &Packet{}
 	if err := proto.Unmarshal(data, out); err != nil {
@@ -58,7 +59,8 @@
 	return out, nil
 }
 
-// NestedError says that a packed packet carries another packed one, or a fragment.
+// NestedError reports a compressed packet that carries another compressed packet or a
+// fragment.
 type NestedError struct{}
 
-func (e *NestedError) Error() string { return "fleet: packed packet within a packed packet" }
+func (e *NestedError) Error() string { return "fleet: compressed packet contains a nested packet" }
--- a/internal/fleet/packer_test.go
+++ b/internal/fleet/packer_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func TestLargePacketsArriveWhole(t *testing.T) {
-	for name, size := range map[string]int{"small": 10, "packed": 5000, "in fragments": 40 * 1024 * 3} {
+func TestPacketsOfAnySizeAreDelivered(t *testing.T) {
+	for name, size := range map[string]int{"small": 10, "compressed": 5000, "fragmented": 40 * 1024 * 3} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			sender, err := Listen("127.0.0.1:0")
@@ -23,7 +23,7 @@
 			got := make(chan *Packet, 1)
 			go receiver.Receive(ctx, func(p *Packet, _ string) { got <- p }, func(error) {})
 			want, _ := largePacket(size)
-			// Bytes that do not repeat, so that packing does not make one datagram of them.
+			// The bytes do not repeat, so that compression does not fit them into one datagram.
 			value := want.GetConfirmAnswer().Changes[0].Value
 			x := uint32(7)
 			for i := range value {
@@ -38,9 +38,9 @@
 	}
 }
 
-// Guards against a packet that unpacks to another that unpacks to another, without end,
-// and against one that unpacks to more memory than any packet may have.
-func TestPackedPacketsThatCannotBe(t *testing.T) {
+// Guards against compressed packets that are nested without end, and against a packet
+// that decompresses to more memory than any packet may use.
+func TestInvalidCompressedPackets(t *testing.T) {
 	g := NewWithT(t)
 	p, err := newPacker()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/fleet/registration.go
+++ b/internal/fleet/registration.go
@@ -6,7 +6,7 @@
 	"balsambarrow/internal/standby"
 )
 
-// Registration is what a host writes into the store.
+// Registration is the entry that a host writes into the store.
 type Registration struct {
 	Instance string  `json:"instance"`
 	Host     string  `json:"host"`
@@ -15,10 +15,10 @@
 	Peers    string  `json:"peers"`
 	Cores    float64 `json:"cores,omitempty"`
 	LinkMbps float64 `json:"link_mbps,omitempty"`
-	// StartedMs is when the instance started, by its own clock. Of two registrations of
-	// a host, the one that started earlier has ended.
+	// StartedMs is the start time of the instance, in Unix milliseconds of its own clock.
+	// Of two registrations of a host, the instance that started earlier has ended.
 	StartedMs int64 `json:"started_ms,omitempty"`
-	// Spends says that the host holds shares of customers' rates.
+	// HoldsShares reports whether the host holds shares of customers' rates.
 	HoldsShares bool `json:"spends,omitempty"`
 }
 
@@ -26,23 +26,24 @@
 	return standby.Capacity{Cores: r.Cores, LinkMbps: r.LinkMbps}
 }
 
-// List takes the registrations in the store over. One of an earlier instance of
-// this host or of a host that is heard again is of a daemon that has ended.
+// ApplyRegistrations updates the members from the registrations in the store. It ignores
+// the registrations of earlier instances of this host, and of hosts that have sent heartbeats
+// from another instance: those daemons have ended.
 func (m *Members) ApplyRegistrations(now time.Time, list []Registration) {
-	listed := m.latest(list)
+	listed := m.latestByInstance(list)
 	for instance, r := range listed {
-		k := m.by[instance]
+		k := m.byInstance[instance]
 		if k == nil {
 			k = &Member{
 				Instance: instance, Host: r.Host, Zone: r.Zone, Region: r.Region, PeerAddress: r.Peers,
-				Capacity: r.capacity(), heard: now.Add(-rememberFor),
+				Capacity: r.capacity(), lastHeartbeat: now.Add(-unregisteredTTL),
 			}
-			m.by[instance] = k
+			m.byInstance[instance] = k
 			m.generation++
 		}
-		k.spends = r.HoldsShares
+		k.holdsShares = r.HoldsShares
 	}
-	for id, k := range m.by {
+	for id, k := range m.byInstance {
 		if _, ok := listed[id]; k.registered != ok {
 			k.registered = ok
 			m.generation++
@@ -50,15 +51,16 @@
 	}
 }
 
-// latest is the registration of the last instance of each other host, by instance.
-func (m *Members) latest(list []Registration) map[string]Registration {
-	heard := m.heardByHost()
+// latestByInstance returns the registration of the last instance of each other host, by
+// instance.
+func (m *Members) latestByInstance(list []Registration) map[string]Registration {
+	instances := m.instancesByHost()
 	byHost := make(map[string]Registration, len(list))
 	for _, r := range list {
 		if r.Instance == m.self || r.Host == m.host {
 			continue
 		}
-		if instance, ok := heard[r.Host]; ok && instance != r.Instance {
+		if instance, ok := instances[r.Host]; ok && instance != r.Instance {
 			continue
 		}
 		if known, ok := byHost[r.Host]; !ok || r.StartedMs > known.StartedMs {
@@ -72,10 +74,11 @@
 	return out
 }
 
-// heardByHost is the instance of each host that has been heard.
-func (m *Members) heardByHost() map[string]string {
-	out := make(map[string]string, len(m.by))
-	for id, k := range m.by {
+// instancesByHost returns, by host, the instances from which heartbeats have been
+// received.
+func (m *Members) instancesByHost() map[string]string {
+	out := make(map[string]string, len(m.byInstance))
+	for id, k := range m.byInstance {
 		if k.sequence > 0 {
 			out[k.Host] = id
 		}
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -5,10 +5,10 @@
 	"sort"
 )
 
-// Present lists the hosts that are there, by instance.
+// Alive returns the hosts that are alive, sorted by instance.
 func (m *Members) Alive() []Member {
 	var out []Member
-	for _, k := range m.by {
+	for _, k := range m.byInstance {
 		if k.alive {
 			out = append(out, *k)
 		}
@@ -17,11 +17,12 @@
 	return out
 }
 
-// PresumedStandbys lists the hosts of a region that are registered, and that this one does not
-// hear because both stand by. They may be taken to live.
+// PresumedStandbys returns the hosts of a region that are registered and send no
+// heartbeats to this host, because standby hosts send none to each other. They are
+// presumed alive.
 func (m *Members) PresumedStandbys(region string) []Member {
 	var out []Member
-	for _, k := range m.by {
+	for _, k := range m.byInstance {
 		if k.registered && !k.alive && !k.Ready && k.Region == region {
 			out = append(out, *k)
 		}
@@ -29,14 +30,15 @@
 	return out
 }
 
-// Count is the number of hosts that may be spending what the fleet shares, this
-// one included.
-func (m *Members) Count() int { return len(m.by) + 1 }
+// Count returns the number of hosts that may be using the budgets of the fleet, this
+// host included.
+func (m *Members) Count() int { return len(m.byInstance) + 1 }
 
-// Demand is what customers ask for at all other hosts that may be serving them.
+// Demand returns the total demand of each customer at all other hosts that may be
+// serving it, in requests per second.
 func (m *Members) Demand() map[string]float64 {
 	out := map[string]float64{}
-	for _, k := range m.by {
+	for _, k := range m.byInstance {
 		for customer, rate := range k.Demand {
 			out[customer] += rate
 		}
@@ -44,10 +46,11 @@
 	return out
 }
 
-// Regions lists the regions of the hosts that may be spending.
+// Regions returns the regions of the other hosts that may be using the budgets of the
+// fleet.
 func (m *Members) Regions() []string {
 	var out []string
-	for _, k := range m.by {
+	for _, k := range m.byInstance {
 		if !slices.Contains(out, k.Region) {
 			out = append(out, k.Region)
 		}
@@ -55,34 +58,36 @@
 	return out
 }
 
-// Complete tells whether every host that holds shares has told what is asked for
-// there.
+// DemandComplete reports whether the demand of customers is known for every host that
+// holds rate shares.
 func (m *Members) DemandComplete() bool {
-	for _, k := range m.by {
-		if k.sequence == 0 && k.spends || k.Ready && !k.complete {
+	for _, k := range m.byInstance {
+		if k.sequence == 0 && k.holdsShares || k.Ready && !k.demandKnown {
 			return false
 		}
 	}
 	return true
 }
 
-// ReadyPeers lists the addresses of the hosts that take callers, or are about to.
+// ReadyPeers returns the peer addresses of the hosts that are active, or about to be.
 func (m *Members) ReadyPeers() []string {
-	return m.peers((*Member).takesCallers)
+	return m.peers((*Member).isActive)
 }
 
-// StandbyPeers lists the addresses of the others, of this host's region or of all.
+// StandbyPeers returns the peer addresses of the other hosts, either of this host's
+// region or of all regions.
 func (m *Members) StandbyPeers(all bool) []string {
-	return m.peers(func(k *Member) bool { return !k.takesCallers() && (all || k.Region == m.region) })
+	return m.peers(func(k *Member) bool { return !k.isActive() && (all || k.Region == m.region) })
 }
 
-// takesCallers tells whether callers are sent there, as far as is known. One that has
-// registered to hold shares and was never heard may not know this host yet.
-func (k *Member) takesCallers() bool { return k.Ready || k.spends && k.sequence == 0 }
+// isActive reports whether the host is active, as far as is known. A host that has
+// registered to hold rate shares and has not sent a heartbeat yet counts as active: it
+// may not know of this host yet.
+func (k *Member) isActive() bool { return k.Ready || k.holdsShares && k.sequence == 0 }
 
 func (m *Members) peers(which func(*Member) bool) []string {
-	out := make([]string, 0, len(m.by))
-	for _, k := range m.by {
+	out := make([]string, 0, len(m.byInstance))
+	for _, k := range m.byInstance {
 		if which(k) {
 			out = append(out, k.PeerAddress)
 		}
@@ -90,9 +95,9 @@
 	return out
 }
 
-// Address of a member for packets; "" if it is not known.
+// PeerAddress returns the peer address of a member; empty if the member is not known.
 func (m *Members) PeerAddress(instance string) string {
-	if k := m.by[instance]; k != nil {
+	if k := m.byInstance[instance]; k != nil {
 		return k.PeerAddress
 	}
 	return ""
