--- a/internal/standby/active.go
+++ b/internal/standby/active.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// similarStrength is the part of the strongest host's strength from which a host
-	// counts as strong as it: hosts of one kind of machine always all take
-	// callers, and the kinds of today's users differ by five and more.
+	// similarStrength is the fraction of the strongest host's strength from which a host
+	// counts as equally strong. Hosts of one kind of machine are thus always all active,
+	// while the kinds of machine in use differ by a factor of five or more.
 	similarStrength = 0.5
-	// minActive hosts take callers in each region, so that two may be lost at
-	// once and the third still does.
+	// minActive is the least number of active hosts in each region, so that two may fail
+	// at once and one remains.
 	minActive = 3
-	// requestsPerCore is the load that a core is given. A burst of three times the
-	// usual still leaves room for the loss of half of the hosts.
+	// requestsPerCore is the load that is planned for a core, in requests per second. It
+	// leaves capacity for a burst of three times the usual load together with the loss of
+	// half of the hosts.
 	requestsPerCore = 1300.0
-	// linkPart is the part of a link that answers may take on the average. Each
-	// is counted once, though it passes the link twice, in and out.
-	linkPart = 0.15
+	// linkFraction is the fraction of a link that responses may use on average. Each response
+	// is counted once, although it passes the link twice, in and out.
+	linkFraction = 0.15
 )
 
-// Host is an entry host that is able to take callers.
+// Host is an entry host that may become active.
 type Host struct {
 	Instance string
 	Zone     string
@@ -32,68 +33,69 @@
 	Load
 }
 
-// Capacity is what a host has.
+// Capacity of a host.
 type Capacity struct {
-	// Cores of a processor, in parts of the usual one; 0: not known.
+	// Cores is the number of processor cores, in units of the usual core; 0: not known.
 	Cores float64
-	// LinkMbps of its own link, in Mbit/s; 0: not known.
+	// LinkMbps is the rate of the host's own link in Mbit/s; 0: not known.
 	LinkMbps float64
 }
 
-// PartOf is the part of another's capacity that this one is, of what it has least.
+// FractionOf returns c as a fraction of the other capacity, for the resource where that
+// fraction is smallest.
 func (c Capacity) FractionOf(other Capacity) float64 {
-	part := 1.0
+	fraction := 1.0
 	if other.Cores > 0 {
-		part = min(part, c.Cores/other.Cores)
+		fraction = min(fraction, c.Cores/other.Cores)
 	}
 	if other.LinkMbps > 0 {
-		part = min(part, c.LinkMbps/other.LinkMbps)
+		fraction = min(fraction, c.LinkMbps/other.LinkMbps)
 	}
-	return part
+	return fraction
 }
 
-// Load is what a host does.
+// Load of a host.
 type Load struct {
-	// Requests per second.
+	// RequestsPerSecond is the request rate.
 	RequestsPerSecond float64
-	// AnswerMbps is the bytes of answers, in Mbit/s.
+	// ResponseMbps is the rate of response bytes, in Mbit/s.
 	ResponseMbps float64
 }
 
-// Active returns the instances of one region that should take callers: all that
-// are about as strong as the strongest, then others by strength until they are
-// enough for the load, stand in each zone that has hosts, and are at least three.
+// Active returns the instances of one region that should be active: all that are about
+// as strong as the strongest, then others by strength, until they are enough for the
+// load, cover each zone that has hosts, and are at least minActive.
 func Active(hosts []Host, region string) map[string]bool {
-	list := inRegion(hosts, region)
+	list := hostsInRegion(hosts, region)
 	strongest := strongestOf(list)
 	slices.SortFunc(list, func(a, b Host) int {
 		return cmp.Or(cmp.Compare(strength(b, strongest), strength(a, strongest)),
 			cmp.Compare(xxhash.Sum64String(a.Instance), xxhash.Sum64String(b.Instance)))
 	})
 	out, zones := map[string]bool{}, map[string]bool{}
-	need := loadOf(list)
+	unserved := totalLoad(list)
 	for _, h := range list {
-		enough := len(out) >= minActive && need.RequestsPerSecond <= 0 && need.ResponseMbps <= 0
+		enough := len(out) >= minActive && unserved.RequestsPerSecond <= 0 && unserved.ResponseMbps <= 0
 		if enough && strength(h, strongest) < similarStrength && zones[h.Zone] {
 			continue
 		}
 		out[h.Instance], zones[h.Zone] = true, true
-		need.RequestsPerSecond = remaining(need.RequestsPerSecond, h.Cores*requestsPerCore)
-		need.ResponseMbps = remaining(need.ResponseMbps, h.LinkMbps*linkPart)
+		unserved.RequestsPerSecond = remaining(unserved.RequestsPerSecond, h.Cores*requestsPerCore)
+		unserved.ResponseMbps = remaining(unserved.ResponseMbps, h.LinkMbps*linkFraction)
 	}
 	return out
 }
 
-// remaining is what is left of a load after a host has taken its part. One that does
-// not say what it has is taken to be able to carry all.
-func remaining(load, part float64) float64 {
-	if part <= 0 {
+// remaining returns the load that is left after a host has taken its part. A host whose
+// capacity is not known is assumed to be able to carry the full load.
+func remaining(load, hostCapacity float64) float64 {
+	if hostCapacity <= 0 {
 		return 0
 	}
-	return load - part
+	return load - hostCapacity
 }
 
-func inRegion(hosts []Host, region string) []Host {
+func hostsInRegion(hosts []Host, region string) []Host {
 	var out []Host
 	for _, h := range hosts {
 		if h.Region == region {
@@ -112,10 +114,11 @@
 	return most
 }
 
-// strength is the part of the strongest that a host has of what it has least.
+// strength returns the capacity of a host as a fraction of the strongest, for the
+// resource where that fraction is smallest.
 func strength(h Host, strongest Capacity) float64 { return h.FractionOf(strongest) }
 
-func loadOf(hosts []Host) Load {
+func totalLoad(hosts []Host) Load {
 	var sum Load
 	for _, h := range hosts {
 		sum.RequestsPerSecond += h.RequestsPerSecond
