--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -4,68 +4,69 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind of a route tells whether its requests may run more than once.
 type Kind string
 
 // Kinds of route.
 const (
 	// KindSafe requests may run more than once.
 	KindSafe Kind = "safe"
-	// KindUnsafe requests may run once at most.
+	// KindUnsafe requests may run at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindDownload requests have large answers and may run more than once.
+	// KindDownload requests have large responses and may run more than once.
 	KindDownload Kind = "download"
 )
 
-// Idempotent tells whether a request of this kind may run more than once.
+// Idempotent reports whether a request of this kind may run more than once.
 func (k Kind) Idempotent() bool { return k == KindSafe || k == KindDownload }
 
-// Part is one service of a route and its weight among the route's parts.
+// WeightedService is a service of a route and its weight among the route's services.
 type WeightedService struct {
 	Service string
-	// Weight is relative to the other parts; the sum need not be 100.
+	// Weight is relative to the route's other services; the sum need not be 100.
 	Weight float64
 }
 
-// Route says which requests go to which service, and how they are treated.
+// Route maps requests to services and defines how they are handled.
 type Route struct {
 	Name string
-	// Host is the Host header that the route belongs to.
+	// Host is the Host header that the route matches, without a port.
 	Host string
-	// Prefix of the path; begins and ends with a slash.
+	// Prefix of the paths that the route matches; begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting; 0: no bound.
+	// Timeout is the longest time until the caller gets a response; 0: no limit.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full use; 0: unknown.
+	// TargetLatency is the latency up to which a response has its full value for the caller;
+	// 0: not known.
 	TargetLatency time.Duration
-	// Priority ranks the route; 0 is the most urgent.
+	// Priority of the route; 0 is the most urgent.
 	Priority int
-	// Parts are the services, with the share that each is to get.
+	// Services are the services among which the route's requests are split.
 	Services []WeightedService
-	// MaxAttempts bounds the upstreams that one request may be sent to.
+	// MaxAttempts is the number of upstreams that one request may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Affinity says that an upstream which has handled an object lately is
-	// faster with it.
+	// Affinity reports whether an upstream that has recently handled an object is
+	// faster with further requests for it.
 	Affinity bool
-	// Regions that may serve the route; empty: all.
+	// Regions that may serve the route; empty: all regions.
 	Regions []string
 }
 
-// Service is what operators declare of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name string
-	// HealthPath of the status check.
+	// HealthPath is the path of the health check.
 	HealthPath string
-	// MaxConns is the number of connections one upstream accepts from all
+	// MaxConns is the number of connections that one upstream accepts from all
 	// callers together.
 	MaxConns int
-	// ColdFor is how long an upstream stays cold after it starts.
+	// ColdStart is the time for which an upstream is cold after it starts.
 	ColdStart time.Duration
-	// ColdRate is the number of requests per second that a cold upstream
-	// bears, from all entry hosts together; 0: no bound.
+	// ColdRate is the number of requests per second that a cold upstream can
+	// handle, from all entry hosts together; 0: no limit.
 	ColdRate float64
 }
 
@@ -73,18 +74,18 @@
 type Customer struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over the route's if HasPriority is set.
+	// Priority takes precedence over the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	// Rate in requests per second and Burst in requests, over all entry hosts
 	// together. Rate 0: no limit.
 	Rate  float64
 	Burst float64
-	// Regions that may serve the customer; empty: all.
+	// Regions that may serve the customer; empty: all regions.
 	Regions []string
 }
 
-// Limits bounds what callers may send; 0 means no bound.
+// Limits of callers' requests and connections; 0: no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -92,25 +93,25 @@
 	IdleTimeout    time.Duration
 }
 
-// Declaration is a catalog before it is indexed.
+// Declaration is the configuration from which a Catalog is built.
 type Declaration struct {
 	Version   uint64
 	Routes    []Route
 	Services  []Service
 	Customers []Customer
 	Limits    Limits
-	// Keyed says that requests carry customers' keys. It is false where the
-	// declaration names no customers at all.
+	// RequiresKeys reports whether requests need the key of a customer, except on public
+	// routes. It is false if no customers are declared at all.
 	RequiresKeys bool
 }
 
-// Catalog is one version of what operators declared, indexed.
+// Catalog is one version of the declared configuration, indexed.
 type Catalog struct {
 	Version      uint64
 	Limits       Limits
 	RequiresKeys bool
 	services     map[string]*Service
-	// byHost holds the routes of each host, longest prefix first.
+	// byHost holds the routes of each Host header, longest prefix first.
 	byHost    map[string][]*Route
 	byKey     map[string]*Customer
 	customers []*Customer
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// InvalidError says that a declaration cannot be used, and where.
+// InvalidError reports an invalid entry of a declaration.
 type InvalidError struct {
-	// Place names the entry, such as "route r-1".
+	// Entry is the invalid entry, such as "route r-1".
 	Entry string
-	// Problem says what is wrong with it.
+	// Problem describes why the entry is invalid.
 	Problem string
 }
 
@@ -44,16 +44,16 @@
 }
 
 func (c *Catalog) addRoute(r Route) error {
-	place := "route " + r.Name
+	entry := "route " + r.Name
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") {
-		return &InvalidError{place, "needs a host and a prefix that begins with a slash"}
+		return &InvalidError{entry, "needs a host and a prefix that begins with a slash"}
 	}
 	if len(r.Services) == 0 {
-		return &InvalidError{place, "names no service"}
+		return &InvalidError{entry, "names no service"}
 	}
 	for _, p := range r.Services {
 		if c.services[p.Service] == nil {
-			return &InvalidError{place, "unknown service " + p.Service}
+			return &InvalidError{entry, "unknown service " + p.Service}
 		}
 	}
 	if r.MaxAttempts < 1 {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Route returns the route with the longest prefix that begins the path; nil if
-// there is none. host may bear a port.
+// Route returns the route of the host whose prefix is the longest that matches the
+// path; nil if there is none. The host may include a port.
 func (c *Catalog) Route(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -89,16 +89,16 @@
 	return nil
 }
 
-// Service returns what is declared of a service; nil if nothing is.
+// Service returns a service by its name; nil if it is not declared.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Customer returns whose key it is; nil if nobody's.
+// CustomerByKey returns the customer that a key belongs to; nil if there is none.
 func (c *Catalog) CustomerByKey(key string) *Customer { return c.byKey[key] }
 
-// Customers returns all customers.
+// Customers returns all declared customers.
 func (c *Catalog) Customers() []*Customer { return c.customers }
 
-// Named returns a customer by its name; nil if there is none.
+// CustomerByName returns a customer by its name; nil if it is not declared.
 func (c *Catalog) CustomerByName(name string) *Customer {
 	for _, u := range c.customers {
 		if u.Name == name {
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// Homes returns the regions that may serve a request: those that both route and
-// customer allow. bound is false where neither limits them.
-func AllowedRegions(r *Route, u *Customer) (regions []string, bound bool) {
+// AllowedRegions returns the regions that may serve a request: those that both the route and the
+// customer allow. restricted is false if neither restricts the regions.
+func AllowedRegions(r *Route, u *Customer) (regions []string, restricted bool) {
 	if u == nil || len(u.Regions) == 0 {
 		return r.Regions, len(r.Regions) > 0
 	}
@@ -127,7 +127,8 @@
 	return regions, true
 }
 
-// Priority is the rank of a request: the customer's goes before the route's.
+// Priority returns the priority of a request. The priority of the customer, if set, takes
+// precedence over that of the route.
 func Priority(r *Route, u *Customer) int {
 	if u != nil && u.HasPriority {
 		return u.Priority
--- a/internal/catalog/upstream.go
+++ b/internal/catalog/upstream.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is what an upstream says of itself.
+// State of an upstream, as it reports itself.
 type State string
 
 // States of an upstream.
@@ -11,30 +11,31 @@
 	StateDraining State = "draining"
 )
 
-// Upstream is one run of a worker, as it registered itself.
+// Upstream is one instance of a worker, as registered by the worker itself.
 type Upstream struct {
-	// ID is the instance's; a worker may start again under the one it had.
+	// ID of the worker; the worker may keep it over a restart.
 	ID      string
 	Service string
 	// Address is IP:port.
 	Address string
 	Zone    string
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the upstream runs at once.
 	Slots int
 	State State
-	// ColdFor is how much longer it was cold when it wrote.
+	// ColdRemaining is the time for which the upstream was still to be cold when it wrote
+	// the entry.
 	ColdRemaining time.Duration
-	// Sequence grows with each change that the run writes.
+	// Sequence grows with each entry that the instance writes.
 	Sequence uint64
-	// Born is the start of the run, in Unix milliseconds of its own clock.
+	// StartedMs is the start time of the instance, in Unix milliseconds of its own clock.
 	StartedMs int64
-	// Revision of the store at which the entry was written.
+	// Revision of the store after the entry was written.
 	Revision uint64
 }
 
-// Newer tells whether u says something later than other, which has the same
-// ID. A write may take effect seconds after it was sent, and so after later
-// ones; the revision alone would take such an old account for the newest.
+// Newer reports whether u is at least as recent as other, which has the same ID. A write
+// may take effect seconds after it was sent, and so after later writes. The revision alone
+// would make such an outdated entry the newest.
 func (u Upstream) Newer(other Upstream) bool {
 	if u.StartedMs != other.StartedMs {
 		return u.StartedMs > other.StartedMs
