--- a/internal/fanout/doc.go
+++ b/internal/fanout/doc.go
@@ -1,11 +1,11 @@
-// Package fanout spreads one change to many hosts that ask for it.
+// Package fanout distributes one configuration change to many hosts that request it.
 //
-// Load pattern: a large change of the configuration is announced to hundreds of hosts,
-// and all of them ask the one that has it. Its link would carry as many copies one
-// after the other, and the last host would learn of the change seconds after the first.
-// So a host sends no more than a part of its link, and names to the others those that it
-// has sent the change to. The number of holders grows with each round trip, and the time
-// until all have the change hardly grows with their number.
+// A large change is announced to hundreds of hosts, and all of them request it from the
+// host that has it. If that host sent each of them a copy over its link, one after the
+// other, the last host would get the change seconds after the first. So a host uses only
+// a fraction of its link for patches, and refers the other hosts to those that it has
+// already sent the patch to. The number of patch sources grows with each round trip, and
+// the time until all hosts have the change hardly grows with their number.
 //
 // The package does no I/O and takes time as an argument.
 package fanout
--- a/internal/fanout/limiter.go
+++ b/internal/fanout/limiter.go
@@ -7,84 +7,85 @@
 )
 
 const (
-	// linkPart is the part of a link that changes may take, and burstFor how long it
-	// may take all of that part at once.
-	linkPart = 0.25
-	burstFor = 250 * time.Millisecond
-	// defaultMbps is assumed of a link whose rate is not known.
+	// linkFraction is the fraction of a link's rate that patches may use. burstDuration
+	// is the burst, as the time that it takes to send the burst at that rate.
+	linkFraction  = 0.25
+	burstDuration = 250 * time.Millisecond
+	// defaultMbps is the assumed rate of a link whose rate is not known, in Mbit/s.
 	defaultMbps = 10.0
-	// referrals is the number of holders that are named to one host.
-	referrals = 2
-	// settles is how long a host that is sent a change is left alone before it is named
-	// to others: the way there, and a turn of its control thread.
-	settles = 20 * time.Millisecond
-	// maxHolders bounds the holders that are remembered.
-	maxHolders = 256
+	// maxReferrals is the number of patch sources that a host is referred to.
+	maxReferrals = 2
+	// referralDelay is the time after a patch was sent to a host before other hosts are
+	// referred to that host: the network delay and one run of its control loop.
+	referralDelay = 20 * time.Millisecond
+	// maxSources is the number of patch sources that are kept.
+	maxSources = 256
 )
 
-// Limiter decides whom a host sends changes to. The zero value is ready for use. It is
-// not safe for concurrent use.
+// Limiter decides which hosts this host sends a patch to. The zero value is ready for
+// use. It is not safe for concurrent use.
 type Limiter struct {
-	// tokens are the bytes that may be sent at the time at; negative after a change
-	// that is larger than the burst.
-	tokens float64
-	at     time.Time
-	// state is the digest that the holders have.
-	state   uint64
-	holders []holder
-	// asked counts the hosts to which holders were named.
-	asked uint64
+	// tokens is the number of bytes that may be sent at refilledAt; it is negative after
+	// a patch that was larger than the tokens left.
+	tokens     float64
+	refilledAt time.Time
+	// digest is the digest of the store state that the patch sources have.
+	digest  uint64
+	sources []source
+	// referralCount is the number of referrals so far.
+	referralCount uint64
 }
 
-type holder struct {
+type source struct {
 	address string
-	at      time.Time
+	sentAt  time.Time
 }
 
-// Send tells whether changes of a size that lead to a state may be sent to a host now
-// over a link of the given rate; 0: not known. If not, it returns the addresses of hosts
-// that are likely to have them; none if no other is known.
-func (l *Limiter) Allow(now time.Time, state uint64, host string, bytes int, mbps float64) (ok bool, holders []string) {
-	if l.state != state {
-		l.state, l.holders = state, l.holders[:0]
+// Allow reports whether a patch of the given size, which leads to the store state with the
+// given digest, may be sent to a host now. mbps is the rate of this host's link; 0: not
+// known. If the patch may not be sent, Allow returns the addresses of hosts that are likely
+// to have it, if any are known.
+func (l *Limiter) Allow(now time.Time, digest uint64, host string, bytes int, mbps float64) (ok bool, sources []string) {
+	if l.digest != digest {
+		l.digest, l.sources = digest, l.sources[:0]
 	}
 	l.refill(now, mbps)
 	if l.tokens <= 0 {
-		return false, l.named(now, host)
+		return false, l.sourcesFor(now, host)
 	}
 	l.tokens -= float64(bytes)
-	if len(l.holders) < maxHolders {
-		l.holders = append(l.holders, holder{host, now})
+	if len(l.sources) < maxSources {
+		l.sources = append(l.sources, source{host, now})
 	}
 	return true, nil
 }
 
-// refill brings the tokens to now.
+// refill adds the tokens up to now.
 func (l *Limiter) refill(now time.Time, mbps float64) {
 	if mbps <= 0 {
 		mbps = defaultMbps
 	}
-	perSecond := mbps * 1e6 / 8 * linkPart
-	if l.at.IsZero() {
-		l.tokens = perSecond * burstFor.Seconds()
+	perSecond := mbps * 1e6 / 8 * linkFraction
+	if l.refilledAt.IsZero() {
+		l.tokens = perSecond * burstDuration.Seconds()
 	} else {
-		l.tokens = min(l.tokens+now.Sub(l.at).Seconds()*perSecond, perSecond*burstFor.Seconds())
+		l.tokens = min(l.tokens+now.Sub(l.refilledAt).Seconds()*perSecond, perSecond*burstDuration.Seconds())
 	}
-	l.at = now
+	l.refilledAt = now
 }
 
-// named are some holders, other ones for each host, so that hosts that ask together spread
-// over them.
-func (l *Limiter) named(now time.Time, host string) []string {
+// sourcesFor returns some patch sources. They differ from host to host, so that hosts that
+// request the patch at the same time spread over the sources.
+func (l *Limiter) sourcesFor(now time.Time, host string) []string {
 	var out []string
-	first := xxhash.Sum64String(host) + l.asked
-	l.asked++
-	for i := range uint64(len(l.holders)) {
-		h := l.holders[(first+i)%uint64(len(l.holders))]
-		if h.address == host || now.Sub(h.at) < settles {
+	first := xxhash.Sum64String(host) + l.referralCount
+	l.referralCount++
+	for i := range uint64(len(l.sources)) {
+		h := l.sources[(first+i)%uint64(len(l.sources))]
+		if h.address == host || now.Sub(h.sentAt) < referralDelay {
 			continue
 		}
-		if out = append(out, h.address); len(out) == referrals {
+		if out = append(out, h.address); len(out) == maxReferrals {
 			break
 		}
 	}
--- a/internal/fanout/limiter_test.go
+++ b/internal/fanout/limiter_test.go
@@ -12,15 +12,15 @@
 	"balsambarrow/internal/fanout"
 )
 
-// delivery is a datagram that arrives.
+// delivery is the arrival of a datagram.
 type delivery struct {
 	at       time.Time
 	from, to int
-	// question asks for the change; otherwise the datagram is an answer, with the
-	// change or with the holders it names.
-	question bool
-	change   bool
-	holders  []string
+	// request is set for a request for the change. Otherwise the datagram is a response
+	// with the change or with patch sources.
+	request bool
+	change  bool
+	sources []string
 }
 
 type queue []delivery
@@ -35,153 +35,154 @@
 	return last
 }
 
-// region plays one change among hosts of which host 0 has it and all others ask for it
-// at once. Every link sends and receives first come, first served.
-type region struct {
-	hosts  int
-	bytes  int
-	mbps   func(host int) float64
-	way    time.Duration
-	asks   time.Duration
-	loses  float64
-	refers bool
+// simulation distributes one change among hosts. Host 0 has the change, and all others
+// request it at once. Each link sends and receives in first-in, first-out order.
+type simulation struct {
+	hosts         int
+	bytes         int
+	mbps          func(host int) float64
+	networkDelay  time.Duration
+	retryInterval time.Duration
+	lossRate      float64
+	referrals     bool
 }
 
-// play returns the time until the last host has the change, and the bytes that host 0
-// has sent.
-func (r region) play(rng *rand.Rand) (last time.Duration, sent int) {
+// run returns the time until the last host has the change, and the number of bytes that
+// host 0 has sent.
+func (s simulation) run(rng *rand.Rand) (last time.Duration, sent int) {
 	start := time.Unix(0, 0)
 	var q queue
-	has := make([]time.Time, r.hosts)
-	out, in := make([]time.Time, r.hosts), make([]time.Time, r.hosts)
-	limiters := make([]fanout.Limiter, r.hosts)
-	takes := func(host, bytes int) time.Duration {
-		return time.Duration(float64(bytes) * 8 / r.mbps(host) * float64(time.Microsecond))
+	receivedAt := make([]time.Time, s.hosts)
+	sendFreeAt, receiveFreeAt := make([]time.Time, s.hosts), make([]time.Time, s.hosts)
+	limiters := make([]fanout.Limiter, s.hosts)
+	transferTime := func(host, bytes int) time.Duration {
+		return time.Duration(float64(bytes) * 8 / s.mbps(host) * float64(time.Microsecond))
 	}
-	later := func(a, b time.Time) time.Time {
+	laterOf := func(a, b time.Time) time.Time {
 		if a.After(b) {
 			return a
 		}
 		return b
 	}
 	send := func(now time.Time, d delivery, bytes int) {
-		out[d.from] = later(out[d.from], now).Add(takes(d.from, bytes))
-		d.at = later(out[d.from].Add(r.way), in[d.to]).Add(takes(d.to, bytes))
-		in[d.to] = d.at
-		if rng.Float64() >= r.loses {
+		sendFreeAt[d.from] = laterOf(sendFreeAt[d.from], now).Add(transferTime(d.from, bytes))
+		d.at = laterOf(sendFreeAt[d.from].Add(s.networkDelay), receiveFreeAt[d.to]).Add(transferTime(d.to, bytes))
+		receiveFreeAt[d.to] = d.at
+		if rng.Float64() >= s.lossRate {
 			heap.Push(&q, d)
 		}
 	}
-	has[0] = start
-	for host := 1; host < r.hosts; host++ {
+	receivedAt[0] = start
+	for host := 1; host < s.hosts; host++ {
 		for n := range 40 {
-			at := start.Add(time.Duration(rng.Int64N(int64(5*time.Millisecond))) + time.Duration(n)*r.asks)
-			heap.Push(&q, delivery{at: at, from: host, to: 0, question: true})
+			at := start.Add(time.Duration(rng.Int64N(int64(5*time.Millisecond))) + time.Duration(n)*s.retryInterval)
+			heap.Push(&q, delivery{at: at, from: host, to: 0, request: true})
 		}
 	}
 	for q.Len() > 0 {
 		d := heap.Pop(&q).(delivery)
 		switch {
-		case d.question && !has[d.from].IsZero():
-		case d.question && has[d.to].IsZero():
-		case d.question && r.refers:
-			ok, holders := limiters[d.to].Allow(d.at, 1, strconv.Itoa(d.from), r.bytes, r.mbps(d.to))
+		case d.request && !receivedAt[d.from].IsZero():
+		case d.request && receivedAt[d.to].IsZero():
+		case d.request && s.referrals:
+			ok, sources := limiters[d.to].Allow(d.at, 1, strconv.Itoa(d.from), s.bytes, s.mbps(d.to))
 			size := 100
 			if ok {
-				size = r.bytes
+				size = s.bytes
 			}
 			if d.to == 0 {
 				sent += size
 			}
-			send(d.at, delivery{from: d.to, to: d.from, change: ok, holders: holders}, size)
-		case d.question:
-			sent += r.bytes
-			send(d.at, delivery{from: d.to, to: d.from, change: true}, r.bytes)
-		case d.change && has[d.to].IsZero():
-			has[d.to] = d.at
+			send(d.at, delivery{from: d.to, to: d.from, change: ok, sources: sources}, size)
+		case d.request:
+			sent += s.bytes
+			send(d.at, delivery{from: d.to, to: d.from, change: true}, s.bytes)
+		case d.change && receivedAt[d.to].IsZero():
+			receivedAt[d.to] = d.at
 			last = max(last, d.at.Sub(start))
 		case d.change:
 		default:
-			for _, h := range d.holders {
-				holder, _ := strconv.Atoi(h)
-				send(d.at, delivery{from: d.to, to: holder, question: true}, 60)
+			for _, h := range d.sources {
+				source, _ := strconv.Atoi(h)
+				send(d.at, delivery{from: d.to, to: source, request: true}, 60)
 			}
 		}
 	}
-	for host := range has {
-		if has[host].IsZero() {
+	for host := range receivedAt {
+		if receivedAt[host].IsZero() {
 			last = time.Hour
 		}
 	}
 	return last, sent
 }
 
-// Hosts of a fleet of 300 and of 2,300 in three regions: some strong, most weak.
-func mixed(host int) float64 {
+// mixedLinks returns the link rate of a host in Mbit/s: a fifth of the hosts have fast links,
+// the others slow ones.
+func mixedLinks(host int) float64 {
 	if host%5 == 0 {
 		return 200
 	}
 	return 10
 }
 
-func weak(int) float64 { return 10 }
+func slowLinks(int) float64 { return 10 }
 
-// Guards against a change of the configuration that is in force the later, the more hosts
-// there are: proper requests on routes that were just added were answered 404 seconds
-// after the operators' acknowledgement.
-func TestAChangeReachesAFleetOfAnySizeInTime(t *testing.T) {
+// Guards against a configuration change that takes longer to apply the more hosts there
+// are: valid requests on routes that had just been added were rejected with status 404
+// seconds after the change had been acknowledged to the operators. The fleets of 300 and
+// 2,300 hosts have three regions.
+func TestChangeReachesFleetOfAnySizeInTime(t *testing.T) {
 	const (
 		bound = 1500 * time.Millisecond
-		// wholeValue is the size of a configuration of two thousand routes.
-		wholeValue = 200_000
+		// fullValueBytes is the size in bytes of a configuration of two thousand routes.
+		fullValueBytes = 200_000
 	)
 	for _, c := range []struct {
-		name  string
-		bytes int
-		mbps  func(int) float64
-		loses float64
+		name     string
+		bytes    int
+		mbps     func(int) float64
+		lossRate float64
 	}{
-		{"many routes, strong and weak hosts", 40_000, mixed, 0},
-		{"many routes, weak hosts only", 40_000, weak, 0},
-		{"one route, weak hosts only", 400, weak, 0},
-		{"many routes, links that lose", 40_000, mixed, 0.05},
+		{"many routes, fast and slow links", 40_000, mixedLinks, 0},
+		{"many routes, slow links only", 40_000, slowLinks, 0},
+		{"one route, slow links only", 400, slowLinks, 0},
+		{"many routes, links with packet loss", 40_000, mixedLinks, 0.05},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for _, fleet := range []int{300, 2300} {
-				r := region{
-					hosts: fleet / 3, bytes: c.bytes, mbps: c.mbps, way: 1500 * time.Microsecond,
-					asks: 150 * time.Millisecond, loses: c.loses, refers: true,
+				s := simulation{
+					hosts: fleet / 3, bytes: c.bytes, mbps: c.mbps, networkDelay: 1500 * time.Microsecond,
+					retryInterval: 150 * time.Millisecond, lossRate: c.lossRate, referrals: true,
 				}
-				last, sent := r.play(rand.New(rand.NewPCG(1, uint64(fleet))))
-				r.refers, r.bytes = false, wholeValue
-				before, sentBefore := r.play(rand.New(rand.NewPCG(1, uint64(fleet))))
-				t.Logf("%d hosts: %v, %d bytes of the first host; without holders %v, %d bytes", fleet, last, sent, before, sentBefore)
+				last, sent := s.run(rand.New(rand.NewPCG(1, uint64(fleet))))
+				s.referrals, s.bytes = false, fullValueBytes
+				lastWithout, sentWithout := s.run(rand.New(rand.NewPCG(1, uint64(fleet))))
+				t.Logf("%d hosts: %v, %d bytes sent by the first host; without referrals %v, %d bytes", fleet, last, sent, lastWithout, sentWithout)
 				g.Expect(last).To(BeNumerically("<", bound))
 				if fleet > 2000 {
-					g.Expect(before).To(BeNumerically(">", bound), "whole values from one host are late under this load")
+					g.Expect(lastWithout).To(BeNumerically(">", bound), "full values sent by one host exceed the bound under this load")
 				}
 			}
 		})
 	}
 }
 
-// Guards against a host that names to another the host itself, or one that has another
-// state.
-func TestOnlyHoldersOfTheStateAreNamed(t *testing.T) {
+// Guards against a host that is referred to itself, or to a host that has another state.
+func TestReferralsListOnlySourcesOfTheState(t *testing.T) {
 	g := NewWithT(t)
 	var l fanout.Limiter
 	now := time.Unix(1000, 0)
 	ok, _ := l.Allow(now, 7, "a", 1<<20, 10)
-	g.Expect(ok).To(BeTrue(), "one change passes, however large")
+	g.Expect(ok).To(BeTrue(), "the first patch may be sent, whatever its size")
 	later := now.Add(100 * time.Millisecond)
-	ok, holders := l.Allow(later, 7, "b", 1000, 10)
+	ok, sources := l.Allow(later, 7, "b", 1000, 10)
 	g.Expect(ok).To(BeFalse())
-	g.Expect(holders).To(Equal([]string{"a"}))
-	_, holders = l.Allow(later, 7, "a", 1000, 10)
-	g.Expect(holders).To(BeEmpty())
-	_, holders = l.Allow(later, 8, "b", 1000, 10)
-	g.Expect(holders).To(BeEmpty())
+	g.Expect(sources).To(Equal([]string{"a"}))
+	_, sources = l.Allow(later, 7, "a", 1000, 10)
+	g.Expect(sources).To(BeEmpty())
+	_, sources = l.Allow(later, 8, "b", 1000, 10)
+	g.Expect(sources).To(BeEmpty())
 	ok, _ = l.Allow(now.Add(10*time.Second), 8, "b", 1000, 10)
 	g.Expect(ok).To(BeTrue())
 }
