--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -11,9 +11,9 @@
 	"balsambarrow/internal/delta"
 )
 
-const most = 1 << 20
+const maxBytes = 1 << 20
 
-// declaration looks like what operators declare: many rows that differ in names.
+// declaration returns a value like a configuration: many rows that differ in names.
 func declaration(version, routes int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":"r%d","rows":[`, version)
@@ -24,22 +24,22 @@
 	return b.Bytes()
 }
 
-// Guards against a change of one row of a large value that costs as much as the value.
-func TestASmallChangeOfALargeValueIsSmall(t *testing.T) {
+// Guards against a change of one row of a large value whose patch is as large as the value.
+func TestPatchOfSmallChangeIsSmall(t *testing.T) {
 	g := NewWithT(t)
 	base, next := declaration(7, 3000), declaration(8, 3001)
 	p, err := delta.New(base, next)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(p.Data)).To(BeNumerically("<", len(next)/100))
-	g.Expect(p.Apply(base, most)).To(Equal(next))
+	g.Expect(p.Apply(base, maxBytes)).To(Equal(next))
 }
 
-func TestPatchesOfOtherValuesAreRefused(t *testing.T) {
+func TestInvalidPatchesAreRejected(t *testing.T) {
 	base, next := declaration(7, 100), declaration(8, 120)
-	good, err := delta.New(base, next)
+	valid, err := delta.New(base, next)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	spoil := func(change func(*delta.Patch)) delta.Patch {
-		p := delta.Patch{Base: good.Base, Result: good.Result, Data: bytes.Clone(good.Data)}
+	corrupt := func(change func(*delta.Patch)) delta.Patch {
+		p := delta.Patch{Base: valid.Base, Result: valid.Result, Data: bytes.Clone(valid.Data)}
 		change(&p)
 		return p
 	}
@@ -49,31 +49,31 @@
 		patch delta.Patch
 		want  error
 	}{
-		{"another base", declaration(6, 100), good, delta.ErrBaseMismatch},
-		{"no base", nil, good, delta.ErrBaseMismatch},
-		{"a byte of the data", base, spoil(func(p *delta.Patch) { p.Data[len(p.Data)/2] ^= 0x55 }), delta.ErrCorrupt},
-		{"data cut short", base, spoil(func(p *delta.Patch) { p.Data = p.Data[:len(p.Data)/2] }), delta.ErrCorrupt},
-		{"no data", base, spoil(func(p *delta.Patch) { p.Data = nil }), delta.ErrCorrupt},
-		{"another result", base, spoil(func(p *delta.Patch) { p.Result ^= 2 }), delta.ErrCorrupt},
+		{"another base", declaration(6, 100), valid, delta.ErrBaseMismatch},
+		{"no base", nil, valid, delta.ErrBaseMismatch},
+		{"changed byte of the data", base, corrupt(func(p *delta.Patch) { p.Data[len(p.Data)/2] ^= 0x55 }), delta.ErrCorrupt},
+		{"truncated data", base, corrupt(func(p *delta.Patch) { p.Data = p.Data[:len(p.Data)/2] }), delta.ErrCorrupt},
+		{"no data", base, corrupt(func(p *delta.Patch) { p.Data = nil }), delta.ErrCorrupt},
+		{"another result", base, corrupt(func(p *delta.Patch) { p.Result ^= 2 }), delta.ErrCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := c.patch.Apply(c.base, most)
+			_, err := c.patch.Apply(c.base, maxBytes)
 			g.Expect(err).To(MatchError(c.want))
 		})
 	}
 }
 
-// Guards against a patch that unpacks to more memory than a value may have.
-func TestAPatchCannotUnpackBeyondItsBound(t *testing.T) {
+// Guards against a patch that decompresses to more memory than a value may use.
+func TestPatchResultSizeIsLimited(t *testing.T) {
 	g := NewWithT(t)
 	p, err := delta.New(nil, make([]byte, 8<<20))
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = p.Apply(nil, most)
+	_, err = p.Apply(nil, maxBytes)
 	g.Expect(err).To(MatchError(delta.ErrCorrupt))
 }
 
-func TestAnyValueComesBack(t *testing.T) {
+func TestPatchRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 4000).Draw(r, "base")
 		next := rapid.SliceOfN(rapid.Byte(), 0, 4000).Draw(r, "next")
@@ -84,7 +84,7 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		got, err := p.Apply(base, most)
+		got, err := p.Apply(base, maxBytes)
 		if err != nil || !bytes.Equal(got, next) {
 			r.Fatalf("%v: %d bytes, want %d", err, len(got), len(next))
 		}
@@ -105,7 +105,7 @@
 	p, _ := delta.New(base, next)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := p.Apply(base, most); err != nil {
+		if _, err := p.Apply(base, maxBytes); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/delta/doc.go
+++ b/internal/delta/doc.go
@@ -1,5 +1,5 @@
-// Package delta packs a large value for hosts that have an earlier one: as the
-// difference from that, compressed and checked by hashes of both.
+// Package delta encodes a large value for hosts that have an earlier version of it: as a
+// compressed difference from that version, verified by hashes of both values.
 //
 // The package does no I/O and keeps no state.
 package delta
