--- a/internal/snapshot/doc.go
+++ b/internal/snapshot/doc.go
@@ -1,15 +1,15 @@
-// Package snapshot keeps what a fleet has learned about upstreams over a restart
-// of all its hosts.
+// Package snapshot preserves what the fleet has learned about upstreams over a restart of
+// all its hosts.
 //
-// Load pattern: all entry hosts lose power or are killed at once while the
-// upstreams live on, with their caches warm. Hosts that know nothing send objects
-// to other upstreams than before; each is then cold work, and the queues of the
-// first seconds are several times as long.
+// All entry hosts may lose power or be killed at once while the upstreams keep running
+// with warm caches. Hosts without learned state would then send objects to other upstreams
+// than before, where each object is cold, and queues in the first seconds would be several
+// times as long.
 //
-// One host of the fleet writes a snapshot into the platform's store, at a pace
-// that its size allows. A host that starts reads it with its first listing of the
-// store, and goes on without one that is missing, broken or old: it is a hint,
-// and nothing waits for it.
+// One host of the fleet writes a snapshot into the platform's store, at intervals that
+// depend on its size. A host that starts reads the snapshot with its first listing of the
+// store. It continues without a snapshot that is missing, corrupt or stale: the snapshot
+// is a hint, and nothing waits for it.
 //
 // The package does no I/O, starts no goroutine and takes time as an argument.
 package snapshot
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -14,35 +14,37 @@
 )
 
 const (
-	// format of the snapshots that this version writes and reads.
+	// format is the version of the snapshot format that is written and read.
 	format = 1
-	// checksumBytes precede the message.
+	// checksumBytes is the size of the checksum that precedes the message.
 	checksumBytes = 8
-	// maxAge is the age from which a snapshot says nothing: upstreams have handled
+	// maxAge is the age after which a snapshot is of no use: upstreams have handled
 	// other objects since.
 	maxAge = place.WarmFor
-	// mostObjects keeps a snapshot well below the largest value that the store takes;
-	// those that were used longest ago are left out.
-	mostObjects = 40_000
+	// maxObjects is the largest number of objects in a snapshot. It keeps a snapshot
+	// well below the largest value that the store accepts. The least recently used
+	// objects are omitted.
+	maxObjects = 40_000
 )
 
 // Errors of Decode; test with errors.Is.
 var (
-	// ErrBroken says that the bytes are not a whole snapshot.
-	ErrCorrupt = errors.New("snapshot: broken")
-	// ErrFormat says that another version of the program wrote it.
+	// ErrCorrupt reports that the bytes are not a complete snapshot.
+	ErrCorrupt = errors.New("snapshot: corrupt")
+	// ErrFormat reports that the snapshot was written by an incompatible version of the
+	// program.
 	ErrFormat = errors.New("snapshot: unknown format")
 )
 
-// StaleError says that a snapshot is too old to be of use.
+// StaleError reports a snapshot that is too old to be of use.
 type StaleError struct{ Age time.Duration }
 
-func (e *StaleError) Error() string { return fmt.Sprintf("snapshot: %v old", e.Age) }
+func (e *StaleError) Error() string { return fmt.Sprintf("snapshot: stale: %v old", e.Age) }
 
-// Encode writes what is known at the time of day wall.
+// Encode returns the snapshot of the learned state m at the wall clock time wall.
 func Encode(wall time.Time, m place.Memory) ([]byte, error) {
 	s := &Snapshot{Format: format, WrittenMs: wall.UnixMilli()}
-	oldest := oldestKept(m)
+	oldest := maxKeptAge(m)
 	for _, u := range m.Upstreams {
 		s.Upstreams = append(s.Upstreams, encodeUpstream(u, oldest))
 	}
@@ -59,19 +61,20 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), nil
 }
 
-// oldestKept is the age up to which mostObjects are left.
-func oldestKept(m place.Memory) time.Duration {
+// maxKeptAge returns the age up to which objects are kept, so that at most maxObjects
+// remain.
+func maxKeptAge(m place.Memory) time.Duration {
 	var ages []time.Duration
 	for _, u := range m.Upstreams {
 		for _, o := range u.Objects {
 			ages = append(ages, o.Age)
 		}
 	}
-	if len(ages) <= mostObjects {
+	if len(ages) <= maxObjects {
 		return maxAge
 	}
 	slices.Sort(ages)
-	return ages[mostObjects] - 1
+	return ages[maxObjects] - 1
 }
 
 func encodeUpstream(u place.UpstreamMemory, oldest time.Duration) *Upstream {
@@ -86,8 +89,9 @@
 	return out
 }
 
-// Decode reads a snapshot at the time of day wall, with ages as of then. The
-// clocks of hosts differ: one written in the future counts as just written.
+// Decode returns the learned state of a snapshot, with ages as of the wall clock time
+// wall. The clocks of hosts differ, so a snapshot that seems to have been written in the
+// future counts as just written.
 func Decode(wall time.Time, data []byte) (place.Memory, error) {
 	if len(data) < checksumBytes {
 		return place.Memory{}, errors.WithStack(ErrCorrupt)
@@ -107,10 +111,10 @@
 	if age > maxAge {
 		return place.Memory{}, &StaleError{age}
 	}
-	return s.memory(age), nil
+	return s.learnedState(age), nil
 }
 
-func (s *Snapshot) memory(age time.Duration) place.Memory {
+func (s *Snapshot) learnedState(age time.Duration) place.Memory {
 	var m place.Memory
 	for _, u := range s.Upstreams {
 		known := place.UpstreamMemory{ID: u.Id, Born: u.Born}
--- a/internal/snapshot/pacer.go
+++ b/internal/snapshot/pacer.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// writeEvery is the shortest time between two snapshots, above the bound of a call
-	// to the store. What is learned within it is lost if all hosts end.
-	writeEvery = 2 * time.Second
-	// bytesPerSecond bounds what snapshots cost the store and those that watch it:
-	// a large one is written less often.
+	// minWriteInterval is the least time between two snapshots. It is longer than the
+	// timeout of a call to the store. State learned since the last snapshot is lost if
+	// all hosts end.
+	minWriteInterval = 2 * time.Second
+	// bytesPerSecond limits the load of snapshots on the store and on the hosts that watch
+	// it: a large snapshot is written less often.
 	bytesPerSecond = 16 << 10
 )
 
-// Writer paces the snapshots of the host that writes them. The zero value writes
+// Pacer limits how often a host writes snapshots. With the zero value, a snapshot is due
 // at once. It is not safe for concurrent use.
-type Pacer struct{ next time.Time }
+type Pacer struct{ nextDue time.Time }
 
-// Due tells whether a snapshot is to be written now.
-func (w *Pacer) Due(now time.Time) bool { return !now.Before(w.next) }
+// Due reports whether a snapshot should be written now.
+func (p *Pacer) Due(now time.Time) bool { return !now.Before(p.nextDue) }
 
-// Began notes that a snapshot of so many bytes is being written.
-func (w *Pacer) Started(now time.Time, bytes int) {
-	w.next = now.Add(max(writeEvery, time.Duration(bytes)*time.Second/bytesPerSecond))
+// Started records that the write of a snapshot of the given size has started.
+func (p *Pacer) Started(now time.Time, bytes int) {
+	p.nextDue = now.Add(max(minWriteInterval, time.Duration(bytes)*time.Second/bytesPerSecond))
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,7 +13,7 @@
 
 var written = time.UnixMilli(1_700_000_000_000)
 
-func memory() place.Memory {
+func learnedState() place.Memory {
 	return place.Memory{
 		Upstreams: []place.UpstreamMemory{{ID: "u-1", Born: 7, Objects: []place.ObjectMemory{
 			{Object: 1, Age: time.Second}, {Object: 1<<32 - 1, Age: 19 * time.Second},
@@ -22,45 +22,45 @@
 	}
 }
 
-func encoded(t *testing.T, m place.Memory) []byte {
+func mustEncode(t *testing.T, m place.Memory) []byte {
 	data, err := Encode(written, m)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return data
 }
 
-func TestSnapshotIsReadAsItWasWritten(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	read, err := Decode(written, encoded(t, memory()))
+	read, err := Decode(written, mustEncode(t, learnedState()))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(read).To(Equal(memory()))
+	g.Expect(read).To(Equal(learnedState()))
 
-	later, err := Decode(written.Add(2*time.Second), encoded(t, memory()))
+	later, err := Decode(written.Add(2*time.Second), mustEncode(t, learnedState()))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(later.Upstreams[0].Objects[0].Age).To(Equal(3 * time.Second))
 
-	// The clock of the host that wrote it is ahead of this one's.
-	early, err := Decode(written.Add(-time.Minute), encoded(t, memory()))
+	// The clock of the host that wrote the snapshot is ahead of the clock of this host.
+	early, err := Decode(written.Add(-time.Minute), mustEncode(t, learnedState()))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(early).To(Equal(memory()))
+	g.Expect(early).To(Equal(learnedState()))
 }
 
-// A snapshot is cut short, changed on the way or of another program. A host that
-// went by it would take upstreams for warm that are not, or fail to start.
-func TestUnusableSnapshotIsRefused(t *testing.T) {
-	whole := encoded(t, memory())
-	changed := append([]byte(nil), whole...)
+// Guards against a host that uses a truncated, changed or foreign snapshot: the host would
+// treat cold upstreams as warm, or fail to start.
+func TestUnusableSnapshotIsRejected(t *testing.T) {
+	complete := mustEncode(t, learnedState())
+	changed := append([]byte(nil), complete...)
 	changed[len(changed)-1] ^= 1
 	cases := []struct {
-		name string
-		data []byte
-		at   time.Time
-		is   func(error) bool
+		name    string
+		data    []byte
+		at      time.Time
+		matches func(error) bool
 	}{
 		{"empty", nil, written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
-		{"cut short", whole[:len(whole)-1], written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
+		{"truncated", complete[:len(complete)-1], written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
 		{"one bit changed", changed, written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
 		{"other bytes", []byte(`{"instance":"host"}`), written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
-		{"stale", whole, written.Add(maxAge + time.Second), func(err error) bool {
+		{"stale", complete, written.Add(maxAge + time.Second), func(err error) bool {
 			var stale *StaleError
 			return errors.As(err, &stale) && stale.Age == maxAge+time.Second
 		}},
@@ -70,25 +70,25 @@
 			g := NewWithT(t)
 			_, err := Decode(c.at, c.data)
 			g.Expect(err).To(HaveOccurred())
-			g.Expect(c.is(err)).To(BeTrue(), "%v", err)
+			g.Expect(c.matches(err)).To(BeTrue(), "%v", err)
 		})
 	}
 }
 
-// A fleet with more objects than fit: the value would be refused by the store, and
-// nothing be kept at all.
-func TestLargeSnapshotKeepsWhatWasUsedLast(t *testing.T) {
+// Guards against a snapshot of too many objects: the store would reject the value, and no
+// snapshot would be kept at all.
+func TestLargeSnapshotKeepsMostRecentObjects(t *testing.T) {
 	g := NewWithT(t)
 	var m place.Memory
-	const each = 60
-	for i := range mostObjects / each * 2 {
+	const objectsPerUpstream = 60
+	for i := range maxObjects / objectsPerUpstream * 2 {
 		u := place.UpstreamMemory{ID: fmt.Sprintf("upstream-%08d", i)}
-		for o := range each {
+		for o := range objectsPerUpstream {
 			u.Objects = append(u.Objects, place.ObjectMemory{Object: place.Object(o), Age: time.Duration(o+1) * 100 * time.Millisecond})
 		}
 		m.Upstreams = append(m.Upstreams, u)
 	}
-	data := encoded(t, m)
+	data := mustEncode(t, m)
 	g.Expect(len(data)).To(BeNumerically("<", 512<<10))
 	read, err := Decode(written, data)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -96,29 +96,29 @@
 	for _, u := range read.Upstreams {
 		objects += len(u.Objects)
 		for _, o := range u.Objects {
-			g.Expect(o.Age).To(BeNumerically("<=", each/2*100*time.Millisecond))
+			g.Expect(o.Age).To(BeNumerically("<=", objectsPerUpstream/2*100*time.Millisecond))
 		}
 	}
-	g.Expect(objects).To(BeNumerically(">", mostObjects*9/10))
-	g.Expect(objects).To(BeNumerically("<=", mostObjects))
+	g.Expect(objects).To(BeNumerically(">", maxObjects*9/10))
+	g.Expect(objects).To(BeNumerically("<=", maxObjects))
 }
 
-// A store that answers each write must not be written to at every turn, and one
-// that refuses all of them neither.
-func TestSnapshotsArePacedBySize(t *testing.T) {
+// Guards against a snapshot that is written in each run of the control loop, whether the
+// store accepts or rejects the writes.
+func TestPacerIntervalDependsOnSize(t *testing.T) {
 	g := NewWithT(t)
-	var w Pacer
-	g.Expect(w.Due(written)).To(BeTrue())
-	w.Started(written, 1000)
-	g.Expect(w.Due(written.Add(writeEvery - 1))).To(BeFalse())
-	g.Expect(w.Due(written.Add(writeEvery))).To(BeTrue())
-	w.Started(written, 10*bytesPerSecond)
-	g.Expect(w.Due(written.Add(9 * time.Second))).To(BeFalse())
-	g.Expect(w.Due(written.Add(10 * time.Second))).To(BeTrue())
+	var p Pacer
+	g.Expect(p.Due(written)).To(BeTrue())
+	p.Started(written, 1000)
+	g.Expect(p.Due(written.Add(minWriteInterval - 1))).To(BeFalse())
+	g.Expect(p.Due(written.Add(minWriteInterval))).To(BeTrue())
+	p.Started(written, 10*bytesPerSecond)
+	g.Expect(p.Due(written.Add(9 * time.Second))).To(BeFalse())
+	g.Expect(p.Due(written.Add(10 * time.Second))).To(BeTrue())
 }
 
 func FuzzDecode(f *testing.F) {
-	data, err := Encode(written, memory())
+	data, err := Encode(written, learnedState())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	f.Add(data[:9])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := Decode(written, data); err != nil && err.Error() == "" {
-			t.Fatal("an error without words")
+			t.Fatal("the error message is empty")
 		}
 	})
 }
