--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -51,7 +51,7 @@
 	for _, h := range c.custody().Usable(now) {
 		pending, ok := c.slots.levels[h.Slot]
 		if ok && c.published(h.Slot) {
-			c.d.ledger.Adopt(pending.levels, now)
+			c.d.ledger.AddLevels(pending.levels, now)
 			delete(c.slots.levels, h.Slot)
 		}
 	}
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -30,14 +30,14 @@
 
 // quotaState is the control thread's part for quotas.
 type quotaState struct {
-	cuts quota.Cuts
+	cuts quota.SplitVersions
 	// adopted are the slots that came with their tokens, by the time since
 	// which they are held.
 	adopted map[int]time.Time
-	shape   *quota.Shape
+	shape   *quota.HeldSlots
 	scores  map[string]float64
 	// cutOf keeps the cuts of cutVersion.
-	cutOf      map[string]quota.Cut
+	cutOf      map[string]quota.Split
 	cutVersion uint64
 	nextScore  time.Time
 	nextDrop   time.Time
@@ -48,7 +48,7 @@
 // publishShares sets the ledger to the usable slots and the versions in force.
 func (c *control) publishShares(snap *view.Snapshot, now time.Time) {
 	members := append([]membership.Member{snap.Self}, snap.Members...)
-	shape := &quota.Shape{
+	shape := &quota.HeldSlots{
 		Zone:     snap.Self.Zone,
 		Slots:    c.settled(snap.Self.Held, now),
 		Versions: c.quota.cuts.Observe(snap.Config, members, now),
@@ -57,13 +57,13 @@
 		return
 	}
 	c.quota.shape = shape
-	c.d.ledger.SetShape(shape, now)
+	c.d.ledger.SetHeldSlots(shape, now)
 }
 
 // settled returns the slots that may be spent from. A slot comes with the
 // loans that its earlier holder made of it; while they run, the borrowers and
 // this daemon together would exceed the quota. A slot that came with tokens is
-// free of loans: see quota.Ledger.Surrender.
+// free of loans: see quota.Ledger.ReleaseLevels.
 func (c *control) settled(held []membership.Holding, now time.Time) []int {
 	var out []int
 	for _, h := range held {
@@ -92,7 +92,7 @@
 	}
 	members := c.members.table.Live(now)
 	for _, name := range c.d.ledger.Names() {
-		c.d.ledger.Situate(name, c.situation(name, members))
+		c.d.ledger.SetFleetState(name, c.situation(name, members))
 	}
 }
 
@@ -117,13 +117,13 @@
 // hub until the loan's term has passed, and callers that keep a connection go on
 // asking the leaving daemon. Without a hub to take tokens from, it refused them
 // after MaxWait although they were inside their rate.
-func (c *control) situation(name string, members []membership.Member) quota.Situation {
-	s := quota.Situation{Self: c.d.identity.Instance, Leaving: c.state == membership.StateLeaving}
+func (c *control) situation(name string, members []membership.Member) quota.FleetState {
+	s := quota.FleetState{Self: c.d.identity.Instance, Leaving: c.state == membership.StateLeaving}
 	cut := c.quota.cut(c.active(), name)
 	scores := []quota.Score{{Instance: s.Self, Value: c.quota.scores[name]}}
 	for _, m := range members {
-		if cut.Holds(m.Zone, m.Slots) {
-			s.Lenders = append(s.Lenders, m.Instance)
+		if cut.HasShare(m.Zone, m.Slots) {
+			s.LoanSources = append(s.LoanSources, m.Instance)
 		}
 		// A leaving daemon gives its loans back: whoever went on asking it
 		// for tokens would wait in vain.
@@ -131,17 +131,17 @@
 			scores = append(scores, quota.Score{Instance: m.Instance, Value: m.Demand[name]})
 		}
 	}
-	s.Hub, s.Demand = quota.Elect(scores)
+	s.Hub, s.Demand = quota.ElectHub(scores)
 	return s
 }
 
-func (s *quotaState) cut(active *config.Active, name string) quota.Cut {
+func (s *quotaState) cut(active *config.Active, name string) quota.Split {
 	if s.cutOf == nil || s.cutVersion != active.Version {
-		s.cutOf, s.cutVersion = map[string]quota.Cut{}, active.Version
+		s.cutOf, s.cutVersion = map[string]quota.Split{}, active.Version
 	}
 	cut, ok := s.cutOf[name]
 	if !ok {
-		cut = quota.CutOf(active.Config, name)
+		cut = quota.SplitOf(active.Config, name)
 		s.cutOf[name] = cut
 	}
 	return cut
@@ -156,7 +156,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case name := <-d.ledger.Wanted():
+		case name := <-d.ledger.PlanRequests():
 			lenders.plan(ctx, name)
 		case <-ticker.C:
 			for _, name := range d.ledger.Names() {
@@ -175,7 +175,7 @@
 
 // lendStream is one stream to a lender.
 type lendStream struct {
-	asks chan quota.Outgoing
+	asks chan quota.OutgoingRequest
 }
 
 func (l *lenders) plan(ctx context.Context, name string) {
@@ -184,24 +184,24 @@
 	}
 }
 
-func (l *lenders) send(ctx context.Context, out quota.Outgoing) {
+func (l *lenders) send(ctx context.Context, out quota.OutgoingRequest) {
 	m, known := l.d.view.Load().Find(out.To)
 	if !known {
-		l.d.ledger.Failed(out, time.Now())
+		l.d.ledger.DropRequest(out, time.Now())
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.streams[out.To]
 	if s == nil {
-		s = &lendStream{asks: make(chan quota.Outgoing, asksBuffered)}
+		s = &lendStream{asks: make(chan quota.OutgoingRequest, asksBuffered)}
 		l.streams[out.To] = s
 		l.d.spawn(func(context.Context) { l.run(ctx, out.To, m.Peers, s) })
 	}
 	select {
 	case s.asks <- out:
 	default:
-		l.d.ledger.Failed(out, time.Now())
+		l.d.ledger.DropRequest(out, time.Now())
 	}
 }
 
@@ -209,7 +209,7 @@
 func (l *lenders) run(ctx context.Context, to, address string, s *lendStream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waiting := &waitingAsks{bySequence: map[uint64]quota.Outgoing{}}
+	waiting := &waitingAsks{bySequence: map[uint64]quota.OutgoingRequest{}}
 	err := l.carry(ctx, address, s, waiting)
 	if err != nil && ctx.Err() == nil {
 		l.d.log.Debug("lend_stream_failed", "peer", to, "err", err)
@@ -219,10 +219,10 @@
 	l.mu.Unlock()
 	now := time.Now()
 	for _, out := range waiting.drain() {
-		l.d.ledger.Failed(out, now)
+		l.d.ledger.DropRequest(out, now)
 	}
 	for len(s.asks) > 0 {
-		l.d.ledger.Failed(<-s.asks, now)
+		l.d.ledger.DropRequest(<-s.asks, now)
 	}
 }
 
@@ -240,7 +240,7 @@
 		select {
 		case out := <-s.asks:
 			idle.Reset(lendIdle)
-			if err := stream.Send(askToWire(waiting.add(out), out.Ask)); err != nil {
+			if err := stream.Send(askToWire(waiting.add(out), out.Request)); err != nil {
 				return err
 			}
 		case err := <-broken:
@@ -260,7 +260,7 @@
 			return err
 		}
 		if out, ok := waiting.take(reply.Sequence); ok {
-			l.d.ledger.Answered(out, grantFromWire(reply), time.Now())
+			l.d.ledger.ApplyGrant(out, grantFromWire(reply), time.Now())
 		}
 	}
 }
@@ -269,10 +269,10 @@
 type waitingAsks struct {
 	mu         sync.Mutex
 	last       uint64
-	bySequence map[uint64]quota.Outgoing
+	bySequence map[uint64]quota.OutgoingRequest
 }
 
-func (w *waitingAsks) add(out quota.Outgoing) uint64 {
+func (w *waitingAsks) add(out quota.OutgoingRequest) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.last++
@@ -280,7 +280,7 @@
 	return w.last
 }
 
-func (w *waitingAsks) take(sequence uint64) (quota.Outgoing, bool) {
+func (w *waitingAsks) take(sequence uint64) (quota.OutgoingRequest, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out, ok := w.bySequence[sequence]
@@ -288,10 +288,10 @@
 	return out, ok
 }
 
-func (w *waitingAsks) drain() []quota.Outgoing {
+func (w *waitingAsks) drain() []quota.OutgoingRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var all []quota.Outgoing
+	var all []quota.OutgoingRequest
 	for _, out := range w.bySequence {
 		all = append(all, out)
 	}
@@ -317,7 +317,7 @@
 		}
 		d.spawn(func(context.Context) {
 			_ = d.ledger.Await(stream.Context(), ask.Quota, ticket)
-			_ = sender.send(request.Sequence, d.ledger.Granted(ask.Quota, ticket, time.Now()))
+			_ = sender.send(request.Sequence, d.ledger.TicketGrant(ask.Quota, ticket, time.Now()))
 		})
 	}
 }
@@ -334,24 +334,24 @@
 	return errors.WithStack(s.stream.Send(grantToWire(sequence, g)))
 }
 
-func askToWire(sequence uint64, a quota.Ask) *peer.BorrowRequest {
+func askToWire(sequence uint64, a quota.LoanRequest) *peer.BorrowRequest {
 	out := &peer.BorrowRequest{
-		Sequence: sequence, Borrower: a.Borrower, Quota: a.Quota, Loan: a.Loan, Standing: a.Standing,
-		Tokens: a.Tokens, PatienceMs: uint32(a.Patience.Milliseconds()),
+		Sequence: sequence, Borrower: a.Borrower, Quota: a.Quota, Loan: a.Loan, Standing: a.ShareLoan,
+		Tokens: a.Tokens, PatienceMs: uint32(a.MaxDelay.Milliseconds()),
 	}
-	for _, c := range a.Closed {
+	for _, c := range a.ClosedLoans {
 		out.Closed = append(out.Closed, &peer.LoanClosing{Loan: c.Loan, Tokens: c.Tokens})
 	}
 	return out
 }
 
-func askFromWire(in *peer.BorrowRequest) quota.Ask {
-	a := quota.Ask{
-		Borrower: in.Borrower, Quota: in.Quota, Loan: in.Loan, Standing: in.Standing,
-		Tokens: in.Tokens, Patience: time.Duration(in.PatienceMs) * time.Millisecond,
+func askFromWire(in *peer.BorrowRequest) quota.LoanRequest {
+	a := quota.LoanRequest{
+		Borrower: in.Borrower, Quota: in.Quota, Loan: in.Loan, ShareLoan: in.Standing,
+		Tokens: in.Tokens, MaxDelay: time.Duration(in.PatienceMs) * time.Millisecond,
 	}
 	for _, c := range in.Closed {
-		a.Closed = append(a.Closed, quota.Closing{Loan: c.Loan, Tokens: c.Tokens})
+		a.ClosedLoans = append(a.ClosedLoans, quota.LoanClosing{Loan: c.Loan, Tokens: c.Tokens})
 	}
 	return a
 }
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -226,7 +226,7 @@
 	if c.slots.givenUp == nil || len(gifts) == 0 {
 		return gifts
 	}
-	levels, clean := c.d.ledger.Surrender(now)
+	levels, clean := c.d.ledger.ReleaseLevels(now)
 	if !clean {
 		return gifts
 	}
--- a/internal/entry/authenticate_test.go
+++ b/internal/entry/authenticate_test.go
@@ -100,7 +100,7 @@
 			published.Store(snap)
 			ledger := quota.NewLedger()
 			ledger.Fence.Extend(time.Now().Add(time.Hour))
-			ledger.SetShape(&quota.Shape{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
+			ledger.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
 			tracing, err := telemetry.NewTracing("")
 			g.Expect(err).NotTo(HaveOccurred())
 			handler := &recorder{}
--- a/internal/entry/caps.go
+++ b/internal/entry/caps.go
@@ -32,14 +32,14 @@
 
 func capCosts(t *steer.Target) []capCost {
 	var costs []capCost
-	if t.Shift != "" {
-		costs = append(costs, capCost{t.Shift, 1})
+	if t.ShiftQuota != "" {
+		costs = append(costs, capCost{t.ShiftQuota, 1})
 	}
-	if t.Drain != "" {
-		costs = append(costs, capCost{t.Drain, 1})
+	if t.DrainQuota != "" {
+		costs = append(costs, capCost{t.DrainQuota, 1})
 	}
-	if t.Link != "" && t.LinkBits > 0 {
-		costs = append(costs, capCost{t.Link, t.LinkBits})
+	if t.LinkQuota != "" && t.LinkBits > 0 {
+		costs = append(costs, capCost{t.LinkQuota, t.LinkBits})
 	}
 	return costs
 }
@@ -54,8 +54,8 @@
 // an animal, a family, a canteen.
 func steerRequest(call *wire.Call) steer.Request {
 	return steer.Request{
-		Service: call.Service, Customer: call.Customer, Key: call.Path,
-		Bytes: float64(max(call.Body.Length(), 0)) + requestOverhead,
+		Service: call.Service, Customer: call.Customer, HashKey: call.Path,
+		SizeBytes: float64(max(call.Body.Length(), 0)) + requestOverhead,
 	}
 }
 
--- a/internal/entry/quota.go
+++ b/internal/entry/quota.go
@@ -21,7 +21,7 @@
 	if ok, _ := s.Ledger.Take(name, 1, time.Now()); ok {
 		return nil
 	}
-	ticket, wait := s.Ledger.Join(name, 1, time.Until(call.Deadline), time.Now())
+	ticket, wait := s.Ledger.JoinQueue(name, 1, time.Until(call.Deadline), time.Now())
 	if ticket == nil {
 		return overRate(wait)
 	}
@@ -31,7 +31,7 @@
 	if ctx.Err() != nil {
 		return wire.Refuse(wire.TypeDeadline, "given up while waiting for the customer's rate", wait)
 	}
-	_, wait = s.Ledger.Expected(name, 1, time.Now())
+	_, wait = s.Ledger.ExpectedWait(name, 1, time.Now())
 	return overRate(wait)
 }
 
--- a/internal/entry/read_test.go
+++ b/internal/entry/read_test.go
@@ -73,7 +73,7 @@
 	published.Store(snap)
 	ledger := quota.NewLedger()
 	ledger.Fence.Extend(time.Now().Add(time.Hour))
-	ledger.SetShape(&quota.Shape{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
+	ledger.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
 	w = &worker{}
 	server := httptest.NewServer(entry.New(entry.Deps{
 		View: published, Ledger: ledger, Local: w, MaxBodyBytes: 200 << 10, BodyTimeout: 100 * time.Millisecond,
--- a/internal/entry/steer.go
+++ b/internal/entry/steer.go
@@ -30,10 +30,10 @@
 		}
 		answer, latest := s.ask(ctx, target, call)
 		if latest == nil {
-			target.Ended(queued(answer), false)
+			target.RecordResult(queued(answer), false)
 			return answer, nil
 		}
-		target.Ended(0, latest.Type == wire.TypeNoRoom)
+		target.RecordResult(0, latest.Type == wire.TypeNoRoom)
 		if latest.Outcome == wire.OutcomeNotRun {
 			s.refundCaps(target, time.Now())
 		}
@@ -60,7 +60,7 @@
 	if problem := s.recheckKey(call); problem != nil {
 		return nil, problem
 	}
-	target.Sent()
+	target.RecordSent()
 	member := target.Handler.Member
 	if member.Instance == s.View.Load().Self.Instance {
 		return s.Local.Run(ctx, call)
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -102,7 +102,7 @@
 		room := m.Headroom[e.Service]
 		e.Targets = append(e.Targets, ExplainedTarget{
 			Host: m.Host, Zone: m.Zone, Region: snap.Config.Region(m.Zone),
-			Free: room.Free, Limit: room.Limit, Shift: t.Shift, Link: t.Link,
+			Free: room.Free, Limit: room.Limit, Shift: t.ShiftQuota, Link: t.LinkQuota,
 		})
 	}
 	e.conclude(snap, now)
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -65,8 +65,8 @@
 	name     string
 	own      Share
 	whole    Share
-	lender   Lender
-	borrower Borrower
+	lender   LentLoans
+	borrower BorrowedLoans
 	level    float64
 	at       time.Time
 	queue    []*Ticket
@@ -79,7 +79,7 @@
 	fenced bool
 	// blockedUntil: the hub has said that it has nothing before then.
 	blockedUntil time.Time
-	situation    Situation
+	situation    FleetState
 	roundTrip    time.Duration
 }
 
@@ -93,13 +93,13 @@
 
 // shape is the rate and capacity for now.
 func (a *Account) shape() Share {
-	s := a.own.minus(a.lender.Lent()).plus(a.borrower.Held(a.at))
+	s := a.own.minus(a.lender.Sum()).plus(a.borrower.SumAfter(a.at))
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
 // free is what of the own share is not lent.
 func (a *Account) free() Share {
-	s := a.own.minus(a.lender.Lent())
+	s := a.own.minus(a.lender.Sum())
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
@@ -129,8 +129,8 @@
 // cut drops tokens above the capacity.
 func (a *Account) cut() { a.level = math.Min(a.level, a.shape().Burst) }
 
-// Reshape sets the own share and the whole quota. The level never rises by it.
-func (a *Account) Reshape(own, whole Share, now time.Time) {
+// SetShares sets the own share and the whole quota. The level never rises by it.
+func (a *Account) SetShares(own, whole Share, now time.Time) {
 	a.advance(now)
 	a.own, a.whole = own, whole
 	a.cut()
@@ -167,18 +167,18 @@
 	return seconds(max(0, a.queued+cost-a.level) / s.Rate)
 }
 
-// Join takes a place in the queue after a Take that failed. Without a ticket
+// JoinQueue takes a place in the queue after a Take that failed. Without a ticket
 // the taker is refused at once: nothing can be there for it within patience,
 // or the customer is over its whole rate and waiting would only make every
 // caller late. The duration is when to come back.
-func (a *Account) Join(cost float64, patience time.Duration, now time.Time) (*Ticket, time.Duration) {
+func (a *Account) JoinQueue(cost float64, patience time.Duration, now time.Time) (*Ticket, time.Duration) {
 	a.advance(now)
 	patience = min(patience, MaxWait)
 	wait := a.expected(cost)
 	switch {
 	case patience <= 0 || wait < 0 || wait > patience:
 		return nil, wait
-	case a.situation.Over && a.isHub():
+	case a.situation.OverRate && a.isHub():
 		return nil, wait
 	}
 	return a.enqueue(&Ticket{cost: cost, until: a.at.Add(patience)}), wait
@@ -193,8 +193,8 @@
 	return t
 }
 
-// Serve brings the account to now and serves its queue.
-func (a *Account) Serve(now time.Time) {
+// ServeQueue brings the account to now and serves its queue.
+func (a *Account) ServeQueue(now time.Time) {
 	a.advance(now)
 	a.serve()
 }
@@ -255,10 +255,10 @@
 	return t.state == ticketServed
 }
 
-// NextServe is how long until a ticket's turn may have come, as far as this
+// ServeDelay is how long until a ticket's turn may have come, as far as this
 // account knows. Each waiter asks for its own turn, so that a long queue does
 // not wake as a whole.
-func (a *Account) NextServe(t *Ticket) time.Duration {
+func (a *Account) ServeDelay(t *Ticket) time.Duration {
 	ahead := 0.0
 	for _, x := range a.queue {
 		ahead += x.cost
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -14,12 +14,12 @@
 	whole := Share{Rate: 10, Burst: 20}
 	hub = NewAccount("q", whole.times(0.1), whole, 2, start)
 	lender = NewAccount("q", whole.times(0.9), whole, 18, start)
-	hub.Situate(Situation{Self: "hub", Hub: "hub", Lenders: []string{"lender"}})
-	lender.Situate(Situation{Self: "lender", Hub: "hub"})
+	hub.SetFleetState(FleetState{Self: "hub", Hub: "hub", LoanSources: []string{"lender"}})
+	lender.SetFleetState(FleetState{Self: "lender", Hub: "hub"})
 	out := hub.Plan(start)
 	g.Expect(out).To(HaveLen(1))
-	grant, _ := lender.Lend(out[0].Ask, start)
-	hub.Answered(out[0].Ask.Loan, grant, out[0].Sent, start)
+	grant, _ := lender.Lend(out[0].Request, start)
+	hub.ApplyGrant(out[0].Request.Loan, grant, out[0].SentAt, start)
 	g.Expect(hub.Level(start)).To(Equal(20.0))
 	g.Expect(lender.Level(start)).To(BeZero())
 	return hub, lender
@@ -31,8 +31,8 @@
 func TestPausedBorrowerHasLostTheLoanAtItsNextTake(t *testing.T) {
 	g := NewWithT(t)
 	hub, lender := pair(g)
-	later := start.Add(StandingTerm + time.Second)
-	lender.Serve(later)
+	later := start.Add(ShareLoanTerm + time.Second)
+	lender.ServeQueue(later)
 	g.Expect(lender.Level(later)).To(BeNumerically("~", 8.1, 0.01))
 	spent := 0
 	for _, a := range []*Account{hub, lender} {
@@ -51,10 +51,10 @@
 func TestTokensAreNotLentPastTheLoanTheyStandOn(t *testing.T) {
 	g := NewWithT(t)
 	hub, _ := pair(g)
-	near := start.Add(StandingTerm - minTokenTerm)
-	grant, _ := hub.Lend(Ask{Quota: "q", Borrower: "peer", Loan: 1, Tokens: 5}, near)
+	near := start.Add(ShareLoanTerm - minTokenTerm)
+	grant, _ := hub.Lend(LoanRequest{Quota: "q", Borrower: "peer", Loan: 1, Tokens: 5}, near)
 	g.Expect(grant.Tokens).To(BeZero())
-	grant, _ = hub.Lend(Ask{Quota: "q", Borrower: "peer", Loan: 2, Tokens: 2}, near)
+	grant, _ = hub.Lend(LoanRequest{Quota: "q", Borrower: "peer", Loan: 2, Tokens: 2}, near)
 	g.Expect(grant.Tokens).To(Equal(2.0), "the hub's own capacity holds these")
 }
 
@@ -64,12 +64,12 @@
 func TestLoanOfALostSlotIsNotRenewed(t *testing.T) {
 	g := NewWithT(t)
 	hub, lender := pair(g)
-	lender.Reshape(Share{}, Share{Rate: 10, Burst: 20}, start)
-	renewal := hub.Plan(start.Add(StandingRenew))
+	lender.SetShares(Share{}, Share{Rate: 10, Burst: 20}, start)
+	renewal := hub.Plan(start.Add(ShareLoanRenewal))
 	g.Expect(renewal).To(HaveLen(1))
-	grant, _ := lender.Lend(renewal[0].Ask, start.Add(StandingRenew))
+	grant, _ := lender.Lend(renewal[0].Request, start.Add(ShareLoanRenewal))
 	g.Expect(grant).To(Equal(Grant{}))
-	hub.Answered(renewal[0].Ask.Loan, grant, renewal[0].Sent, start.Add(StandingRenew))
+	hub.ApplyGrant(renewal[0].Request.Loan, grant, renewal[0].SentAt, start.Add(ShareLoanRenewal))
 	g.Expect(hub.Level(start.Add(Quarantine))).To(BeNumerically("<=", 2))
 }
 
@@ -79,15 +79,15 @@
 func TestHubKeepsALoanThatItsPeersTokensStandOn(t *testing.T) {
 	g := NewWithT(t)
 	hub, _ := pair(g)
-	grant, _ := hub.Lend(Ask{Quota: "q", Borrower: "peer", Loan: 1, Tokens: 5}, start)
+	grant, _ := hub.Lend(LoanRequest{Quota: "q", Borrower: "peer", Loan: 1, Tokens: 5}, start)
 	g.Expect(grant.Tokens).To(Equal(5.0))
-	hub.Situate(Situation{Self: "hub", Hub: "peer"})
+	hub.SetFleetState(FleetState{Self: "hub", Hub: "peer"})
 	for _, out := range hub.Plan(start.Add(time.Millisecond)) {
-		g.Expect(out.Ask.Closed).To(BeEmpty())
+		g.Expect(out.Request.ClosedLoans).To(BeEmpty())
 	}
 	closed := 0
-	for _, out := range hub.Plan(start.Add(TokenTerm + 2*Margin)) {
-		closed += len(out.Ask.Closed)
+	for _, out := range hub.Plan(start.Add(TokenLoanTerm + 2*ExpiryMargin)) {
+		closed += len(out.Request.ClosedLoans)
 	}
 	g.Expect(closed).To(Equal(1), "given back once the peer's loan has ended")
 }
@@ -97,12 +97,12 @@
 func TestRetryAfterIsTrue(t *testing.T) {
 	g := NewWithT(t)
 	hub, _ := pair(g)
-	hub.Situate(Situation{Self: "hub", Hub: "hub", Demand: 50})
+	hub.SetFleetState(FleetState{Self: "hub", Hub: "hub", Demand: 50})
 	var told time.Duration
 	for ok := true; ok; {
 		ok, _ = hub.Take(1, start)
 	}
-	_, told = hub.Join(1, time.Second, start)
+	_, told = hub.JoinQueue(1, time.Second, start)
 	g.Expect(told).To(BeNumerically("~", 100*time.Millisecond, time.Microsecond))
 	ok, _ := hub.Take(1, start.Add(told))
 	g.Expect(ok).To(BeTrue())
--- a/internal/quota/cuts.go
+++ b/internal/quota/cuts.go
@@ -13,7 +13,7 @@
 // zone is cut off.
 const maxVersions = 16
 
-// Cuts knows which versions of the configuration may be in force somewhere, as
+// SplitVersions tracks which versions of the configuration may be in force somewhere, as
 // far as they cut quotas differently. A share raised by a new cut is used only
 // when every slot's holder has the new version and its loans under the old
 // one have ended; a lowered one at once. Without this, a zone that adopts new
@@ -27,7 +27,7 @@
 // What does not hold: a daemon that starts while an older cut is still in
 // force somewhere knows only the new one; and of more than maxVersions cuts
 // the oldest is forgotten.
-type Cuts struct {
+type SplitVersions struct {
 	versions []*config.Active
 	// confirmed is when every holder was first seen with the newest version.
 	confirmed time.Time
@@ -35,7 +35,7 @@
 
 // Observe notes the version in force here and what members have told, this
 // daemon included. It returns the versions to cut by, the newest last.
-func (c *Cuts) Observe(active *config.Active, members []membership.Member, now time.Time) []*config.Active {
+func (c *SplitVersions) Observe(active *config.Active, members []membership.Member, now time.Time) []*config.Active {
 	c.add(active)
 	if len(c.versions) == 1 {
 		return c.versions
@@ -53,7 +53,7 @@
 	return c.versions
 }
 
-func (c *Cuts) add(active *config.Active) {
+func (c *SplitVersions) add(active *config.Active) {
 	n := len(c.versions)
 	if n > 0 && c.versions[n-1].Version == active.Version {
 		return
--- a/internal/quota/cuts_test.go
+++ b/internal/quota/cuts_test.go
@@ -24,8 +24,8 @@
 func ledgerOf(tb testing.TB, c *config.Config) *Ledger {
 	tb.Helper()
 	l := NewLedger()
-	shape := &Shape{Zone: "vt-a", Slots: []int{0, 1, 2, 3}, Versions: []*config.Active{config.NewActive(1, c)}}
-	l.SetShape(shape, time.Now().Add(-time.Hour))
+	shape := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1, 2, 3}, Versions: []*config.Active{config.NewActive(1, c)}}
+	l.SetHeldSlots(shape, time.Now().Add(-time.Hour))
 	return l
 }
 
@@ -43,11 +43,11 @@
 	heavier.Zones["vt-a"] = config.Zone{Region: "vermont", Slots: 4, Weight: 3}
 	v1, v2 := config.NewActive(1, twoZones(100, 40)), config.NewActive(2, heavier)
 	all := []int{0, 1, 2, 3}
-	var vt, me Cuts
+	var vt, me SplitVersions
 	vt.Observe(v1, nil, start)
 	me.Observe(v1, nil, start)
-	share := func(c *Cuts, v *config.Active, zone string, at time.Duration, members ...membership.Member) float64 {
-		s := Shape{Zone: zone, Slots: all, Versions: c.Observe(v, members, start.Add(at))}
+	share := func(c *SplitVersions, v *config.Active, zone string, at time.Duration, members ...membership.Member) float64 {
+		s := HeldSlots{Zone: zone, Slots: all, Versions: c.Observe(v, members, start.Add(at))}
 		own, _, _ := s.Share(CustomerQuota("farm"))
 		return own.Rate
 	}
@@ -72,7 +72,7 @@
 		c.Zones[fmt.Sprint("z", i)] = config.Zone{Region: "maine", Slots: 16, Weight: 1 + float64(i%3)}
 	}
 	for _, name := range []string{CustomerQuota("farm"), config.LinkQuota("vermont", "maine"), config.ShiftQuota("lookup", "vermont", "maine")} {
-		cut := CutOf(c, name)
+		cut := SplitOf(c, name)
 		sum := 0.0
 		for _, f := range cut {
 			sum += f
@@ -80,7 +80,7 @@
 		g.Expect(sum).To(BeNumerically("~", 1, 1e-9))
 		g.Expect(len(cut)).To(BeNumerically("<=", MaxQuotaSlots))
 	}
-	g.Expect(CutOf(c, config.LinkQuota("vermont", "maine"))).To(HaveLen(4))
+	g.Expect(SplitOf(c, config.LinkQuota("vermont", "maine"))).To(HaveLen(4))
 }
 
 // A daemon keeps no account of a customer that does not call it. When one
@@ -89,8 +89,8 @@
 func TestAccountsAreMadeWhenNeededAndDroppedWhenFull(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLedger()
-	shape := &Shape{Zone: "vt-a", Slots: []int{0, 1}, Versions: []*config.Active{config.NewActive(1, twoZones(100, 40))}}
-	l.SetShape(shape, start)
+	shape := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1}, Versions: []*config.Active{config.NewActive(1, twoZones(100, 40))}}
+	l.SetHeldSlots(shape, start)
 	farm := CustomerQuota("farm")
 	ok, _ := l.Take(farm, 5, start.Add(100*time.Millisecond))
 	g.Expect(ok).To(BeFalse(), "25/s for 0.1 s is 2.5")
--- a/internal/quota/fence_test.go
+++ b/internal/quota/fence_test.go
@@ -20,7 +20,7 @@
 		Zones:     map[string]config.Zone{"vt-a": {Slots: 1, Weight: 1}},
 		Customers: map[string]config.Customer{"farm": {Rate: 10, Burst: 10}},
 	})
-	l.SetShape(&quota.Shape{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{version}}, now)
+	l.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{version}}, now)
 	farm := quota.CustomerQuota("farm")
 	l.Fence.Extend(now.Add(3 * time.Second))
 	ok, _ := l.Take(farm, 1, now.Add(2*time.Second))
--- a/internal/quota/hub_test.go
+++ b/internal/quota/hub_test.go
@@ -17,14 +17,14 @@
 	half, whole := Share{Rate: 50, Burst: 20}, Share{Rate: 100, Burst: 40}
 	earlier := NewAccount("customer/farm", half, whole, 20, now)
 	newer := NewAccount("customer/farm", half, whole, 20, now)
-	earlier.Situate(Situation{Self: "earlier", Hub: "earlier", Lenders: []string{"newer"}, Demand: 40})
-	newer.Situate(Situation{Self: "newer", Hub: "earlier", Lenders: []string{"earlier"}, Demand: 40})
+	earlier.SetFleetState(FleetState{Self: "earlier", Hub: "earlier", LoanSources: []string{"newer"}, Demand: 40})
+	newer.SetFleetState(FleetState{Self: "newer", Hub: "earlier", LoanSources: []string{"earlier"}, Demand: 40})
 	exchange(earlier, newer, now)
 	ok, _ := newer.Take(1, now)
 	g.Expect(ok).To(BeFalse(), "the share is lent")
 
-	newer.Situate(Situation{Self: "newer", Hub: "newer", Lenders: []string{"earlier"}, Demand: 40})
-	ticket, _ := newer.Join(1, time.Second, now)
+	newer.SetFleetState(FleetState{Self: "newer", Hub: "newer", LoanSources: []string{"earlier"}, Demand: 40})
+	ticket, _ := newer.JoinQueue(1, time.Second, now)
 	g.Expect(ticket).NotTo(BeNil())
 	exchange(newer, earlier, now)
 	g.Expect(ticket.Done()).To(BeClosed())
@@ -40,24 +40,24 @@
 	half, whole := Share{Rate: 50, Burst: 20}, Share{Rate: 100, Burst: 40}
 	hub := NewAccount("customer/farm", half, whole, 20, now)
 	leaving := NewAccount("customer/farm", half, whole, 20, now)
-	hub.Situate(Situation{Self: "hub", Hub: "hub", Lenders: []string{"leaving"}, Demand: 40})
-	leaving.Situate(Situation{Self: "leaving", Hub: "hub", Lenders: []string{"hub"}, Demand: 40})
+	hub.SetFleetState(FleetState{Self: "hub", Hub: "hub", LoanSources: []string{"leaving"}, Demand: 40})
+	leaving.SetFleetState(FleetState{Self: "leaving", Hub: "hub", LoanSources: []string{"hub"}, Demand: 40})
 	exchange(hub, leaving, now)
 	g.Expect(leaving.Level(now)).To(BeZero(), "the share is lent")
 
-	leaving.Situate(Situation{Self: "leaving", Hub: "hub", Leaving: true, Demand: 40})
-	for passed := time.Duration(0); passed < StandingTerm; passed += 100 * time.Millisecond {
+	leaving.SetFleetState(FleetState{Self: "leaving", Hub: "hub", Leaving: true, Demand: 40})
+	for passed := time.Duration(0); passed < ShareLoanTerm; passed += 100 * time.Millisecond {
 		at := now.Add(passed)
 		exchange(hub, leaving, at)
 		served, _ := leaving.Take(1, at)
 		if !served {
-			ticket, _ := leaving.Join(1, MaxWait, at)
+			ticket, _ := leaving.JoinQueue(1, MaxWait, at)
 			g.Expect(ticket).NotTo(BeNil(), passed.String())
 			exchange(leaving, hub, at)
 			g.Expect(ticket.state).To(Equal(ticketServed), passed.String())
 		}
 	}
-	leaving.Serve(now.Add(StandingTerm + 2*Margin))
+	leaving.ServeQueue(now.Add(ShareLoanTerm + 2*ExpiryMargin))
 	g.Expect(leaving.lender.loans).To(BeEmpty(), "the hub's loan was not extended")
 }
 
@@ -65,7 +65,7 @@
 // answers back at once.
 func exchange(from, to *Account, now time.Time) {
 	for _, out := range from.Plan(now) {
-		grant, _ := to.Lend(out.Ask, now)
-		from.Answered(out.Ask.Loan, grant, out.Sent, now)
+		grant, _ := to.Lend(out.Request, now)
+		from.ApplyGrant(out.Request.Loan, grant, out.SentAt, now)
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -43,14 +43,14 @@
 
 type epoch struct {
 	from  time.Time
-	shape *Shape
+	shape *HeldSlots
 }
 
 // NewLedger returns a ledger without a shape: it admits nothing.
 func NewLedger() *Ledger { return &Ledger{wake: make(chan string, wakeSize)} }
 
-// SetShape sets what this daemon holds from now on.
-func (l *Ledger) SetShape(s *Shape, now time.Time) {
+// SetHeldSlots sets the slots that this daemon holds from now on.
+func (l *Ledger) SetHeldSlots(s *HeldSlots, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.epochs = append(l.epochs, epoch{now, s})
@@ -59,7 +59,7 @@
 	}
 	l.each(func(name string, a *Account) {
 		own, whole, _ := s.Share(name)
-		a.Reshape(own, whole, now)
+		a.SetShares(own, whole, now)
 	})
 }
 
@@ -118,7 +118,7 @@
 	a := NewAccount(name, Share{}, Share{}, 0, l.epochs[0].from)
 	for _, e := range l.epochs {
 		own, whole, _ := e.shape.Share(name)
-		a.Reshape(own, whole, e.from)
+		a.SetShares(own, whole, e.from)
 	}
 	a.advance(now)
 	a.usedAt, a.demandAt = now, now
@@ -141,9 +141,9 @@
 	return ok, wait
 }
 
-// Expected is how long until a taker that comes now would be served; false if
+// ExpectedWait is how long until a taker that comes now would be served; false if
 // the quota is not known.
-func (l *Ledger) Expected(name string, cost float64, now time.Time) (known bool, wait time.Duration) {
+func (l *Ledger) ExpectedWait(name string, cost float64, now time.Time) (known bool, wait time.Duration) {
 	wait = never
 	known = l.with(name, now, func(a *Account) {
 		a.advance(now)
@@ -152,11 +152,11 @@
 	return known, wait
 }
 
-// Join queues for cost; see Account.Join.
-func (l *Ledger) Join(name string, cost float64, patience time.Duration, now time.Time) (*Ticket, time.Duration) {
+// JoinQueue queues for cost; see Account.JoinQueue.
+func (l *Ledger) JoinQueue(name string, cost float64, patience time.Duration, now time.Time) (*Ticket, time.Duration) {
 	var t *Ticket
 	wait := never
-	l.with(name, now, func(a *Account) { t, wait = a.Join(cost, patience, now) })
+	l.with(name, now, func(a *Account) { t, wait = a.JoinQueue(cost, patience, now) })
 	if t != nil {
 		l.nudge(name)
 	}
@@ -170,15 +170,15 @@
 	}
 }
 
-// Wanted delivers the names of quotas that want a Plan before the next tick.
-func (l *Ledger) Wanted() <-chan string { return l.wake }
+// PlanRequests delivers the names of quotas that want a Plan before the next tick.
+func (l *Ledger) PlanRequests() <-chan string { return l.wake }
 
 // Await waits until a ticket was served (true) or refused, or ctx has ended;
 // then the place is given up.
 func (l *Ledger) Await(ctx context.Context, name string, t *Ticket) bool {
 	for {
 		wait := never
-		l.with(name, time.Now(), func(a *Account) { wait = a.NextServe(t) })
+		l.with(name, time.Now(), func(a *Account) { wait = a.ServeDelay(t) })
 		select {
 		case <-t.done:
 			return t.state == ticketServed
@@ -188,7 +188,7 @@
 			return served
 		case <-time.After(max(wait, 0)):
 			now := time.Now()
-			l.with(name, now, func(a *Account) { a.Serve(now) })
+			l.with(name, now, func(a *Account) { a.ServeQueue(now) })
 		}
 	}
 }
@@ -199,8 +199,8 @@
 }
 
 // Plan returns what to ask peers for one quota.
-func (l *Ledger) Plan(name string, now time.Time) []Outgoing {
-	var out []Outgoing
+func (l *Ledger) Plan(name string, now time.Time) []OutgoingRequest {
+	var out []OutgoingRequest
 	if e, ok := l.accounts.Load(name); ok {
 		l.run(e, now, func(a *Account) { out = a.Plan(now) })
 	}
@@ -208,25 +208,25 @@
 }
 
 // Lend answers a peer's ask; see Account.Lend.
-func (l *Ledger) Lend(ask Ask, now time.Time) (g Grant, t *Ticket) {
+func (l *Ledger) Lend(ask LoanRequest, now time.Time) (g Grant, t *Ticket) {
 	l.with(ask.Quota, now, func(a *Account) { g, t = a.Lend(ask, now) })
 	return g, t
 }
 
-// Granted is the answer that a ticket of Lend came to.
-func (l *Ledger) Granted(name string, t *Ticket, now time.Time) (g Grant) {
-	l.with(name, now, func(a *Account) { g = a.Granted(t) })
+// TicketGrant is the response that a ticket of Lend came to.
+func (l *Ledger) TicketGrant(name string, t *Ticket, now time.Time) (g Grant) {
+	l.with(name, now, func(a *Account) { g = a.TicketGrant(t) })
 	return g
 }
 
-// Answered notes a peer's answer to an ask; see Account.Answered.
-func (l *Ledger) Answered(o Outgoing, g Grant, now time.Time) {
-	l.with(o.Ask.Quota, now, func(a *Account) { a.Answered(o.Ask.Loan, g, o.Sent, now) })
+// ApplyGrant applies a peer's response to a loan request; see Account.ApplyGrant.
+func (l *Ledger) ApplyGrant(o OutgoingRequest, g Grant, now time.Time) {
+	l.with(o.Request.Quota, now, func(a *Account) { a.ApplyGrant(o.Request.Loan, g, o.SentAt, now) })
 }
 
-// Failed notes that an ask came to nothing.
-func (l *Ledger) Failed(o Outgoing, now time.Time) {
-	l.with(o.Ask.Quota, now, func(a *Account) { a.Failed(o.Ask.Loan, o.Sent) })
+// DropRequest removes a loan request that failed.
+func (l *Ledger) DropRequest(o OutgoingRequest, now time.Time) {
+	l.with(o.Request.Quota, now, func(a *Account) { a.DropRequest(o.Request.Loan, o.SentAt) })
 }
 
 // Names are the quotas in use here.
@@ -239,10 +239,10 @@
 	return names
 }
 
-// Situate sets the situation of one quota.
-func (l *Ledger) Situate(name string, s Situation) {
+// SetFleetState sets what is known of the fleet for one quota.
+func (l *Ledger) SetFleetState(name string, s FleetState) {
 	if e, ok := l.accounts.Load(name); ok {
-		l.run(e, time.Now(), func(a *Account) { a.Situate(s) })
+		l.run(e, time.Now(), func(a *Account) { a.SetFleetState(s) })
 	}
 }
 
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -13,10 +13,10 @@
 const roundingSlack = 1e-9
 
 // Lend answers a peer's Ask, or returns a ticket whose end brings the answer
-// (see Granted).
-func (a *Account) Lend(ask Ask, now time.Time) (Grant, *Ticket) {
+// (see TicketGrant).
+func (a *Account) Lend(ask LoanRequest, now time.Time) (Grant, *Ticket) {
 	a.advance(now)
-	for _, c := range ask.Closed {
+	for _, c := range ask.ClosedLoans {
 		a.level += a.lender.close(loanKey{ask.Borrower, c.Loan}, c.Tokens, a.at)
 	}
 	a.cut()
@@ -25,7 +25,7 @@
 	switch {
 	case a.fenced:
 		return Grant{}, nil
-	case ask.Standing:
+	case ask.ShareLoan:
 		return a.lendShare(key), nil
 	case ask.Tokens > 0:
 		return a.lendSoon(key, ask)
@@ -44,7 +44,7 @@
 	if a.situation.Leaving {
 		return Grant{}
 	}
-	covered := a.own.minus(a.lender.Lent())
+	covered := a.own.minus(a.lender.Sum())
 	if key.borrower != a.situation.Hub || covered.Rate < -roundingSlack || covered.Burst < -roundingSlack {
 		return Grant{}
 	}
@@ -54,23 +54,23 @@
 	}
 	tokens := max(0, math.Min(a.level, free.Burst))
 	a.level -= tokens
-	total := a.lender.lend(key, free, tokens, StandingTerm, a.at)
-	return Grant{Share: total, Tokens: tokens, Term: StandingTerm}
+	total := a.lender.lend(key, free, tokens, ShareLoanTerm, a.at)
+	return Grant{Share: total, Tokens: tokens, Term: ShareLoanTerm}
 }
 
 // lendSoon lends tokens now, or queues the peer behind those that came before.
-func (a *Account) lendSoon(key loanKey, ask Ask) (Grant, *Ticket) {
+func (a *Account) lendSoon(key loanKey, ask LoanRequest) (Grant, *Ticket) {
 	if len(a.queue) == 0 && a.covers(ask.Tokens) {
 		return a.lendTokens(key, ask.Tokens), nil
 	}
 	wait := a.expected(ask.Tokens)
-	if a.situation.Over || wait < 0 || wait > min(ask.Patience, MaxWait) {
+	if a.situation.OverRate || wait < 0 || wait > min(ask.MaxDelay, MaxWait) {
 		if whole := math.Floor(a.level); len(a.queue) == 0 && whole >= 1 {
 			return a.lendTokens(key, whole), nil
 		}
 		return Grant{RetryAfter: max(wait, time.Millisecond)}, nil
 	}
-	return Grant{}, a.enqueue(&Ticket{cost: ask.Tokens, until: a.at.Add(ask.Patience), loan: &key})
+	return Grant{}, a.enqueue(&Ticket{cost: ask.Tokens, until: a.at.Add(ask.MaxDelay), loan: &key})
 }
 
 // lendTokens lends tokens with as much capacity, for a term in which that
@@ -78,8 +78,8 @@
 // Without this bound the capacity would be spent by the peer and, after the
 // loan under it has ended, also by the first lender.
 func (a *Account) lendTokens(key loanKey, tokens float64) Grant {
-	for term := TokenTerm; term >= minTokenTerm; term -= 50 * time.Millisecond {
-		backing := a.own.minus(a.lender.Lent()).plus(a.borrower.Held(a.at.Add(term + Margin)))
+	for term := TokenLoanTerm; term >= minTokenTerm; term -= 50 * time.Millisecond {
+		backing := a.own.minus(a.lender.Sum()).plus(a.borrower.SumAfter(a.at.Add(term + ExpiryMargin)))
 		if backing.Burst < tokens {
 			continue
 		}
@@ -90,16 +90,16 @@
 	return Grant{RetryAfter: minTokenTerm}
 }
 
-// Granted is the answer that a ticket of Lend came to.
-func (a *Account) Granted(t *Ticket) Grant {
+// TicketGrant is the response that a ticket of Lend came to.
+func (a *Account) TicketGrant(t *Ticket) Grant {
 	if t.state == ticketServed {
 		return t.grant
 	}
 	return Grant{RetryAfter: max(a.expected(t.cost), time.Millisecond)}
 }
 
-// Answered notes a peer's answer to the ask sent at sent.
-func (a *Account) Answered(id uint64, g Grant, sent, now time.Time) {
+// ApplyGrant applies a peer's response to the loan request sent at sent.
+func (a *Account) ApplyGrant(id uint64, g Grant, sent, now time.Time) {
 	a.advance(now)
 	p, waiting := a.borrower.pending[id]
 	a.level += a.borrower.granted(id, g, sent, a.at)
@@ -113,7 +113,7 @@
 func (a *Account) noteAnswer(g Grant, sent time.Time) {
 	if g.RetryAfter > 0 {
 		a.blockedUntil = a.at.Add(g.RetryAfter)
-		if a.situation.Over {
+		if a.situation.OverRate {
 			a.refuseAll()
 		}
 		return
@@ -137,10 +137,10 @@
 	}
 }
 
-// Failed notes that an ask came to nothing. The peer may have lent and the
+// DropRequest removes a loan request that failed. The peer may have lent and the
 // answer been lost: then the tokens are lost, and its capacity is back there
 // when the term has ended.
-func (a *Account) Failed(id uint64, sent time.Time) {
+func (a *Account) DropRequest(id uint64, sent time.Time) {
 	if p, ok := a.borrower.pending[id]; ok && p.sent.Equal(sent) {
 		delete(a.borrower.pending, id)
 	}
--- a/internal/quota/level.go
+++ b/internal/quota/level.go
@@ -8,7 +8,7 @@
 	Tokens float64
 }
 
-// Surrender empties the ledger before its slots pass to a zone peer, and
+// ReleaseLevels empties the ledger before its slots pass to a zone peer, and
 // returns the levels to pass with them. If clean is false, parts of the
 // shares are still lent out: then the slots must not be used by the peer
 // before Quarantine has passed, and the levels are lost.
@@ -16,14 +16,14 @@
 // Accounts are made when they are first used. One that never was has saved
 // tokens all the same, so all are made first: otherwise a customer that did
 // not call here would lose its burst with every stop.
-func (l *Ledger) Surrender(now time.Time) (levels []Level, clean bool) {
+func (l *Ledger) ReleaseLevels(now time.Time) (levels []Level, clean bool) {
 	for _, name := range l.declared() {
 		l.with(name, now, func(*Account) {})
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clean = true
-	l.epochs = []epoch{{now, &Shape{}}}
+	l.epochs = []epoch{{now, &HeldSlots{}}}
 	l.each(func(name string, a *Account) {
 		a.advance(now)
 		clean = clean && len(a.lender.loans) == 0
@@ -31,7 +31,7 @@
 			levels = append(levels, Level{name, a.level})
 		}
 		a.level = 0
-		a.Reshape(Share{}, a.whole, now)
+		a.SetShares(Share{}, a.whole, now)
 	})
 	return levels, clean
 }
@@ -58,9 +58,9 @@
 	return names
 }
 
-// Adopt adds levels that came with slots from a zone peer, as far as the
+// AddLevels adds levels that came with slots from a zone peer, as far as the
 // capacity, which must be set before, holds them.
-func (l *Ledger) Adopt(levels []Level, now time.Time) {
+func (l *Ledger) AddLevels(levels []Level, now time.Time) {
 	for _, x := range levels {
 		l.with(x.Quota, now, func(a *Account) { a.Refund(x.Tokens, now) })
 	}
--- a/internal/quota/loan.go
+++ b/internal/quota/loan.go
@@ -4,48 +4,48 @@
 
 // Timing of loans.
 const (
-	// StandingTerm is the term of a standing loan. A dead hub's lenders have
-	// their shares again after it; a renewal at StandingRenew leaves three
+	// ShareLoanTerm is the term of a loan of a share. A dead hub's lenders have
+	// their shares again after it; a renewal at ShareLoanRenewal leaves three
 	// tries.
-	StandingTerm = 2 * time.Second
-	// StandingRenew is when the borrower asks again.
-	StandingRenew = 500 * time.Millisecond
-	// TokenTerm is the term of a loan of tokens: above the round trip between
+	ShareLoanTerm = 2 * time.Second
+	// ShareLoanRenewal is the time after which the borrower renews it.
+	ShareLoanRenewal = 500 * time.Millisecond
+	// TokenLoanTerm is the term of a loan of tokens: above the round trip between
 	// the farthest regions (110 ms) and the longest wait in the lender's queue
 	// (MaxWait) together, and well under what is left of a standing loan
 	// between renewals, since the hub lends on what it borrowed.
-	TokenTerm = 800 * time.Millisecond
-	// Margin is added by the lender to every term: drift of the clocks over a
+	TokenLoanTerm = 800 * time.Millisecond
+	// ExpiryMargin is added by the lender to every term: drift of the clocks over a
 	// term (under 1 ms at 500 ppm) and the time between a taker's reading of
 	// the clock and its take.
-	Margin = 100 * time.Millisecond
+	ExpiryMargin = 100 * time.Millisecond
 	// Quarantine is how long a slot taken over without a hand-over stays
 	// unused: until every loan of its earlier holder has ended everywhere.
-	Quarantine = StandingTerm + 2*Margin
+	Quarantine = ShareLoanTerm + 2*ExpiryMargin
 )
 
-// Ask is a daemon's request to borrow. The borrower chooses Loan, and never
+// LoanRequest is a daemon's request to borrow. The borrower chooses Loan, and never
 // uses an id again that it has closed.
-type Ask struct {
+type LoanRequest struct {
 	Quota, Borrower string
 	Loan            uint64
-	// Standing asks for (or renews) a loan of the lender's free share; else
+	// ShareLoan asks for (or renews) a loan of the lender's free share; else
 	// Tokens are asked for, 0 for none.
-	Standing bool
-	Tokens   float64
-	// Patience is how long the lender may hold the answer back.
-	Patience time.Duration
-	// Closed are loans that the borrower has ended early.
-	Closed []Closing
+	ShareLoan bool
+	Tokens    float64
+	// MaxDelay is how long the lender may delay the response.
+	MaxDelay time.Duration
+	// ClosedLoans are loans that the borrower has ended early.
+	ClosedLoans []LoanClosing
 }
 
-// Closing ends a loan early. Tokens are those that the borrower gave up.
-type Closing struct {
+// LoanClosing ends a loan early. Tokens are those that the borrower gave up.
+type LoanClosing struct {
 	Loan   uint64
 	Tokens float64
 }
 
-// Grant answers an Ask: the loan as it now stands and the tokens that move
+// Grant answers a LoanRequest: the loan as it now stands and the tokens that move
 // with this answer. A Share of zero grants nothing.
 type Grant struct {
 	Share  Share
@@ -77,14 +77,14 @@
 	}
 }
 
-// Lender is what a daemon has lent of one quota. Its owner's rate and
+// LentLoans are what a daemon has lent of one quota. Its owner's rate and
 // capacity are lower by it. A record is removed when its term and the margin
 // have passed, or when the borrower closes it; before that it never shrinks,
 // because the borrower may be spending it.
-type Lender struct{ loans []lentLoan }
+type LentLoans struct{ loans []lentLoan }
 
-// Lent is the sum of the loans.
-func (l *Lender) Lent() Share {
+// Sum is the sum of the loans.
+func (l *LentLoans) Sum() Share {
 	var sum Share
 	for _, x := range l.loans {
 		sum = sum.plus(x.share)
@@ -93,8 +93,8 @@
 }
 
 // lend records a loan, or adds to it and extends it.
-func (l *Lender) lend(key loanKey, more Share, tokens float64, term time.Duration, now time.Time) Share {
-	until := now.Add(term + Margin)
+func (l *LentLoans) lend(key loanKey, more Share, tokens float64, term time.Duration, now time.Time) Share {
+	until := now.Add(term + ExpiryMargin)
 	for i := range l.loans {
 		x := &l.loans[i]
 		if x.key != key {
@@ -114,9 +114,9 @@
 
 // close ends a loan early and returns the tokens to take back. A closing that
 // comes twice or after the term finds no record and brings nothing. One that
-// follows a repeated Ask finds a record that nobody spends from; what comes
+// follows a repeated LoanRequest finds a record that nobody spends from; what comes
 // back is bounded by what that record can hold, so no token is made.
-func (l *Lender) close(key loanKey, tokens float64, now time.Time) float64 {
+func (l *LentLoans) close(key loanKey, tokens float64, now time.Time) float64 {
 	for i := range l.loans {
 		x := &l.loans[i]
 		if x.key != key {
@@ -131,7 +131,7 @@
 }
 
 // nextEnd is the earliest end of a loan at or before now.
-func (l *Lender) nextEnd(now time.Time) time.Time {
+func (l *LentLoans) nextEnd(now time.Time) time.Time {
 	for _, x := range l.loans {
 		if !x.until.After(now) {
 			now = x.until
@@ -140,7 +140,7 @@
 	return now
 }
 
-func (l *Lender) expire(now time.Time) {
+func (l *LentLoans) expire(now time.Time) {
 	kept := l.loans[:0]
 	for _, x := range l.loans {
 		if x.until.After(now) {
@@ -167,16 +167,16 @@
 	sent     time.Time
 }
 
-// Borrower is what a daemon has borrowed of one quota and has asked for. Its
+// BorrowedLoans are what a daemon has borrowed of one quota and has asked for. Its
 // owner's rate and capacity are higher by it until the term has passed.
-type Borrower struct {
+type BorrowedLoans struct {
 	loans   []borrowedLoan
 	pending map[uint64]pendingAsk
 	lastID  uint64
 }
 
-// Held is the sum of the loans that end after t.
-func (b *Borrower) Held(t time.Time) Share {
+// SumAfter is the sum of the loans that end after t.
+func (b *BorrowedLoans) SumAfter(t time.Time) Share {
 	var sum Share
 	for _, x := range b.loans {
 		if x.until.After(t) {
@@ -187,7 +187,7 @@
 }
 
 // asked notes a request that is about to leave.
-func (b *Borrower) asked(id uint64, p pendingAsk) {
+func (b *BorrowedLoans) asked(id uint64, p pendingAsk) {
 	if b.pending == nil {
 		b.pending = map[uint64]pendingAsk{}
 	}
@@ -198,7 +198,7 @@
 // that it brings. An answer that nobody waits for any more, because the loan
 // was closed or asked for again meanwhile, or that comes after its term,
 // brings nothing: the lender may have its capacity back.
-func (b *Borrower) granted(id uint64, g Grant, sent, now time.Time) float64 {
+func (b *BorrowedLoans) granted(id uint64, g Grant, sent, now time.Time) float64 {
 	p, waiting := b.pending[id]
 	if !waiting || !p.sent.Equal(sent) {
 		return 0
@@ -222,7 +222,7 @@
 
 // drop forgets a loan and any request about it, so that a late answer cannot
 // bring it back.
-func (b *Borrower) drop(id uint64) {
+func (b *BorrowedLoans) drop(id uint64) {
 	delete(b.pending, id)
 	for i := range b.loans {
 		if b.loans[i].id == id {
@@ -232,7 +232,7 @@
 	}
 }
 
-func (b *Borrower) nextEnd(now time.Time) time.Time {
+func (b *BorrowedLoans) nextEnd(now time.Time) time.Time {
 	for _, x := range b.loans {
 		if !x.until.After(now) {
 			now = x.until
@@ -241,7 +241,7 @@
 	return now
 }
 
-func (b *Borrower) expire(now time.Time) {
+func (b *BorrowedLoans) expire(now time.Time) {
 	kept := b.loans[:0]
 	for _, x := range b.loans {
 		if x.until.After(now) {
@@ -250,7 +250,7 @@
 	}
 	b.loans = kept
 	for id, p := range b.pending {
-		if now.Sub(p.sent) > StandingTerm {
+		if now.Sub(p.sent) > ShareLoanTerm {
 			delete(b.pending, id)
 		}
 	}
--- a/internal/quota/measure_test.go
+++ b/internal/quota/measure_test.go
@@ -224,7 +224,7 @@
 	for _, e := range kept {
 		out := hubOf(e.account, MaxQuotaSlots-1).Plan(start)
 		for _, o := range out {
-			e.account.Answered(o.Ask.Loan, Grant{Share: Share{1, 1}, Term: StandingTerm}, o.Sent, start)
+			e.account.ApplyGrant(o.Request.Loan, Grant{Share: Share{1, 1}, Term: ShareLoanTerm}, o.SentAt, start)
 		}
 	}
 	fmt.Printf("hub's account with %d lenders: %d bytes\n", MaxQuotaSlots-1, (heapInUse()-before)/accounts)
@@ -246,7 +246,7 @@
 }()
 
 func hubOf(a *Account, lenders int) *Account {
-	a.Situate(Situation{Self: "hub", Hub: "hub", Lenders: lenderNames[:lenders], Demand: 100})
+	a.SetFleetState(FleetState{Self: "hub", Hub: "hub", LoanSources: lenderNames[:lenders], Demand: 100})
 	return a
 }
 
@@ -262,7 +262,7 @@
 				for range 10 {
 					now = now.Add(50 * time.Millisecond)
 					for _, o := range a.Plan(now) {
-						a.Answered(o.Ask.Loan, Grant{Share: Share{1, 1}, Term: StandingTerm}, o.Sent, now)
+						a.ApplyGrant(o.Request.Loan, Grant{Share: Share{1, 1}, Term: ShareLoanTerm}, o.SentAt, now)
 					}
 				}
 			}
@@ -273,11 +273,11 @@
 // BenchmarkLend is a lender's part in one renewal.
 func BenchmarkLend(b *testing.B) {
 	a := NewAccount("q", Share{10, 5}, Share{200, 50}, 0, start)
-	a.Situate(Situation{Self: "lender", Hub: "hub"})
+	a.SetFleetState(FleetState{Self: "lender", Hub: "hub"})
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		a.Lend(Ask{Quota: "q", Borrower: "hub", Loan: 1, Standing: true}, now)
+		a.Lend(LoanRequest{Quota: "q", Borrower: "hub", Loan: 1, ShareLoan: true}, now)
 	}
 }
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -27,16 +27,16 @@
 	overFactor = 1.25
 )
 
-// Situation is what the control thread knows of the fleet for one quota.
-type Situation struct {
+// FleetState is what the control thread knows of the fleet for one quota.
+type FleetState struct {
 	// Self and Hub are instances; no hub is "".
 	Self, Hub string
-	// Lenders hold slots of the quota, without this daemon.
-	Lenders []string
+	// LoanSources hold slots of the quota, without this daemon.
+	LoanSources []string
 	// Demand of the fleet in tokens per second.
 	Demand float64
-	// Over: the fleet's demand is above the whole rate.
-	Over bool
+	// OverRate: the fleet's demand is above the whole rate.
+	OverRate bool
 	// Leaving: this daemon is at its planned stop. It is no hub, and lends and
 	// keeps no share; callers that have not looked elsewhere yet are served with
 	// tokens of the hub.
@@ -50,9 +50,9 @@
 	Value    float64
 }
 
-// Elect returns the hub, the daemon with the highest score ("" if there is
+// ElectHub returns the hub, the daemon with the highest score ("" if there is
 // none), and the fleet's demand in tokens per second, the hub's lead taken out.
-func Elect(scores []Score) (hub string, demand float64) {
+func ElectHub(scores []Score) (hub string, demand float64) {
 	best := Score{}
 	for _, s := range scores {
 		demand += s.Value
@@ -77,18 +77,18 @@
 	return d
 }
 
-// Situate sets the situation. A hub that is one no longer gives its standing
+// SetFleetState sets the state of the fleet. A hub that is one no longer gives its standing
 // loans back at the next Plan.
-func (a *Account) Situate(s Situation) {
-	s.Over = s.Demand > overFactor*a.whole.Rate
+func (a *Account) SetFleetState(s FleetState) {
+	s.OverRate = s.Demand > overFactor*a.whole.Rate
 	a.situation = s
 }
 
-// Outgoing is an Ask to send.
-type Outgoing struct {
-	To   string
-	Ask  Ask
-	Sent time.Time
+// OutgoingRequest is a LoanRequest to send.
+type OutgoingRequest struct {
+	To      string
+	Request LoanRequest
+	SentAt  time.Time
 }
 
 // Plan returns what to send now. The load pattern answered: one customer's
@@ -97,7 +97,7 @@
 // though others' parts lie idle. The hub gathers the shares (standing loans);
 // the others take tokens from it, as many as wait and a round trip's demand
 // ahead.
-func (a *Account) Plan(now time.Time) []Outgoing {
+func (a *Account) Plan(now time.Time) []OutgoingRequest {
 	a.advance(now)
 	a.serve()
 	switch {
@@ -111,12 +111,12 @@
 	}
 }
 
-func (a *Account) planHub() []Outgoing {
-	var out []Outgoing
-	for _, lender := range a.situation.Lenders {
+func (a *Account) planHub() []OutgoingRequest {
+	var out []OutgoingRequest
+	for _, lender := range a.situation.LoanSources {
 		id, due := a.standingWith(lender)
 		if due {
-			out = append(out, a.ask(lender, Ask{Loan: id, Standing: true}))
+			out = append(out, a.ask(lender, LoanRequest{Loan: id, ShareLoan: true}))
 		}
 	}
 	source := a.source()
@@ -148,31 +148,31 @@
 // standingWith finds the loan to renew or a new id, and whether to ask now.
 func (a *Account) standingWith(lender string) (uint64, bool) {
 	for _, p := range a.borrower.pending {
-		if p.standing && p.lender == lender && a.at.Sub(p.sent) < StandingRenew {
+		if p.standing && p.lender == lender && a.at.Sub(p.sent) < ShareLoanRenewal {
 			return 0, false
 		}
 	}
 	for _, l := range a.borrower.loans {
 		if l.standing && l.lender == lender {
-			return l.id, a.at.Sub(l.sent) >= StandingRenew
+			return l.id, a.at.Sub(l.sent) >= ShareLoanRenewal
 		}
 	}
 	a.borrower.lastID++
 	return a.borrower.lastID, true
 }
 
-func (a *Account) planOther() []Outgoing {
+func (a *Account) planOther() []OutgoingRequest {
 	out := a.closings(func(l borrowedLoan) bool { return l.standing || l.lender != a.situation.Hub })
 	return append(out, a.pullFrom(a.situation.Hub)...)
 }
 
 // pullFrom asks a daemon for the tokens needed, and closes what was spent of
 // those it gave before.
-func (a *Account) pullFrom(source string) []Outgoing {
+func (a *Account) pullFrom(source string) []OutgoingRequest {
 	if source == "" {
 		return nil
 	}
-	var out []Outgoing
+	var out []OutgoingRequest
 	spent := a.spentLoans(source)
 	for pulls := a.pulls(); pulls < maxPulls; pulls++ {
 		n := a.need(source)
@@ -180,23 +180,23 @@
 			break
 		}
 		a.borrower.lastID++
-		out = append(out, a.ask(source, Ask{
-			Loan: a.borrower.lastID, Tokens: n, Patience: MaxWait, Closed: spent,
+		out = append(out, a.ask(source, LoanRequest{
+			Loan: a.borrower.lastID, Tokens: n, MaxDelay: MaxWait, ClosedLoans: spent,
 		}))
 		spent = nil
 	}
 	if len(spent) > 0 {
-		out = append(out, a.ask(source, Ask{Closed: spent}))
+		out = append(out, a.ask(source, LoanRequest{ClosedLoans: spent}))
 	}
 	return out
 }
 
-func (a *Account) ask(to string, ask Ask) Outgoing {
+func (a *Account) ask(to string, ask LoanRequest) OutgoingRequest {
 	ask.Quota, ask.Borrower = a.name, a.situation.Self
-	if ask.Standing || ask.Tokens > 0 {
-		a.borrower.asked(ask.Loan, pendingAsk{lender: to, standing: ask.Standing, tokens: ask.Tokens, sent: a.at})
+	if ask.ShareLoan || ask.Tokens > 0 {
+		a.borrower.asked(ask.Loan, pendingAsk{lender: to, standing: ask.ShareLoan, tokens: ask.Tokens, sent: a.at})
 	}
-	return Outgoing{To: to, Ask: ask, Sent: a.at}
+	return OutgoingRequest{To: to, Request: ask, SentAt: a.at}
 }
 
 func (a *Account) pulls() int {
@@ -228,7 +228,7 @@
 // ahead is the demand of a round trip in whole tokens, bounded by this
 // daemon's part of what may lie outside the hub.
 func (a *Account) ahead() float64 {
-	if a.situation.Over || a.situation.Demand <= 0 {
+	if a.situation.OverRate || a.situation.Demand <= 0 {
 		return 0
 	}
 	d := a.Demand(a.at)
@@ -238,8 +238,8 @@
 
 // spentLoans closes the loans of tokens whose capacity is empty, so that the
 // hub has it again, and those about to end, with what is left in them.
-func (a *Account) spentLoans(source string) []Closing {
-	var out []Closing
+func (a *Account) spentLoans(source string) []LoanClosing {
+	var out []LoanClosing
 	for i := 0; i < len(a.borrower.loans); {
 		l := a.borrower.loans[i]
 		over := max(0, a.level-(a.shape().Burst-l.share.Burst))
@@ -257,21 +257,21 @@
 // has lent on. If a hub gave back the shares that its peers' tokens stand on,
 // their lenders would spend the same capacity again before those tokens end.
 func (a *Account) spare(l borrowedLoan) bool {
-	rest := a.own.minus(a.lender.Lent()).plus(a.borrower.Held(a.at)).minus(l.share)
+	rest := a.own.minus(a.lender.Sum()).plus(a.borrower.SumAfter(a.at)).minus(l.share)
 	return rest.Burst >= 0
 }
 
-func (a *Account) closeLoan(l borrowedLoan, tokens float64) Closing {
+func (a *Account) closeLoan(l borrowedLoan, tokens float64) LoanClosing {
 	a.level -= tokens
 	a.borrower.drop(l.id)
 	a.cut()
-	return Closing{Loan: l.id, Tokens: tokens}
+	return LoanClosing{Loan: l.id, Tokens: tokens}
 }
 
 // closings ends the loans that no longer fit the situation, with the tokens
 // that sit in them.
-func (a *Account) closings(which func(borrowedLoan) bool) []Outgoing {
-	var out []Outgoing
+func (a *Account) closings(which func(borrowedLoan) bool) []OutgoingRequest {
+	var out []OutgoingRequest
 	for i := 0; i < len(a.borrower.loans); {
 		l := a.borrower.loans[i]
 		if !which(l) || !a.spare(l) {
@@ -280,7 +280,7 @@
 		}
 		part := l.share.Burst / max(a.shape().Burst, l.share.Burst, roundingSlack)
 		tokens := max(0, min(a.level*part, l.share.Burst))
-		out = append(out, a.ask(l.lender, Ask{Closed: []Closing{a.closeLoan(l, tokens)}}))
+		out = append(out, a.ask(l.lender, LoanRequest{ClosedLoans: []LoanClosing{a.closeLoan(l, tokens)}}))
 	}
 	return out
 }
--- a/internal/quota/safety_test.go
+++ b/internal/quota/safety_test.go
@@ -37,7 +37,7 @@
 }
 
 type modelAsk struct {
-	out  Outgoing
+	out  OutgoingRequest
 	from *modelNode
 }
 
@@ -89,7 +89,7 @@
 			m.spend(t)
 			continue
 		}
-		if w, _ := n.account.Join(1, MaxWait, m.now); w != nil {
+		if w, _ := n.account.JoinQueue(1, MaxWait, m.now); w != nil {
 			n.waiting = append(n.waiting, w)
 		}
 	}
@@ -117,7 +117,7 @@
 		demand = m.whole.Rate * 5
 	}
 	leaving := hub != n.name && rapid.Bool().Draw(t, "leaving")
-	n.account.Situate(Situation{Self: n.name, Hub: hub, Lenders: lenders, Demand: demand, Leaving: leaving})
+	n.account.SetFleetState(FleetState{Self: n.name, Hub: hub, LoanSources: lenders, Demand: demand, Leaving: leaving})
 	for _, out := range n.account.Plan(m.now) {
 		m.asks = append(m.asks, modelAsk{out, n})
 	}
@@ -136,7 +136,7 @@
 	if to.crashed {
 		return
 	}
-	g, ticket := to.account.Lend(a.out.Ask, m.now)
+	g, ticket := to.account.Lend(a.out.Request, m.now)
 	if ticket != nil {
 		to.lent = append(to.lent, modelTicket{a, ticket})
 		return
@@ -154,7 +154,7 @@
 		m.grants = slices.Delete(m.grants, i, i+1)
 	}
 	if !g.from.crashed {
-		g.from.account.Answered(g.out.Ask.Loan, g.grant, g.out.Sent, m.now)
+		g.from.account.ApplyGrant(g.out.Request.Loan, g.grant, g.out.SentAt, m.now)
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 	if rapid.Bool().Draw(t, "paused") {
 		// Its lease has lapsed; it still answers, and lends on if it can.
-		defer n.account.Reshape(Share{}, m.whole, m.now)
+		defer n.account.SetShares(Share{}, m.whole, m.now)
 	} else {
 		n.crashed = true
 	}
@@ -208,10 +208,10 @@
 			continue
 		}
 		if n.adopts != (Share{}) && !m.now.Before(n.adoptsFrom) {
-			n.account.Reshape(n.account.own.plus(n.adopts), m.whole, m.now)
+			n.account.SetShares(n.account.own.plus(n.adopts), m.whole, m.now)
 			n.adopts = Share{}
 		}
-		n.account.Serve(m.now)
+		n.account.ServeQueue(m.now)
 		m.settle(t, n)
 		level := n.account.Level(m.now)
 		if math.IsNaN(level) || level < -1e-6 {
@@ -235,7 +235,7 @@
 		if l.ticket.state == ticketWaiting {
 			return false
 		}
-		m.grants = append(m.grants, modelGrant{l.modelAsk, n.account.Granted(l.ticket)})
+		m.grants = append(m.grants, modelGrant{l.modelAsk, n.account.TicketGrant(l.ticket)})
 		return true
 	})
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -34,9 +34,9 @@
 // CustomerQuota names a customer's quota, in requests.
 func CustomerQuota(customer string) string { return customerPrefix + customer }
 
-// Whole is a quota as a version of the configuration gives it; false if the
+// Total is a quota as a version of the configuration gives it; false if the
 // version does not name it.
-func Whole(c *config.Config, name string) (Share, bool) {
+func Total(c *config.Config, name string) (Share, bool) {
 	if customer, ok := strings.CutPrefix(name, customerPrefix); ok {
 		cu, known := c.Customers[customer]
 		return Share{Rate: cu.Rate, Burst: cu.Burst}, known
@@ -80,11 +80,11 @@
 	slot int
 }
 
-// Cut is each slot's fraction of a quota; slots without one have no part.
-type Cut map[slotKey]float64
+// Split is each slot's fraction of a quota; slots without one have no part.
+type Split map[slotKey]float64
 
-// Holds tells whether slots of a zone have a part.
-func (c Cut) Holds(zone string, slots []int) bool {
+// HasShare tells whether slots of a zone have a part.
+func (c Split) HasShare(zone string, slots []int) bool {
 	for _, slot := range slots {
 		if c[slotKey{zone, slot}] > 0 {
 			return true
@@ -93,12 +93,12 @@
 	return false
 }
 
-// CutOf cuts a quota over the slots. The fractions sum to 1. Over
+// SplitOf splits a quota over the slots. The fractions sum to 1. Over
 // more than MaxQuotaSlots slots, that many are chosen by weighted rendezvous
 // hashing, so that all daemons choose the same ones and a changed zone moves
 // only its own.
-func CutOf(c *config.Config, name string) Cut {
-	cut := Cut{}
+func SplitOf(c *config.Config, name string) Split {
+	cut := Split{}
 	parts := weights(c, name)
 	for zone, z := range c.Zones {
 		w := parts[zone] / float64(z.Slots)
@@ -119,7 +119,7 @@
 	return cut
 }
 
-func choose(cut Cut, name string) {
+func choose(cut Split, name string) {
 	type scored struct {
 		key   slotKey
 		score float64
@@ -144,9 +144,9 @@
 	}
 }
 
-// Shape is what this daemon holds: usable slots of its zone, under versions of
+// HeldSlots is what this daemon holds: usable slots of its zone, under versions of
 // the configuration. It is never modified.
-type Shape struct {
+type HeldSlots struct {
 	Zone  string
 	Slots []int
 	// Versions that may be in force somewhere, the newest last.
@@ -158,11 +158,11 @@
 // cut changes, a daemon with the old version still spends the old fraction of
 // its slots, and a raised one elsewhere would exceed the quota together with
 // it.
-func (s *Shape) Share(name string) (own, whole Share, known bool) {
+func (s *HeldSlots) Share(name string) (own, whole Share, known bool) {
 	if len(s.Versions) == 0 {
 		return Share{}, Share{}, false
 	}
-	whole, known = Whole(s.Versions[len(s.Versions)-1].Config, name)
+	whole, known = Total(s.Versions[len(s.Versions)-1].Config, name)
 	if !known {
 		return Share{}, Share{}, false
 	}
@@ -171,10 +171,10 @@
 		least[slot] = 1
 	}
 	for _, v := range s.Versions {
-		if _, named := Whole(v.Config, name); !named {
+		if _, named := Total(v.Config, name); !named {
 			continue
 		}
-		cut := CutOf(v.Config, name)
+		cut := SplitOf(v.Config, name)
 		for slot := range least {
 			least[slot] = min(least[slot], cut[slotKey{s.Zone, slot}])
 		}
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -92,7 +92,7 @@
 type simRemote struct {
 	ticket *Ticket
 	from   *simNode
-	out    Outgoing
+	out    OutgoingRequest
 }
 
 // simRegions places ten daemons: zones of 2, 2, 2, 2, 1 and 1 in 3 regions.
@@ -200,7 +200,7 @@
 		n.plan()
 		return
 	}
-	t, wait := n.account.Join(1, time.Second, s.now)
+	t, wait := n.account.JoinQueue(1, time.Second, s.now)
 	if t == nil {
 		w.refused(n, wait)
 		return
@@ -286,7 +286,7 @@
 		if r.ticket.state == ticketWaiting {
 			return false
 		}
-		n.answer(r.from, r.out, n.account.Granted(r.ticket))
+		n.answer(r.from, r.out, n.account.TicketGrant(r.ticket))
 		return true
 	})
 	n.wake()
@@ -295,7 +295,7 @@
 func (n *simNode) wake() {
 	wait := never
 	if len(n.account.queue) > 0 {
-		wait = n.account.NextServe(n.account.queue[0])
+		wait = n.account.ServeDelay(n.account.queue[0])
 	}
 	at := n.s.now.Add(wait)
 	if wait == never || (n.wakeAt.After(n.s.now) && !n.wakeAt.After(at)) {
@@ -303,7 +303,7 @@
 	}
 	n.wakeAt = at
 	n.s.after(wait, func() {
-		n.account.Serve(n.s.now)
+		n.account.ServeQueue(n.s.now)
 		n.pump()
 	})
 }
@@ -320,10 +320,10 @@
 		n.plan()
 	case policyProportional:
 		n.proportion()
-		n.account.Serve(s.now)
+		n.account.ServeQueue(s.now)
 		n.pump()
 	default:
-		n.account.Serve(s.now)
+		n.account.ServeQueue(s.now)
 		n.pump()
 	}
 }
@@ -338,8 +338,8 @@
 			lenders = append(lenders, p.name)
 		}
 	}
-	hub, demand := Elect(scores)
-	n.account.Situate(Situation{Self: n.name, Hub: hub, Lenders: lenders, Demand: demand})
+	hub, demand := ElectHub(scores)
+	n.account.SetFleetState(FleetState{Self: n.name, Hub: hub, LoanSources: lenders, Demand: demand})
 }
 
 // proportion is the rival: shares in proportion to the demand last heard.
@@ -351,7 +351,7 @@
 		sum += n.scores[p.name] + 0.01*s.whole.Rate
 	}
 	mine := n.scores[n.name] + 0.01*s.whole.Rate
-	n.account.Reshape(s.whole.times(mine/sum), s.whole, s.now)
+	n.account.SetShares(s.whole.times(mine/sum), s.whole, s.now)
 }
 
 func (n *simNode) beat() {
@@ -390,7 +390,7 @@
 // Sizes of messages with the framing of the stream, from TestMessageSizes.
 const askBytes, grantBytes = 60, 45
 
-func (n *simNode) send(out Outgoing) {
+func (n *simNode) send(out OutgoingRequest) {
 	s, to := n.s, n.s.find(out.To)
 	s.note(1, askBytes)
 	if s.rng.Float64() < s.loss {
@@ -400,18 +400,18 @@
 		if to.down {
 			return
 		}
-		grant, ticket := to.account.Lend(out.Ask, s.now)
+		grant, ticket := to.account.Lend(out.Request, s.now)
 		switch {
 		case ticket != nil:
 			to.remote = append(to.remote, &simRemote{ticket, n, out})
-		case out.Ask.Standing || out.Ask.Tokens > 0:
+		case out.Request.ShareLoan || out.Request.Tokens > 0:
 			to.answer(n, out, grant)
 		}
 		to.pump()
 	})
 }
 
-func (n *simNode) answer(to *simNode, out Outgoing, g Grant) {
+func (n *simNode) answer(to *simNode, out OutgoingRequest, g Grant) {
 	s := n.s
 	s.note(1, grantBytes)
 	if s.rng.Float64() < s.loss {
@@ -421,7 +421,7 @@
 		if to.down {
 			return
 		}
-		to.account.Answered(out.Ask.Loan, g, out.Sent, s.now)
+		to.account.ApplyGrant(out.Request.Loan, g, out.SentAt, s.now)
 		to.plan()
 	})
 }
--- a/internal/steer/choose.go
+++ b/internal/steer/choose.go
@@ -14,34 +14,34 @@
 type Request struct {
 	Service  string
 	Customer string
-	// Key decides which part of a shifted traffic a request belongs to: the
+	// HashKey decides which part of a shifted traffic a request belongs to: the
 	// same key goes to the same region, so that caches warm.
-	Key string
-	// Bytes is the size of the request on the way to another region.
-	Bytes float64
+	HashKey string
+	// SizeBytes is the size of the request on the way to another region.
+	SizeBytes float64
 }
 
 // Target is a daemon to ask, with what has to be taken before.
 type Target struct {
 	Handler *Handler
-	// Shift is the quota of the shift's cap; "" in the home region.
-	Shift string
-	// Drain is the quota of the drain that causes the shift; "" if none.
-	Drain string
-	// Link is the quota of the link that the request crosses; "" if none.
-	Link string
+	// ShiftQuota is the quota of the shift's cap; "" in the home region.
+	ShiftQuota string
+	// DrainQuota is the quota of the drain that causes the shift; "" if none.
+	DrainQuota string
+	// LinkQuota is the quota of the link that the request crosses; "" if none.
+	LinkQuota string
 	// LinkBits is the cost on that link.
 	LinkBits float64
 	// feedback is told how requests in the home region fared; nil elsewhere.
 	feedback *feedback
 }
 
-// Sent notes that the target was asked.
-func (t *Target) Sent() { t.Handler.sent.Add(1) }
+// RecordSent counts a request that is sent to the target.
+func (t *Target) RecordSent() { t.Handler.sent.Add(1) }
 
-// Ended notes how long the request waited for room there, or that there was
+// RecordResult records how long the request waited for room there, or that there was
 // none.
-func (t *Target) Ended(waited time.Duration, refused bool) {
+func (t *Target) RecordResult(waited time.Duration, refused bool) {
 	if t.feedback != nil {
 		t.feedback.note(waited, refused)
 	}
@@ -68,7 +68,7 @@
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Customer)
 	_, _ = h.WriteString("\x00")
-	_, _ = h.WriteString(r.Key)
+	_, _ = h.WriteString(r.HashKey)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
@@ -229,11 +229,11 @@
 // addOther appends a handler of another region, of any zone of it: seen from
 // far its zones are equally near, and one of them alone would fill first.
 func (c *chooser) addOther(r *regionTable, drain string) {
-	t := Target{Handler: pick(r.handlers, c.rng), Drain: drain}
-	t.Shift = config.ShiftQuota(c.r.Service, c.t.region, r.name)
+	t := Target{Handler: pick(r.handlers, c.rng), DrainQuota: drain}
+	t.ShiftQuota = config.ShiftQuota(c.r.Service, c.t.region, r.name)
 	if c.t.linked[r.name] {
-		t.Link = config.LinkQuota(c.t.region, r.name)
-		t.LinkBits = bitsPerByte * c.r.Bytes
+		t.LinkQuota = config.LinkQuota(c.t.region, r.name)
+		t.LinkBits = bitsPerByte * c.r.SizeBytes
 	}
 	c.targets = append(c.targets, t)
 }
--- a/internal/steer/sim_test.go
+++ b/internal/steer/sim_test.go
@@ -140,7 +140,7 @@
 
 func (s *sim) answer() {
 	for _, a := range s.answers[s.now] {
-		a.target.Ended(a.waited, a.refused)
+		a.target.RecordResult(a.waited, a.refused)
 	}
 	delete(s.answers, s.now)
 }
@@ -196,21 +196,21 @@
 
 func (s *sim) arrive(entry string) {
 	s.result.sent++
-	r := steer.Request{Service: "lookup", Customer: "farm", Key: fmt.Sprint("/", s.rng.IntN(2000))}
+	r := steer.Request{Service: "lookup", Customer: "farm", HashKey: fmt.Sprint("/", s.rng.IntN(2000))}
 	took := nearDelay
 	for _, t := range s.policy(s, entry, r) {
-		if t.Shift != "" {
-			if ok, _ := s.caps[t.Shift].Take(1, s.clock()); !ok {
+		if t.ShiftQuota != "" {
+			if ok, _ := s.caps[t.ShiftQuota].Take(1, s.clock()); !ok {
 				continue
 			}
 			took += 2 * s.d.oneWay
 		}
-		t.Sent()
+		t.RecordSent()
 		h := s.handlers[t.Handler.Member.Zone]
-		wait, ok := h.serve(s.now, r.Key)
+		wait, ok := h.serve(s.now, r.HashKey)
 		second := s.result.perSecond[len(s.result.perSecond)-1]
-		if t.Shift != "" {
-			second[t.Shift]++
+		if t.ShiftQuota != "" {
+			second[t.ShiftQuota]++
 		}
 		arrives := (s.now + wait).Truncate(simStep) + simStep
 		s.answers[arrives] = append(s.answers[arrives], simAnswer{target: t, waited: wait - serviceTime, refused: !ok})
--- a/internal/steer/spill.go
+++ b/internal/steer/spill.go
@@ -9,9 +9,9 @@
 // Constants of the spill. Advertised headroom may be 5 s old; what a daemon
 // sees of its own requests is as old as one answer.
 const (
-	// WaitedAfter is the wait at the home region from which a request would
+	// QueueingThreshold is the wait at the home region from which a request would
 	// have been answered sooner elsewhere: half a round trip between regions.
-	WaitedAfter = 50 * time.Millisecond
+	QueueingThreshold = 50 * time.Millisecond
 	// waitedHigh is the part of the requests that waited from which the
 	// fraction grows; under it single bursts pass.
 	waitedHigh = 0.1
@@ -35,7 +35,7 @@
 	leastAnswers = 20
 )
 
-// Spill is the part of a region's traffic for one service that starts in
+// Spillover is the part of a region's traffic for one service that starts in
 // another region because its own is full.
 //
 // Load pattern: a region short of room for minutes, while headroom heard from
@@ -44,7 +44,7 @@
 // advertised pressure too: at 5 s of age it overshot from the 0.23 that was
 // needed to 0.5 and filled the neighbour. It now grows by what the daemon's
 // own requests met, and only shrinks by what it heard.
-type Spill struct {
+type Spillover struct {
 	feedback feedback
 	fraction float64
 	pressure float64
@@ -58,7 +58,7 @@
 // note counts one answer: how long it waited, or that there was no room.
 func (f *feedback) note(waited time.Duration, refused bool) {
 	f.answered.Add(1)
-	if refused || waited > WaitedAfter {
+	if refused || waited > QueueingThreshold {
 		f.waited.Add(1)
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 // Update takes the pressure heard of at now and returns the fraction.
-func (s *Spill) Update(pressure float64, now time.Time) float64 {
+func (s *Spillover) Update(pressure float64, now time.Time) float64 {
 	if s.at.IsZero() {
 		s.at, s.pressure = now, pressure
 		return s.fraction
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -73,7 +73,7 @@
 }
 
 func TestOrder(t *testing.T) {
-	r := steer.Request{Service: "lookup", Customer: "farm", Key: "/animal/7"}
+	r := steer.Request{Service: "lookup", Customer: "farm", HashKey: "/animal/7"}
 	drain := func(kind config.DrainKind, target string) func(*config.Config) {
 		return func(c *config.Config) {
 			c.Drains = map[string]config.Drain{"d": {Kind: kind, Target: target}}
@@ -133,18 +133,18 @@
 	g := NewWithT(t)
 	c := threeRegions()
 	c.Drains = map[string]config.Drain{"d": {Kind: config.DrainRegion, Target: "vt", CapPerSecond: 5}}
-	ts := choose(c, everyZone(c, roomy), steer.Request{Service: "lookup", Customer: "farm", Bytes: 100}, start)
+	ts := choose(c, everyZone(c, roomy), steer.Request{Service: "lookup", Customer: "farm", SizeBytes: 100}, start)
 	for _, target := range ts {
 		region := c.Zones[target.Handler.Member.Zone].Region
 		if region == "vt" {
-			g.Expect(target.Shift).To(BeEmpty())
+			g.Expect(target.ShiftQuota).To(BeEmpty())
 			continue
 		}
-		g.Expect(target.Shift).To(Equal("shift/lookup/vt/" + region))
-		g.Expect(target.Link).To(Equal("link/vt/" + region))
+		g.Expect(target.ShiftQuota).To(Equal("shift/lookup/vt/" + region))
+		g.Expect(target.LinkQuota).To(Equal("link/vt/" + region))
 		g.Expect(target.LinkBits).To(Equal(800.0))
 	}
-	g.Expect(ts[0].Drain).To(Equal("drain/region/vt"))
+	g.Expect(ts[0].DrainQuota).To(Equal("drain/region/vt"))
 }
 
 // Operators move half of a service's traffic. The part that starts elsewhere
@@ -165,13 +165,13 @@
 	}{{0, 0}, {20 * time.Second, 0.1}, {60 * time.Second, 0.3}, {200 * time.Second, 0.5}} {
 		moved := 0
 		for k := range keys {
-			r := steer.Request{Service: "lookup", Customer: "farm", Key: fmt.Sprint("/", k)}
-			away := table.Choose(r, start.Add(step.after), rng())[0].Shift != ""
+			r := steer.Request{Service: "lookup", Customer: "farm", HashKey: fmt.Sprint("/", k)}
+			away := table.Choose(r, start.Add(step.after), rng())[0].ShiftQuota != ""
 			if away {
 				moved++
 			}
-			g.Expect(movedBefore[r.Key] && !away).To(BeFalse(), "key %s came back", r.Key)
-			movedBefore[r.Key] = away
+			g.Expect(movedBefore[r.HashKey] && !away).To(BeFalse(), "key %s came back", r.HashKey)
+			movedBefore[r.HashKey] = away
 		}
 		g.Expect(float64(moved) / keys).To(BeNumerically("~", step.want, 0.03))
 	}
@@ -188,7 +188,7 @@
 	random, sent := rng(), map[string]int{}
 	for range 10 {
 		target := table.Choose(steer.Request{Service: "lookup", Customer: "farm"}, start, random)[0]
-		target.Sent()
+		target.RecordSent()
 		sent[target.Handler.Member.Instance]++
 	}
 	g.Expect(sent).To(Equal(map[string]int{"i-vt-a": 6, "other": 4}))
@@ -200,7 +200,7 @@
 	random := rng()
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Choose(steer.Request{Service: "lookup", Customer: "farm", Key: "/animal/7"}, start, random)
+		table.Choose(steer.Request{Service: "lookup", Customer: "farm", HashKey: "/animal/7"}, start, random)
 	}
 }
 
--- a/internal/steer/table.go
+++ b/internal/steer/table.go
@@ -78,7 +78,7 @@
 // Builder makes tables. It belongs to the control thread.
 type Builder struct {
 	zone   string
-	spills map[string]*Spill
+	spills map[string]*Spillover
 	sent   map[sentKey]*sentCount
 }
 
@@ -92,7 +92,7 @@
 
 // NewBuilder returns a builder for a daemon of zone.
 func NewBuilder(zone string) *Builder {
-	return &Builder{zone: zone, spills: map[string]*Spill{}, sent: map[sentKey]*sentCount{}}
+	return &Builder{zone: zone, spills: map[string]*Spillover{}, sent: map[sentKey]*sentCount{}}
 }
 
 // Assignment says how many slots of a service a daemon handles.
@@ -196,10 +196,10 @@
 	return c.count
 }
 
-func (b *Builder) spill(service string) *Spill {
+func (b *Builder) spill(service string) *Spillover {
 	s := b.spills[service]
 	if s == nil {
-		s = &Spill{}
+		s = &Spillover{}
 		b.spills[service] = s
 	}
 	return s
