--- a/cmd/balsambarrowd/main.go
+++ b/cmd/balsambarrowd/main.go
@@ -67,7 +67,7 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case err := <-d.Failed():
+	case err := <-d.ListenerErrors():
 		d.Kill()
 		return errors.Wrap(err, "listener failed")
 	case <-signals:
--- a/internal/daemon/adoption_test.go
+++ b/internal/daemon/adoption_test.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.control.guardSlots(time.Now())
+	d.control.detectSlotPause(time.Now())
 	return d.control
 }
 
@@ -203,7 +203,7 @@
 func (m *adoptionMachine) Hear(t *rapid.T) {
 	daemon := rapid.SampledFrom(m.daemons).Draw(t, "daemon")
 	version := rapid.Uint64Range(1, m.last).Draw(t, "version")
-	daemon.adopt(examine(m.history[version]))
+	daemon.applyRecord(activateRecord(m.history[version]))
 }
 
 func (m *adoptionMachine) Check(*rapid.T) {
--- a/internal/daemon/beat_bench_test.go
+++ b/internal/daemon/beat_bench_test.go
@@ -35,7 +35,7 @@
 			for i := range members {
 				m := benchMember(i)
 				contacts.Heard(m.Peers, now)
-				answers[i] = toWire(m)
+				answers[i] = memberToWire(m)
 			}
 			raw := make([][]byte, members)
 			b.ReportAllocs()
@@ -55,11 +55,11 @@
 	_ = contacts.Due(now)
 	for i, answer := range answers {
 		answer.Sequence++
-		raw[i], _ = proto.Marshal(toWire(own))
+		raw[i], _ = proto.Marshal(memberToWire(own))
 		received, _ := proto.Marshal(answer)
 		decoded := &peer.Heartbeat{}
 		_ = proto.Unmarshal(received, decoded)
-		m := fromWire(decoded)
+		m := memberFromWire(decoded)
 		table.Hear(m, now)
 		contacts.Heard(m.Peers, now)
 		contacts.Rumored(m.Known, now)
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -12,18 +12,18 @@
 type configState struct {
 	record *config.Record
 	active *config.Active
-	// confirmed is a time such that every change accepted before it is in
+	// confirmedAt is a time such that every change accepted before it is in
 	// force here. Zero: none is known.
-	confirmed time.Time
-	// rejected is the highest version met that cannot be read here.
-	rejected uint64
-	// caughtUp says that the version in force was compared with the store's,
+	confirmedAt time.Time
+	// rejectedVersion is the highest version met that cannot be read here.
+	rejectedVersion uint64
+	// markVerified says that the version in force was compared with the store's,
 	// or with every reachable peer's, at or after needed.
-	caughtUp bool
-	needed   time.Time
-	lastTurn time.Time
-	store    storeState
-	pulls    pullState
+	verified        bool
+	verifyAfter     time.Time
+	lastPublishedAt time.Time
+	store           storeState
+	pulls           pullState
 }
 
 func newConfigState() configState { return configState{pulls: newPullState()} }
@@ -35,104 +35,104 @@
 	return s.active.Version
 }
 
-// candidate is a record that was read, with its document parsed. That is done
+// parsedRecord is a record that was read, with its document parsed. That is done
 // outside the control thread: a document of thousands of customers takes
 // longer than a tick.
-type candidate struct {
+type parsedRecord struct {
 	record *config.Record
 	active *config.Active
 	err    error
 }
 
-func examine(record *config.Record) candidate {
+func activateRecord(record *config.Record) parsedRecord {
 	active, err := record.Activate()
-	return candidate{record: record, active: active, err: err}
+	return parsedRecord{record: record, active: active, err: err}
 }
 
 func (c *control) tickConfig(now time.Time) {
 	c.readStore(now)
-	c.pullHighest(now)
+	c.pullNewerRecord(now)
 }
 
-// noticePause guards against a paused process: it goes on as if no time had
+// detectPause guards against a paused process: it goes on as if no time had
 // passed, with a configuration in which a key withdrawn meanwhile still
 // counts. Until it has compared its version again it admits nobody. It is
 // called before each snapshot, so that none is made of the time in between.
-func (c *control) noticePause(now time.Time) {
-	last := c.config.lastTurn
-	c.config.lastTurn = now
-	if last.IsZero() || now.Sub(last) <= view.MaxAge {
+func (c *control) detectPause(now time.Time) {
+	previous := c.config.lastPublishedAt
+	c.config.lastPublishedAt = now
+	if previous.IsZero() || now.Sub(previous) <= view.MaxAge {
 		return
 	}
 	c.d.log.Warn("paused", "version", c.config.version())
-	c.config.caughtUp = false
-	c.config.needed = now
-	c.survey(now)
+	c.config.verified = false
+	c.config.verifyAfter = now
+	c.startPeerPoll(now)
 }
 
-// adopt brings a record into force if its version is higher: a version in
+// applyRecord brings a record into force if its version is higher: a version in
 // force never reverts, whatever a peer or a store that lost data answers.
-func (c *control) adopt(found candidate) {
-	version := found.record.Version
+func (c *control) applyRecord(parsed parsedRecord) {
+	version := parsed.record.Version
 	if version <= c.config.version() {
 		return
 	}
-	if found.err != nil {
-		c.reject(version, found.err)
+	if parsed.err != nil {
+		c.rejectVersion(version, parsed.err)
 		return
 	}
-	c.config.record, c.config.active = found.record, found.active
-	c.members.nextBeat = time.Time{}
+	c.config.record, c.config.active = parsed.record, parsed.active
+	c.members.nextHeartbeatAt = time.Time{}
 	c.d.log.Info("config_adopted", "version", version)
 }
 
-// reject keeps the version in force where a newer release of the daemon wrote
+// rejectVersion keeps the version in force where a newer release of the daemon wrote
 // a record that this one cannot read, and shows it in the fleet's status.
-func (c *control) reject(version uint64, err error) {
-	if version <= c.config.rejected {
+func (c *control) rejectVersion(version uint64, err error) {
+	if version <= c.config.rejectedVersion {
 		return
 	}
-	c.config.rejected = version
-	c.members.nextBeat = time.Time{}
+	c.config.rejectedVersion = version
+	c.members.nextHeartbeatAt = time.Time{}
 	c.d.log.Error("config_rejected", "version", version, "in_force", c.config.version(), "err", err)
 }
 
-// confirm notes that version was the store's at a time. Whoever has that
+// confirmVersion notes that version was the store's at a time. Whoever has that
 // version or a higher one lacks no change accepted before.
-func (c *control) confirm(version uint64, at time.Time) {
-	if version <= c.config.version() && at.After(c.config.confirmed) {
-		c.config.confirmed = at
+func (c *control) confirmVersion(version uint64, at time.Time) {
+	if version <= c.config.version() && at.After(c.config.confirmedAt) {
+		c.config.confirmedAt = at
 	}
 }
 
-// caughtUp notes that the version in force was compared at a time, and lets a
+// markVerified notes that the version in force was compared at a time, and lets a
 // starting daemon that has a configuration serve.
-func (c *control) caughtUp(at time.Time) {
-	if at.Before(c.config.needed) {
+func (c *control) markVerified(at time.Time) {
+	if at.Before(c.config.verifyAfter) {
 		return
 	}
-	c.config.caughtUp = true
-	c.serveOnce()
+	c.config.verified = true
+	c.becomeReady()
 }
 
-func (c *control) serveOnce() {
-	if c.state == membership.StateStarting && c.config.caughtUp && c.config.active != nil {
+func (c *control) becomeReady() {
+	if c.state == membership.StateStarting && c.config.verified && c.config.active != nil {
 		c.state = membership.StateReady
-		c.members.nextBeat = time.Time{}
+		c.members.nextHeartbeatAt = time.Time{}
 	}
 }
 
-// recordAccepted: an operator's change was written to the store through this
+// recordWritten: an operator's change was written to the store through this
 // daemon by a call that began at asked.
-type recordAccepted struct {
-	found candidate
-	asked time.Time
+type recordWritten struct {
+	parsed parsedRecord
+	sentAt time.Time
 }
 
-func (m recordAccepted) apply(c *control) {
-	c.adopt(m.found)
-	c.confirm(m.found.record.Version, m.asked)
-	if m.found.record.Version <= c.config.version() {
-		c.caughtUp(m.asked)
+func (m recordWritten) apply(c *control) {
+	c.applyRecord(m.parsed)
+	c.confirmVersion(m.parsed.record.Version, m.sentAt)
+	if m.parsed.record.Version <= c.config.version() {
+		c.markVerified(m.sentAt)
 	}
 }
--- a/internal/daemon/config_peers.go
+++ b/internal/daemon/config_peers.go
@@ -11,32 +11,32 @@
 	"balsambarrow/internal/peer"
 )
 
-// hedgeAfter is how long a pull may take before a second peer is asked: above
+// pullHedgeDelay is how long a pull may take before a second peer is asked: above
 // two round trips between the farthest regions (110 ms each).
-const hedgeAfter = 300 * time.Millisecond
+const pullHedgeDelay = 300 * time.Millisecond
 
 // pullState is what the control thread knows of its calls to peers for the
 // configuration.
 type pullState struct {
-	// running are the pulls under way, by the peer's instance, and their start.
-	running   map[string]time.Time
-	surveying bool
+	// inFlight are the pulls under way, by the peer's instance, and their start.
+	inFlight       map[string]time.Time
+	pollInProgress bool
 }
 
-func newPullState() pullState { return pullState{running: map[string]time.Time{}} }
+func newPullState() pullState { return pullState{inFlight: map[string]time.Time{}} }
 
-// heardConfig takes what a peer's heartbeat says of the configuration.
-func (c *control) heardConfig(m membership.Member, now time.Time) {
-	c.confirm(m.ConfigVersion, m.ConfirmedAt)
-	c.pullHighest(now)
+// handleConfigReport takes what a peer's heartbeat says of the configuration.
+func (c *control) handleConfigReport(m membership.Member, now time.Time) {
+	c.confirmVersion(m.ConfigVersion, m.ConfirmedAt)
+	c.pullNewerRecord(now)
 }
 
-// pullHighest asks one peer that has a higher version for its record, and
+// pullNewerRecord asks one peer that has a higher version for its record, and
 // another one if that takes long. Asking all of them at once would move the
 // whole record as often as there are peers, at each change.
-func (c *control) pullHighest(now time.Time) {
-	for _, started := range c.config.pulls.running {
-		if now.Sub(started) < hedgeAfter {
+func (c *control) pullNewerRecord(now time.Time) {
+	for _, started := range c.config.pulls.inFlight {
+		if now.Sub(started) < pullHedgeDelay {
 			return
 		}
 	}
@@ -44,43 +44,43 @@
 	if !ok {
 		return
 	}
-	c.config.pulls.running[source.Instance] = now
-	have := c.config.version()
+	c.config.pulls.inFlight[source.Instance] = now
+	haveVersion := c.config.version()
 	c.d.spawn(func(ctx context.Context) {
-		c.send(pullDone{source.Instance, c.d.pull(ctx, source.Peers, have)})
+		c.send(pullDone{source.Instance, c.d.pull(ctx, source.Peers, haveVersion)})
 	})
 }
 
 // pullSource prefers the own zone, then the highest version.
 func (c *control) pullSource(now time.Time) (best membership.Member, ok bool) {
 	for _, m := range c.members.table.Live(now) {
-		_, asked := c.config.pulls.running[m.Instance]
-		if asked || m.ConfigVersion <= max(c.config.version(), c.config.rejected) {
+		_, pulling := c.config.pulls.inFlight[m.Instance]
+		if pulling || m.ConfigVersion <= max(c.config.version(), c.config.rejectedVersion) {
 			continue
 		}
-		if !ok || c.betterSource(m, best) {
+		if !ok || c.isBetterSource(m, best) {
 			best, ok = m, true
 		}
 	}
 	return best, ok
 }
 
-func (c *control) betterSource(m, than membership.Member) bool {
+func (c *control) isBetterSource(a, b membership.Member) bool {
 	zone := c.d.identity.Zone
-	if (m.Zone == zone) != (than.Zone == zone) {
-		return m.Zone == zone
+	if (a.Zone == zone) != (b.Zone == zone) {
+		return a.Zone == zone
 	}
-	return m.ConfigVersion > than.ConfigVersion
+	return a.ConfigVersion > b.ConfigVersion
 }
 
-// pulled is what one peer answered.
-type pulled struct {
+// pullResult is what one peer answered.
+type pullResult struct {
 	err     error
 	version uint64
-	// found is empty where the peer has no higher version.
-	found candidate
-	// confirmed is a time at which version was the store's; zero: not known.
-	confirmed time.Time
+	// parsed is empty where the peer has no higher version.
+	parsed parsedRecord
+	// confirmedAt is a time at which version was the store's; zero: not known.
+	confirmedAt time.Time
 	// peers are the addresses that the peer knows.
 	peers []string
 }
@@ -88,177 +88,177 @@
 // pullDone: a pull from a peer ended.
 type pullDone struct {
 	instance string
-	answer   pulled
+	result   pullResult
 }
 
 func (m pullDone) apply(c *control) {
-	delete(c.config.pulls.running, m.instance)
-	c.takePulled(m.answer)
+	delete(c.config.pulls.inFlight, m.instance)
+	c.applyPullResult(m.result)
 	// A daemon that the store told that it holds nothing serves by the first
 	// configuration that it hears of.
-	c.serveOnce()
+	c.becomeReady()
 }
 
-func (c *control) takePulled(answer pulled) {
-	if answer.err != nil {
+func (c *control) applyPullResult(result pullResult) {
+	if result.err != nil {
 		return
 	}
-	if answer.found.record != nil {
-		c.adopt(answer.found)
+	if result.parsed.record != nil {
+		c.applyRecord(result.parsed)
 	}
-	c.confirm(answer.version, answer.confirmed)
+	c.confirmVersion(result.version, result.confirmedAt)
 }
 
-func (d *Daemon) pull(ctx context.Context, address string, have uint64) pulled {
+func (d *Daemon) pull(ctx context.Context, address string, haveVersion uint64) pullResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := time.Now()
-	reply, err := peer.NewDRPCConfigurationClient(d.conns.To(ctx, address)).Pull(ctx, &peer.PullRequest{HaveVersion: have})
+	sentAt := time.Now()
+	reply, err := peer.NewDRPCConfigurationClient(d.conns.To(ctx, address)).Pull(ctx, &peer.PullRequest{HaveVersion: haveVersion})
 	if err != nil {
 		d.log.Debug("pull_failed", "peer", address, "err", err)
-		return pulled{err: err}
+		return pullResult{err: err}
 	}
-	answer := pulled{version: reply.Version, confirmed: confirmedAt(asked, reply.ConfirmedAgeMs), peers: reply.Peers}
+	result := pullResult{version: reply.Version, confirmedAt: confirmationTime(sentAt, reply.ConfirmedAgeMs), peers: reply.Peers}
 	if len(reply.Record) == 0 {
-		return answer
+		return result
 	}
 	record, err := config.ParseRecord(reply.Record)
 	if err != nil {
 		d.log.Warn("pull_unreadable", "peer", address, "err", err)
-		return pulled{err: err}
+		return pullResult{err: err}
 	}
-	answer.found = examine(record)
-	return answer
+	result.parsed = activateRecord(record)
+	return result
 }
 
 // Pull answers a peer; it implements peer.DRPCConfigurationServer.
 func (d *Daemon) Pull(ctx context.Context, in *peer.PullRequest) (*peer.PullReply, error) {
-	ask := recordWanted{have: in.HaveVersion, reply: make(chan recordAnswer, 1)}
-	d.control.send(ask)
+	request := recordRequest{haveVersion: in.HaveVersion, reply: make(chan recordResponse, 1)}
+	d.control.send(request)
 	select {
-	case a := <-ask.reply:
-		reply := &peer.PullReply{Version: a.version, ConfirmedAgeMs: ageMs(a.confirmed, time.Now()), Peers: a.peers}
-		if a.record == nil {
+	case response := <-request.reply:
+		reply := &peer.PullReply{Version: response.version, ConfirmedAgeMs: ageMs(response.confirmedAt, time.Now()), Peers: response.peers}
+		if response.record == nil {
 			return reply, nil
 		}
 		var err error
-		reply.Record, err = a.record.Encode()
+		reply.Record, err = response.record.Encode()
 		return reply, err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// recordWanted: a peer asks for a record above the version it has.
-type recordWanted struct {
-	have  uint64
-	reply chan recordAnswer
+// recordRequest: a peer asks for a record above the version it has.
+type recordRequest struct {
+	haveVersion uint64
+	reply       chan recordResponse
 }
 
-type recordAnswer struct {
-	version   uint64
-	record    *config.Record
-	confirmed time.Time
-	peers     []string
+type recordResponse struct {
+	version     uint64
+	record      *config.Record
+	confirmedAt time.Time
+	peers       []string
 }
 
-func (m recordWanted) apply(c *control) {
-	a := recordAnswer{version: c.config.version(), confirmed: c.config.confirmed}
-	a.peers = append(slices.Collect(maps.Keys(c.peerAddresses())), c.d.identity.Peers)
-	if a.version > m.have {
-		a.record = c.config.record
+func (m recordRequest) apply(c *control) {
+	response := recordResponse{version: c.config.version(), confirmedAt: c.config.confirmedAt}
+	response.peers = append(slices.Collect(maps.Keys(c.peerAddresses())), c.d.identity.Peers)
+	if response.version > m.haveVersion {
+		response.record = c.config.record
 	}
-	m.reply <- a
+	m.reply <- response
 }
 
-// survey asks every peer that can be reached for its version, once at a time.
-func (c *control) survey(now time.Time) {
-	if c.config.pulls.surveying {
+// startPeerPoll asks every peer that can be reached for its version, once at a time.
+func (c *control) startPeerPoll(now time.Time) {
+	if c.config.pulls.pollInProgress {
 		return
 	}
-	c.config.pulls.surveying = true
-	known, have := c.peerAddresses(), c.config.version()
+	c.config.pulls.pollInProgress = true
+	known, haveVersion := c.peerAddresses(), c.config.version()
 	c.d.spawn(func(ctx context.Context) {
-		c.send(surveyDone{started: now, answers: c.d.surveyPeers(ctx, known, have)})
+		c.send(peerPollDone{started: now, results: c.d.pollPeers(ctx, known, haveVersion)})
 	})
 }
 
-// surveyDone: every peer that could be reached has answered.
-type surveyDone struct {
+// peerPollDone: every peer that could be reached has answered.
+type peerPollDone struct {
 	started time.Time
-	answers []pulled
+	results []pullResult
 }
 
 // apply lets a daemon go on by the highest version of its peers while the
 // store is out. Without an answer, one that had a version before goes on with
 // it, as a cut-off zone must; one that has none keeps waiting.
-func (m surveyDone) apply(c *control) {
-	c.config.pulls.surveying = false
-	for _, answer := range m.answers {
-		c.takePulled(answer)
+func (m peerPollDone) apply(c *control) {
+	c.config.pulls.pollInProgress = false
+	for _, result := range m.results {
+		c.applyPullResult(result)
 	}
 	if c.config.active != nil {
-		c.caughtUp(m.started)
+		c.markVerified(m.started)
 	}
 }
 
-// surveyPeers asks the peers in the host list, those known already, and those
+// pollPeers asks the peers in the host list, those known already, and those
 // that they know in turn, and returns what the reachable ones answered.
-func (d *Daemon) surveyPeers(ctx context.Context, known map[string]bool, have uint64) []pulled {
-	if len(known) == 0 || have == 0 {
+func (d *Daemon) pollPeers(ctx context.Context, known map[string]bool, haveVersion uint64) []pullResult {
+	if len(known) == 0 || haveVersion == 0 {
 		hosts, _ := d.readHosts(ctx)
 		for _, h := range hosts {
 			known[h.Peers] = true
 		}
 	}
-	asked := map[string]bool{d.identity.Peers: true}
-	var answers []pulled
+	polled := map[string]bool{d.identity.Peers: true}
+	var results []pullResult
 	for {
-		round := slices.Collect(maps.Keys(known))
-		round = slices.DeleteFunc(round, func(address string) bool { return asked[address] })
-		if len(round) == 0 || ctx.Err() != nil {
-			return answers
+		addresses := slices.Collect(maps.Keys(known))
+		addresses = slices.DeleteFunc(addresses, func(address string) bool { return polled[address] })
+		if len(addresses) == 0 || ctx.Err() != nil {
+			return results
 		}
-		for _, answer := range d.pullAll(ctx, round, have) {
-			answers = append(answers, answer)
-			for _, address := range answer.peers {
+		for _, result := range d.pullAll(ctx, addresses, haveVersion) {
+			results = append(results, result)
+			for _, address := range result.peers {
 				known[address] = true
 			}
 		}
-		for _, address := range round {
-			asked[address] = true
+		for _, address := range addresses {
+			polled[address] = true
 		}
 	}
 }
 
-func (d *Daemon) pullAll(ctx context.Context, addresses []string, have uint64) []pulled {
-	results := make(chan pulled, len(addresses))
+func (d *Daemon) pullAll(ctx context.Context, addresses []string, haveVersion uint64) []pullResult {
+	results := make(chan pullResult, len(addresses))
 	for _, address := range addresses {
-		go func() { results <- d.pull(ctx, address, have) }()
+		go func() { results <- d.pull(ctx, address, haveVersion) }()
 	}
-	answers := make([]pulled, 0, len(addresses))
+	collected := make([]pullResult, 0, len(addresses))
 	for range addresses {
-		answers = append(answers, <-results)
+		collected = append(collected, <-results)
 	}
-	return answers
+	return collected
 }
 
 // ageMs is how long ago a time was, for the way to a peer: 0 for never, and
 // otherwise rounded up, so at least 1.
-func ageMs(t, now time.Time) int64 {
-	if t.IsZero() {
+func ageMs(at, now time.Time) int64 {
+	if at.IsZero() {
 		return 0
 	}
-	return max(now.Sub(t).Milliseconds(), 0) + 1
+	return max(now.Sub(at).Milliseconds(), 0) + 1
 }
 
-// confirmedAt turns the age in an answer to a call sent at asked into a time
+// confirmationTime turns the age in an answer to a call sent at asked into a time
 // by the own clock. The answer was made no earlier than asked, so the result
 // is no later than the truth, however long the answer took. A message that
 // answers no call gives no such bound, and its age is not used.
-func confirmedAt(asked time.Time, age int64) time.Time {
-	if age <= 0 {
+func confirmationTime(sentAt time.Time, ageMillis int64) time.Time {
+	if ageMillis <= 0 {
 		return time.Time{}
 	}
-	return asked.Add(-time.Duration(age) * time.Millisecond)
+	return sentAt.Add(-time.Duration(ageMillis) * time.Millisecond)
 }
--- a/internal/daemon/config_store.go
+++ b/internal/daemon/config_store.go
@@ -14,39 +14,39 @@
 // Timing of the calls for the configuration. Each call counts against the
 // store's rate, a waiting watch as one, so only one daemon of each zone waits.
 const (
-	// watchWait is how long one watch waits: the age that a confirmed version
+	// watchDuration is how long one watch waits: the age that a confirmed version
 	// reaches, against one call per zone in as long (72 a second at 145 zones).
-	watchWait = 2 * time.Second
-	// watchPause follows a call that failed.
-	watchPause = 500 * time.Millisecond
-	// watchGrace is how long after its wait an answer may come: an answer that
+	watchDuration = 2 * time.Second
+	// watchRetryDelay follows a call that failed.
+	watchRetryDelay = 500 * time.Millisecond
+	// watchResponseGrace is how long after its wait an answer may come: an answer that
 	// is later counts as lost, and another daemon of the zone takes over.
-	watchGrace = time.Second
-	// takeOverAfter is how long a zone may be without a watcher that reaches
+	watchResponseGrace = time.Second
+	// watchLossDelay is how long a zone may be without a watcher that reaches
 	// the store before the others try: two heartbeats.
-	takeOverAfter = 2 * membership.BeatEvery
-	// watchDeaf is how long a watch may hear nothing of changes that are made, by the
+	watchLossDelay = 2 * membership.BeatEvery
+	// watchMaxLag is how long a watch may hear nothing of changes that are made, by the
 	// platform's account of its store.
-	watchDeaf = time.Second
-	// checkWait is the wait of a watch that only asks whether there is a change.
-	checkWait = time.Millisecond
-	// checkEvery spreads the calls of a zone without a watcher: one in as long,
+	watchMaxLag = time.Second
+	// storePollWait is the wait of a watch that only asks whether there is a change.
+	storePollWait = time.Millisecond
+	// storePollInterval spreads the calls of a zone without a watcher: one in as long,
 	// however many daemons the zone has.
-	checkEvery = time.Second
+	storePollInterval = time.Second
 )
 
 // storeState is what the control thread knows of its calls to the store.
 type storeState struct {
-	busy bool
-	next time.Time
-	// failing says that the last call failed, watched when a zone peer last
+	callInFlight bool
+	nextCallAt   time.Time
+	// unavailable says that the last call failed, watched when a zone peer last
 	// said that it reaches the store.
-	failing bool
-	watched time.Time
-	// after is the store's revision to watch on from; 0: read the value. version is
+	unavailable   bool
+	watcherSeenAt time.Time
+	// watchRevision is the store's revision to watch on from; 0: read the value. version is
 	// the one that was read last.
-	after   uint64
-	version uint64
+	watchRevision uint64
+	latestVersion uint64
 }
 
 // readStore starts the next call if one is due: always at the zone's watcher
@@ -54,86 +54,86 @@
 // reaches the store.
 func (c *control) readStore(now time.Time) {
 	s := &c.config.store
-	if s.busy || now.Before(s.next) {
+	if s.callInFlight || now.Before(s.nextCallAt) {
 		return
 	}
-	w := c.zoneWatch(now)
-	wait := checkWait
+	role := c.watchRole(now)
+	wait := storePollWait
 	switch {
-	case !c.config.caughtUp:
-	case w.first:
-		wait = watchWait
-	case now.Sub(s.watched) > takeOverAfter:
-		s.next = now.Add(time.Duration(w.size) * checkEvery)
+	case !c.config.verified:
+	case role.isWatcher:
+		wait = watchDuration
+	case now.Sub(s.watcherSeenAt) > watchLossDelay:
+		s.nextCallAt = now.Add(time.Duration(role.zoneDaemons) * storePollInterval)
 	default:
 		return
 	}
-	s.busy = true
-	after := s.after
-	c.d.spawn(func(ctx context.Context) { c.send(c.d.readConfig(ctx, after, wait)) })
+	s.callInFlight = true
+	revision := s.watchRevision
+	c.d.spawn(func(ctx context.Context) { c.send(c.d.readConfig(ctx, revision, wait)) })
 }
 
-// zoneWatch is this daemon's part in its zone's watch on the store.
-type zoneWatch struct {
-	// first: it has the lowest instance name of the live ones that are not
+// watchRole is this daemon's part in its zone's watch on the store.
+type watchRole struct {
+	// isWatcher: it has the lowest instance name of the live ones that are not
 	// leaving, so it is the watcher.
-	first bool
-	// size is the number of those.
-	size int
+	isWatcher bool
+	// zoneDaemons is the number of those.
+	zoneDaemons int
 }
 
-// zoneWatch also guards against a watcher that lives and has lost the store:
-// it says so in its heartbeats, or is silent, and after takeOverAfter the
+// watchRole also guards against a watcher that lives and has lost the store:
+// it says so in its heartbeats, or is silent, and after watchLossDelay the
 // others ask the store until it reaches it again.
-func (c *control) zoneWatch(now time.Time) zoneWatch {
-	w := zoneWatch{first: true, size: 1}
+func (c *control) watchRole(now time.Time) watchRole {
+	role := watchRole{isWatcher: true, zoneDaemons: 1}
 	for _, m := range c.members.table.Live(now) {
 		if m.Zone != c.d.identity.Zone || m.State == membership.StateLeaving {
 			continue
 		}
-		w.size++
+		role.zoneDaemons++
 		if m.Instance < c.d.identity.Instance || c.state == membership.StateLeaving {
-			w.first = false
+			role.isWatcher = false
 		}
 		if m.Watches {
-			c.config.store.watched = later(c.config.store.watched, m.HeardAt)
+			c.config.store.watcherSeenAt = maxTime(c.config.store.watcherSeenAt, m.HeardAt)
 		}
 	}
-	return w
+	return role
 }
 
-// watches tells whether this daemon waits on the store for its zone, and
+// watchesStore tells whether this daemon waits on the store for its zone, and
 // reaches it.
-func (c *control) watches(now time.Time) bool {
-	return c.zoneWatch(now).first && !c.config.store.failing
+func (c *control) watchesStore(now time.Time) bool {
+	return c.watchRole(now).isWatcher && !c.config.store.unavailable
 }
 
-// storeRead: a call to the store for the configuration ended.
-type storeRead struct {
-	// after is the store's revision to watch on from; 0: read the value again.
-	after uint64
-	// found is empty where the value has not changed.
-	found candidate
-	// at is a time at which the store held this value.
-	at  time.Time
-	err error
+// storeReadResult: a call to the store for the configuration ended.
+type storeReadResult struct {
+	// watchRevision is the store's revision to watch on from; 0: read the value again.
+	watchRevision uint64
+	// parsed is empty where the value has not changed.
+	parsed parsedRecord
+	// validAt is a time at which the store held this value.
+	validAt time.Time
+	err     error
 }
 
 // readConfig reads the value, or waits for a change of it after a revision.
-func (d *Daemon) readConfig(ctx context.Context, after uint64, wait time.Duration) storeRead {
-	asked := time.Now()
-	if after == 0 {
+func (d *Daemon) readConfig(ctx context.Context, revision uint64, wait time.Duration) storeReadResult {
+	sentAt := time.Now()
+	if revision == 0 {
 		l, err := d.store.List(ctx, config.StoreKey, false)
-		return newStoreRead(configIn(l.Items), l.Revision, asked, err)
+		return newStoreReadResult(findConfigItem(l.Items), l.Revision, sentAt, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchResponseGrace)
 	defer cancel()
-	changes, err := d.store.Watch(ctx, config.StoreKey, after, wait)
+	changes, err := d.store.Watch(ctx, config.StoreKey, revision, wait)
 	if errors.Is(err, kv.ErrCompacted) {
 		return d.readConfig(ctx, 0, wait)
 	}
 	if err != nil {
-		return storeRead{after: after, err: err}
+		return storeReadResult{watchRevision: revision, err: err}
 	}
 	var latest *kv.Item
 	for i := range changes.Events {
@@ -142,13 +142,13 @@
 		}
 	}
 	if latest == nil {
-		return storeRead{after: changes.Revision, at: unchangedUntil(asked, time.Now(), wait).Add(-watchDeaf)}
+		return storeReadResult{watchRevision: changes.Revision, validAt: unchangedUntil(sentAt, time.Now(), wait).Add(-watchMaxLag)}
 	}
-	return newStoreRead(latest, changes.Revision, asked, nil)
+	return newStoreReadResult(latest, changes.Revision, sentAt, nil)
 }
 
-// configIn finds the value among what a listing brought; nil: there is none.
-func configIn(items []kv.Item) *kv.Item {
+// findConfigItem finds the value among what a listing brought; nil: there is none.
+func findConfigItem(items []kv.Item) *kv.Item {
 	for i := range items {
 		if items[i].Key == config.StoreKey {
 			return &items[i]
@@ -159,15 +159,15 @@
 
 // unchangedUntil is when a watch that brought nothing ended: it answers only after
 // the wait, which began no earlier than the call.
-func unchangedUntil(asked, answered time.Time, wait time.Duration) time.Time {
-	if answered.Sub(asked) < wait {
-		return asked
+func unchangedUntil(sentAt, receivedAt time.Time, wait time.Duration) time.Time {
+	if receivedAt.Sub(sentAt) < wait {
+		return sentAt
 	}
-	return asked.Add(wait)
+	return sentAt.Add(wait)
 }
 
-func newStoreRead(item *kv.Item, after uint64, asked time.Time, err error) storeRead {
-	r := storeRead{after: after, at: asked, err: err}
+func newStoreReadResult(item *kv.Item, watchRevision uint64, sentAt time.Time, err error) storeReadResult {
+	r := storeReadResult{watchRevision: watchRevision, validAt: sentAt, err: err}
 	if err != nil {
 		return r
 	}
@@ -180,52 +180,52 @@
 		r.err = err
 		return r
 	}
-	r.found = examine(record)
+	r.parsed = activateRecord(record)
 	return r
 }
 
-func (m storeRead) apply(c *control) {
+func (m storeReadResult) apply(c *control) {
 	s := &c.config.store
-	s.busy = false
-	s.failing = errors.Is(m.err, kv.ErrUnavailable)
-	s.after = m.after
+	s.callInFlight = false
+	s.unavailable = errors.Is(m.err, kv.ErrUnavailable)
+	s.watchRevision = m.watchRevision
 	if m.err != nil {
-		m.failed(c)
+		m.handleError(c)
 		return
 	}
-	if m.found.record != nil {
-		s.version = m.found.record.Version
-		c.adopt(m.found)
+	if m.parsed.record != nil {
+		s.latestVersion = m.parsed.record.Version
+		c.applyRecord(m.parsed)
 	}
-	if s.version < c.config.version() && m.found.record != nil {
-		c.d.log.Warn("store_behind", "store_version", s.version, "in_force", c.config.version())
+	if s.latestVersion < c.config.version() && m.parsed.record != nil {
+		c.d.log.Warn("store_behind", "store_version", s.latestVersion, "in_force", c.config.version())
 	}
-	c.confirm(s.version, m.at)
-	if s.version <= c.config.version() {
-		c.caughtUp(m.at)
+	c.confirmVersion(s.latestVersion, m.validAt)
+	if s.latestVersion <= c.config.version() {
+		c.markVerified(m.validAt)
 	}
 	c.readStore(time.Now())
 }
 
-func (m storeRead) failed(c *control) {
+func (m storeReadResult) handleError(c *control) {
 	now := time.Now()
 	s := &c.config.store
-	s.next = later(s.next, now.Add(watchPause))
+	s.nextCallAt = maxTime(s.nextCallAt, now.Add(watchRetryDelay))
 	switch {
 	case errors.Is(m.err, kv.ErrNotFound):
 		// The store answers, and holds no configuration.
-		c.caughtUp(m.at)
+		c.markVerified(m.validAt)
 	case errors.Is(m.err, config.ErrBadRecord):
 		c.d.log.Error("config_unreadable", "err", m.err)
 	default:
 		c.d.log.Debug("config_not_read", "err", m.err)
-		if !c.config.caughtUp {
-			c.survey(now)
+		if !c.config.verified {
+			c.startPeerPoll(now)
 		}
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/daemon/confirm_test.go
+++ b/internal/daemon/confirm_test.go
@@ -32,15 +32,15 @@
 		asked := built.Add(-ms("way there", 5000))
 		skew := ms("skew", 600_000)
 		age := ageMs(confirmed.Add(skew), built.Add(skew))
-		g.Expect(confirmedAt(asked, age)).To(BeTemporally("<=", confirmed))
-		g.Expect(confirmed.Sub(confirmedAt(asked, age))).To(BeNumerically("<=", built.Sub(asked)+2*time.Millisecond))
+		g.Expect(confirmationTime(asked, age)).To(BeTemporally("<=", confirmed))
+		g.Expect(confirmed.Sub(confirmationTime(asked, age))).To(BeNumerically("<=", built.Sub(asked)+2*time.Millisecond))
 	})
 }
 
 func TestConfirmationThatNeverWas(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(ageMs(time.Time{}, time.Unix(1, 0))).To(BeZero())
-	g.Expect(confirmedAt(time.Unix(1, 0), 0)).To(BeZero())
+	g.Expect(confirmationTime(time.Unix(1, 0), 0)).To(BeZero())
 }
 
 func TestUnchangedAnswerConfirmsTheEndOfItsWait(t *testing.T) {
@@ -67,8 +67,8 @@
 	c.d.store = deafStore{}
 	read := c.d.readConfig(context.Background(), 7, 0)
 	g.Expect(read.err).NotTo(HaveOccurred())
-	g.Expect(read.after).To(Equal(uint64(7)))
-	g.Expect(read.at).To(BeTemporally("<=", time.Now().Add(-watchDeaf)))
+	g.Expect(read.watchRevision).To(Equal(uint64(7)))
+	g.Expect(read.validAt).To(BeTemporally("<=", time.Now().Add(-watchMaxLag)))
 }
 
 // A host is frozen for ten seconds and goes on. A key may have been withdrawn
@@ -80,7 +80,7 @@
 	t.Cleanup(c.d.Kill)
 	start := time.Now()
 	record := &config.Record{Version: 1, Document: []byte(seed)}
-	recordAccepted{examine(record), start}.apply(c)
+	recordWritten{activateRecord(record), start}.apply(c)
 	c.publish(start)
 	g.Expect(c.d.view.Load().Current(start)).To(BeTrue())
 
@@ -88,10 +88,10 @@
 	g.Expect(c.d.view.Load().Current(resumed)).To(BeFalse(), "before the control thread has turned")
 	c.publish(resumed)
 	g.Expect(c.d.view.Load().Current(resumed)).To(BeFalse(), "after it has turned")
-	storeRead{after: 1, found: examine(record), at: start}.apply(c)
+	storeReadResult{watchRevision: 1, parsed: activateRecord(record), validAt: start}.apply(c)
 	c.publish(resumed)
 	g.Expect(c.d.view.Load().Current(resumed)).To(BeFalse(), "an answer from before the pause")
-	surveyDone{started: resumed}.apply(c)
+	peerPollDone{started: resumed}.apply(c)
 	c.publish(resumed)
 	g.Expect(c.d.view.Load().Current(resumed)).To(BeTrue(), "every reachable peer was asked")
 }
@@ -106,17 +106,17 @@
 	t.Cleanup(c.d.Kill)
 	const peer = "127.0.0.1:2"
 	now := time.Now()
-	c.config.confirmed = now
-	c.knownContacts().Answered(peer, now)
+	c.config.confirmedAt = now
+	c.contacts().Answered(peer, now)
 	asked := map[time.Duration]bool{}
 	for since := time.Duration(0); since < 10*time.Second; since += membership.BeatEvery {
 		beat := now.Add(since)
-		c.knownContacts().Heard(peer, beat.Add(-100*time.Millisecond))
-		asked[since] = slices.Contains(c.beatTargets(false, beat), peer)
+		c.contacts().Heard(peer, beat.Add(-100*time.Millisecond))
+		asked[since] = slices.Contains(c.heartbeatTargets(false, beat), peer)
 	}
 	g.Expect(asked[membership.BeatEvery]).To(BeFalse(), "both have each other's account and a fresh confirmation")
 	for since, asks := range asked {
-		g.Expect(asks).To(Equal(since > confirmWithin), since.String())
+		g.Expect(asks).To(Equal(since > maxConfirmationAge), since.String())
 	}
 }
 
@@ -125,7 +125,7 @@
 	c := idleControl(t)
 	t.Cleanup(c.d.Kill)
 	start := time.Now()
-	recordAccepted{examine(&config.Record{Version: 1, Document: []byte(seed)}), start}.apply(c)
+	recordWritten{activateRecord(&config.Record{Version: 1, Document: []byte(seed)}), start}.apply(c)
 	c.publish(start)
 	c.publish(start.Add(view.MaxAge))
 	g.Expect(c.d.view.Load().Current(start.Add(view.MaxAge))).To(BeTrue())
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -11,8 +11,8 @@
 
 // Timing of the control thread.
 const (
-	tickEvery = 100 * time.Millisecond
-	inboxSize = 1024
+	tickInterval = 100 * time.Millisecond
+	inboxSize    = 1024
 )
 
 // message is what the control thread receives.
@@ -24,14 +24,14 @@
 	d     *Daemon
 	inbox chan message
 	state membership.State
-	// news: something changed that traffic threads must see at once.
-	news    bool
-	members memberState
-	slots   slotState
-	config  configState
-	quota   quotaState
-	steer   steerState
-	fleet   fleetState
+	// publishPending: something changed that traffic threads must see at once.
+	publishPending bool
+	members        memberState
+	slots          slotState
+	config         configState
+	quota          quotaState
+	steer          steerState
+	fleet          fleetState
 }
 
 func newControl(d *Daemon) *control {
@@ -57,23 +57,23 @@
 }
 
 func (c *control) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-c.inbox:
-			c.guardSlots(time.Now())
+			c.detectSlotPause(time.Now())
 			c.handle(m)
-			c.drain()
+			c.handleQueued()
 		case <-ticker.C:
-			c.guardSlots(time.Now())
+			c.detectSlotPause(time.Now())
 			c.tick(time.Now())
-			c.news = true
+			c.publishPending = true
 		}
-		if c.news {
-			c.news = false
+		if c.publishPending {
+			c.publishPending = false
 			c.publish(time.Now())
 		}
 	}
@@ -83,15 +83,15 @@
 // does, and heartbeats are most messages: one that changes only headroom
 // waits for the next tick, which is as old as the headroom is anyway.
 func (c *control) handle(m message) {
-	if _, heartbeat := m.(heardFrom); !heartbeat {
-		c.news = true
+	if _, heartbeat := m.(heartbeatReceived); !heartbeat {
+		c.publishPending = true
 	}
 	m.apply(c)
 }
 
-// drain applies the messages that wait already, so that a burst of them costs
+// handleQueued applies the messages that wait already, so that a burst of them costs
 // one snapshot.
-func (c *control) drain() {
+func (c *control) handleQueued() {
 	for range inboxSize {
 		select {
 		case m := <-c.inbox:
@@ -112,11 +112,11 @@
 
 // publish makes the snapshot that traffic threads read from now on.
 func (c *control) publish(now time.Time) {
-	c.noticePause(now)
+	c.detectPause(now)
 	live := c.members.table.Live(now)
 	snap := &view.Snapshot{
-		Self: c.self(now), Config: c.config.active, ConfirmedAt: c.config.confirmed, Members: live,
-		PublishedAt: now, ConfigVerified: c.config.caughtUp,
+		Self: c.selfMember(now), Config: c.config.active, ConfirmedAt: c.config.confirmedAt, Members: live,
+		PublishedAt: now, ConfigVerified: c.config.verified,
 	}
 	c.publishFleet(snap)
 	if snap.Self.State == membership.StateReady {
@@ -128,26 +128,26 @@
 		}
 	}
 	if snap.Config != nil {
-		c.publishHandler(snap, now)
+		c.assignUpstreams(snap, now)
 		c.publishShares(snap, now)
 		c.publishSteering(snap, now)
 	}
-	c.d.ledger.Fence.Extend(c.custody().SpendUntil())
+	c.d.ledger.Fence.Extend(c.ownership().SpendUntil())
 	c.d.view.Store(snap)
 }
 
-// self is this daemon as its heartbeats show it.
-func (c *control) self(now time.Time) membership.Member {
+// selfMember is this daemon as its heartbeats show it.
+func (c *control) selfMember(now time.Time) membership.Member {
 	m := c.d.identity
 	m.State = c.state
 	m.LeavingSince = c.members.leavingSince
 	m.Sequence = c.members.sequence
 	m.ConfigVersion = c.config.version()
-	m.ConfigRejected = c.config.rejected
-	m.ConfirmedAt = c.config.confirmed
-	m.Watches = c.watches(now)
-	m.Demand = c.quota.scores
-	m.Held = c.custody().Usable(now)
+	m.ConfigRejected = c.config.rejectedVersion
+	m.ConfirmedAt = c.config.confirmedAt
+	m.Watches = c.watchesStore(now)
+	m.Demand = c.quota.demandScores
+	m.Held = c.ownership().Usable(now)
 	for _, h := range m.Held {
 		m.Slots = append(m.Slots, h.Slot)
 	}
@@ -158,15 +158,15 @@
 	return m
 }
 
-// active is the configuration in force; nil until there is one.
-func (c *control) active() *config.Active { return c.config.active }
+// activeConfig is the configuration in force; nil until there is one.
+func (c *control) activeConfig() *config.Active { return c.config.active }
 
-// leave: the planned stop has begun.
-type leave struct{ done chan struct{} }
+// leaveRequest: the planned stop has begun.
+type leaveRequest struct{ done chan struct{} }
 
-func (m leave) apply(c *control) {
+func (m leaveRequest) apply(c *control) {
 	c.state = membership.StateLeaving
 	c.members.leavingSince = time.Now()
-	c.members.nextBeat = time.Time{}
+	c.members.nextHeartbeatAt = time.Time{}
 	close(m.done)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -61,24 +61,24 @@
 
 	store    kv.Store
 	platform *platform.Store
-	security security
+	fleetTLS fleetTLS
 	peers    *peer.Listener
 	conns    *peer.Conns
 	// client talks to upstreams, relayClient to other daemons.
 	client      *upstream.Client
 	relayClient *upstream.Client
 
-	view     view.Publisher
-	ledger   *quota.Ledger
-	handler  *upstream.Handler
-	postings *posting.Table
-	gauge    *entry.Gauge
-	control  *control
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    sync.WaitGroup
-	servers  []*http.Server
-	errs     chan error
+	view         view.Publisher
+	ledger       *quota.Ledger
+	handler      *upstream.Handler
+	postings     *posting.Table
+	gauge        *entry.Gauge
+	control      *control
+	ctx          context.Context
+	cancel       context.CancelFunc
+	tasks        sync.WaitGroup
+	servers      []*http.Server
+	listenerErrs chan error
 }
 
 // New makes a daemon and opens its listeners. Start lets it serve.
@@ -93,7 +93,7 @@
 	if opts.LookupTTL == 0 {
 		opts.LookupTTL = lookup.TTL
 	}
-	secured, err := newSecurity(s.TLS)
+	security, err := newFleetTLS(s.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -101,16 +101,16 @@
 	d := &Daemon{
 		settings: s, options: opts, tracing: tracing, metrics: telemetry.NewMetrics(),
 		log:      logger.With("host", s.Host, "zone", s.Zone),
-		security: secured,
-		conns:    peer.NewConns(opts.Dial, secured.client()),
+		fleetTLS: security,
+		conns:    peer.NewConns(opts.Dial, security.clientConfig()),
 		client:   upstream.NewClient(opts.Dial),
 
-		relayClient: upstream.NewSecureClient(opts.Dial, secured.client()),
-		ledger:      quota.NewLedger(),
-		handler:     upstream.NewHandler(),
-		postings:    posting.NewTable(instance, time.Now(), posting.DefaultLimits()),
-		errs:        make(chan error, 4),
-		gauge:       entry.NewGauge(s.Limits.MaxRunning),
+		relayClient:  upstream.NewSecureClient(opts.Dial, security.clientConfig()),
+		ledger:       quota.NewLedger(),
+		handler:      upstream.NewHandler(),
+		postings:     posting.NewTable(instance, time.Now(), posting.DefaultLimits()),
+		listenerErrs: make(chan error, 4),
+		gauge:        entry.NewGauge(s.Limits.MaxRunning),
 	}
 	d.platform = platform.NewStore(s.Platform.URL, opts.Dial, d.metrics.StoreCall)
 	d.store = kv.WithTimeout(d.platform, s.PlatformTimeout())
@@ -150,11 +150,11 @@
 		return err
 	}
 	d.spawn(func(ctx context.Context) { _ = peer.Serve(ctx, mux, peers) })
-	if d.security.source != nil {
-		d.spawn(d.followTLSFiles)
+	if d.fleetTLS.source != nil {
+		d.spawn(d.watchTLSFiles)
 	}
 	d.spawn(d.control.run)
-	d.spawn(d.borrow)
+	d.spawn(d.runBorrower)
 	d.spawn((&upstream.Prober{Handler: d.handler, Client: d.client}).Run)
 	d.log.Info("listening", "instance", d.identity.Instance, "callers", d.identity.Callers,
 		"operators", d.OperatorsAddress(), "peers", d.identity.Peers, "relay", d.identity.Relay)
@@ -165,29 +165,29 @@
 	runner := &upstream.Runner{
 		Handler: d.handler, Client: d.client, KeyValid: d.keyValid, Tracer: d.tracing.Tracer, Retries: retry.NewBudgets(),
 	}
-	handle := &regionGate{next: runner, view: &d.view, ledger: d.ledger}
+	limiter := &regionLimiter{next: runner, view: &d.view, ledger: d.ledger}
 	front := entry.New(entry.Deps{
-		View: &d.view, Ledger: d.ledger, Postings: d.postings, Local: handle,
-		Relay:        relay.NewClient(d.relayClient, d.security.scheme(), d.identity.Instance),
+		View: &d.view, Ledger: d.ledger, Postings: d.postings, Local: limiter,
+		Relay:        relay.NewClient(d.relayClient, d.fleetTLS.scheme(), d.identity.Instance),
 		MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Tracer: d.tracing.Tracer, Log: d.log, Retries: retry.NewBudgets(),
 	})
 	operators := operator.New(operator.Deps{
 		View: &d.view, Repository: config.NewRepository(d.store, time.Now), Metrics: d.metrics.Set,
-		Adopt: func(r *config.Record, asked time.Time) { d.control.send(recordAccepted{examine(r), asked}) },
+		Adopt: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
 	})
-	relays := &relay.Server{Handle: handle, Posting: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.pace}
+	relays := &relay.Server{Handle: limiter, Posting: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.paceResponse}
 	var err error
 	if d.identity.Callers, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
-		Handler: &observed{next: d.gauge.Bounded(front), metrics: d.metrics, known: d.knownService},
-	}, asIs); err != nil {
+		Handler: &requestMetrics{next: d.gauge.Bounded(front), metrics: d.metrics, isKnownService: d.hasService},
+	}, plainTCP); err != nil {
 		return nil, err
 	}
 	if _, err = d.serveHTTP(d.settings.Listen.Operators, &http.Server{
 		Handler: operators, ReadTimeout: operatorTimeout,
-	}, asIs); err != nil {
+	}, plainTCP); err != nil {
 		return nil, err
 	}
-	if d.identity.Relay, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.security.guarded(relays)}, d.security.listener); err != nil {
+	if d.identity.Relay, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.fleetTLS.requireTrustedClient(relays)}, d.fleetTLS.wrapListener); err != nil {
 		return nil, err
 	}
 	peers, err := net.Listen("tcp", d.settings.Listen.Peers)
@@ -196,18 +196,18 @@
 	}
 	d.identity.Peers = peers.Addr().String()
 	d.peers = peer.Bounded(peers)
-	return d.security.listener(d.peers), nil
+	return d.fleetTLS.wrapListener(d.peers), nil
 }
 
-// asIs serves plain TCP.
-func asIs(l net.Listener) net.Listener { return l }
+// plainTCP serves plain TCP.
+func plainTCP(l net.Listener) net.Listener { return l }
 
 func (d *Daemon) serveHTTP(address string, server *http.Server, wrap func(net.Listener) net.Listener) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Wrap(err, "listen")
 	}
-	server.Handler = d.closing(server.Handler)
+	server.Handler = d.closeWhileLeaving(server.Handler)
 	server.Addr = l.Addr().String()
 	server.ReadHeaderTimeout, server.IdleTimeout = headerTimeout, idleTimeout
 	server.MaxHeaderBytes = d.settings.Limits.MaxHeaderBytes
@@ -216,7 +216,7 @@
 	d.servers = append(d.servers, server)
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			d.errs <- err
+			d.listenerErrs <- err
 		}
 	}()
 	return server.Addr, nil
@@ -225,9 +225,9 @@
 // keyValid tells the handler whether a key is still the customer's.
 func (d *Daemon) keyValid(digest config.Digest, customer string) bool {
 	snap := d.view.Load()
-	for end := time.Now().Add(view.MaxAge); !snap.Current(time.Now()) && time.Now().Before(end); {
+	for deadline := time.Now().Add(view.MaxAge); !snap.Current(time.Now()) && time.Now().Before(deadline); {
 		// Just resumed after a pause: the withdrawal may have come meanwhile.
-		time.Sleep(tickEvery / 2)
+		time.Sleep(tickInterval / 2)
 		snap = d.view.Load()
 	}
 	return snap.OwnsKey(digest, customer)
@@ -242,5 +242,5 @@
 	}()
 }
 
-// Failed reports a listener that broke.
-func (d *Daemon) Failed() <-chan error { return d.errs }
+// ListenerErrors delivers the error of each HTTP listener that stops serving.
+func (d *Daemon) ListenerErrors() <-chan error { return d.listenerErrs }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -18,17 +18,17 @@
 
 func newFleetState() fleetState { return fleetState{hosts: map[string]view.Host{}} }
 
-// heardHost notes a daemon's account of itself.
-func (c *control) heardHost(m membership.Member, now time.Time) {
-	h := c.fleet.known(m.Host, now)
-	last := h.LastReport
-	if last.Instance == m.Instance {
+// recordHostReport notes a daemon's account of itself.
+func (c *control) recordHostReport(m membership.Member, now time.Time) {
+	h := c.fleet.hostByName(m.Host, now)
+	lastReport := h.LastReport
+	if lastReport.Instance == m.Instance {
 		// Only answers say when a version was confirmed.
-		m.ConfirmedAt = later(m.ConfirmedAt, last.ConfirmedAt)
+		m.ConfirmedAt = maxTime(m.ConfirmedAt, lastReport.ConfirmedAt)
 	}
-	if last.Instance == m.Instance && last.Sequence >= m.Sequence {
-		last.ConfirmedAt = m.ConfirmedAt
-		m = last
+	if lastReport.Instance == m.Instance && lastReport.Sequence >= m.Sequence {
+		lastReport.ConfirmedAt = m.ConfirmedAt
+		m = lastReport
 	} else {
 		m.HeardAt = now
 	}
@@ -36,21 +36,21 @@
 	c.fleet.hosts[m.Host] = h
 }
 
-// listedHosts notes the platform's host list.
-func (c *control) listedHosts(list []membership.Host, now time.Time) {
+// recordHostList notes the platform's host list.
+func (c *control) recordHostList(hosts []membership.Host, now time.Time) {
 	c.fleet.listedAt = now
 	for name, h := range c.fleet.hosts {
 		h.Listed = false
 		c.fleet.hosts[name] = h
 	}
-	for _, l := range list {
-		h := c.fleet.known(l.Name, now)
-		h.Listed, h.Zone = true, l.Zone
-		c.fleet.hosts[l.Name] = h
+	for _, listed := range hosts {
+		h := c.fleet.hostByName(listed.Name, now)
+		h.Listed, h.Zone = true, listed.Zone
+		c.fleet.hosts[listed.Name] = h
 	}
 }
 
-func (s *fleetState) known(name string, now time.Time) view.Host {
+func (s *fleetState) hostByName(name string, now time.Time) view.Host {
 	if h, ok := s.hosts[name]; ok {
 		return h
 	}
@@ -60,11 +60,11 @@
 // tickFleet forgets hosts that are not listed any more and have fallen silent.
 func (c *control) tickFleet(now time.Time) {
 	maps.DeleteFunc(c.fleet.hosts, func(_ string, h view.Host) bool {
-		bound := forgetAfter
+		retention := memberRetention
 		if h.LastReport.State == membership.StateLeaving {
-			bound = membership.GoneAfter
+			retention = membership.GoneAfter
 		}
-		return !h.Listed && now.Sub(h.LastReport.HeardAt) > bound
+		return !h.Listed && now.Sub(h.LastReport.HeardAt) > retention
 	})
 }
 
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -3,10 +3,10 @@
 // handoverServer receives what stopping peers pass on: postings and slots. It
 // implements peer.DRPCHandoverServer.
 type handoverServer struct {
-	*handover
-	*slotTaker
+	*postingReceiver
+	*slotReceiver
 }
 
 func newHandoverServer(d *Daemon) handoverServer {
-	return handoverServer{handover: newHandover(d), slotTaker: &slotTaker{d: d}}
+	return handoverServer{postingReceiver: newPostingReceiver(d), slotReceiver: &slotReceiver{d: d}}
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -14,38 +14,38 @@
 
 // Timing of membership.
 const (
-	hostsEvery = 2 * time.Second
-	// hostsShare is a daemon's part of the time between two readings of the
+	hostListInterval = 2 * time.Second
+	// hostListIntervalPerDaemon is a daemon's part of the time between two readings of the
 	// host list: the fleet together makes 50 calls a second at most. What the
 	// list shows late is known by gossip before.
-	hostsShare = 20 * time.Millisecond
-	// confirmWithin is the age of the configuration's confirmation from which
-	// all peers are asked: a watcher's confirmation is up to watchWait and watchDeaf
+	hostListIntervalPerDaemon = 20 * time.Millisecond
+	// maxConfirmationAge is the age of the configuration's confirmation from which
+	// all peers are asked: a watcher's confirmation is up to watchDuration and watchMaxLag
 	// old, and a peer that asks it in turn half a heartbeat more.
-	confirmWithin = watchWait + watchDeaf + membership.BeatEvery
-	// forgetAfter keeps a silent peer's last account for status and posting
+	maxConfirmationAge = watchDuration + watchMaxLag + membership.BeatEvery
+	// memberRetention keeps a silent peer's last account for status and posting
 	// ids; it no longer counts as live long before.
-	forgetAfter = time.Minute
+	memberRetention = time.Minute
 )
 
 // memberState is the control thread's part for membership.
 type memberState struct {
 	table    *membership.Table
 	contacts *membership.Contacts
-	// handled are the upstreams that this daemon was last assigned.
-	handled []string
+	// assignedUpstreams are the upstreams that this daemon was last assigned.
+	assignedUpstreams []string
 	// leavingSince is when this daemon's planned stop began.
-	leavingSince time.Time
-	sequence     uint64
-	nextBeat     time.Time
-	nextHosts    time.Time
+	leavingSince    time.Time
+	sequence        uint64
+	nextHeartbeatAt time.Time
+	nextHostReadAt  time.Time
 }
 
 func newMemberState() memberState { return memberState{table: membership.NewTable()} }
 
-// knownContacts is made at the first use: the daemon's own address is known
+// contacts is made at the first use: the daemon's own address is known
 // only once it listens.
-func (c *control) knownContacts() *membership.Contacts {
+func (c *control) contacts() *membership.Contacts {
 	if c.members.contacts == nil {
 		c.members.contacts = membership.NewContacts(c.d.identity.Peers)
 	}
@@ -53,63 +53,63 @@
 }
 
 func (c *control) tickMembers(now time.Time) {
-	c.members.table.Forget(now, forgetAfter)
-	if !now.Before(c.members.nextHosts) {
-		fleet := time.Duration(len(c.members.table.All()))
-		c.members.nextHosts = now.Add(max(hostsEvery, fleet*hostsShare))
-		c.d.spawn(c.d.listHosts)
+	c.members.table.Forget(now, memberRetention)
+	if !now.Before(c.members.nextHostReadAt) {
+		fleetSize := time.Duration(len(c.members.table.All()))
+		c.members.nextHostReadAt = now.Add(max(hostListInterval, fleetSize*hostListIntervalPerDaemon))
+		c.d.spawn(c.d.refreshHostList)
 	}
-	if !now.Before(c.members.nextBeat) {
-		news := c.members.nextBeat.IsZero()
-		c.members.nextBeat = now.Add(membership.BeatEvery)
-		c.beat(news, now)
+	if !now.Before(c.members.nextHeartbeatAt) {
+		urgent := c.members.nextHeartbeatAt.IsZero()
+		c.members.nextHeartbeatAt = now.Add(membership.BeatEvery)
+		c.sendHeartbeats(urgent, now)
 	}
 }
 
-// heardFrom: a peer's account of itself arrived.
-type heardFrom struct{ member membership.Member }
+// heartbeatReceived: a peer's account of itself arrived.
+type heartbeatReceived struct{ member membership.Member }
 
-func (m heardFrom) apply(c *control) {
+func (m heartbeatReceived) apply(c *control) {
 	now := time.Now()
-	before, known := c.members.table.Find(m.member.Instance)
+	previous, known := c.members.table.Find(m.member.Instance)
 	newest := c.members.table.Hear(m.member, now)
-	if !known || before.State != m.member.State {
-		c.news = true
+	if !known || previous.State != m.member.State {
+		c.publishPending = true
 	}
-	c.contact(m.member, now)
+	c.recordContact(m.member, now)
 	if newest && m.member.Zone == c.d.identity.Zone {
-		c.yieldSlots(m.member, now)
+		c.releaseContestedSlots(m.member, now)
 	}
-	c.heardHost(m.member, now)
-	c.heardConfig(m.member, now)
+	c.recordHostReport(m.member, now)
+	c.handleConfigReport(m.member, now)
 }
 
-// answeredBy: the daemon at address has answered a heartbeat with its account.
-type answeredBy struct {
+// heartbeatAnswered: the daemon at address has answered a heartbeat with its account.
+type heartbeatAnswered struct {
 	address string
 	member  membership.Member
 }
 
-func (m answeredBy) apply(c *control) {
-	c.knownContacts().Answered(m.address, time.Now())
-	heardFrom{m.member}.apply(c)
+func (m heartbeatAnswered) apply(c *control) {
+	c.contacts().Answered(m.address, time.Now())
+	heartbeatReceived{m.member}.apply(c)
 }
 
-// hostsListed: the platform's host list was read.
-type hostsListed struct{ hosts []membership.Host }
+// hostListRead: the platform's host list was read.
+type hostListRead struct{ hosts []membership.Host }
 
-func (m hostsListed) apply(c *control) {
+func (m hostListRead) apply(c *control) {
 	addresses := make([]string, 0, len(m.hosts))
 	for _, h := range m.hosts {
 		addresses = append(addresses, h.Peers)
 	}
-	c.knownContacts().Listed(addresses)
-	c.listedHosts(m.hosts, time.Now())
+	c.contacts().Listed(addresses)
+	c.recordHostList(m.hosts, time.Now())
 }
 
-// contact notes where a member is and whom it hears.
-func (c *control) contact(m membership.Member, now time.Time) {
-	contacts := c.knownContacts()
+// recordContact notes where a member is and whom it hears.
+func (c *control) recordContact(m membership.Member, now time.Time) {
+	contacts := c.contacts()
 	contacts.Rumored(m.Known, now)
 	if m.State == membership.StateLeaving {
 		contacts.Left(m.Peers)
@@ -118,39 +118,39 @@
 	contacts.Heard(m.Peers, now)
 }
 
-// beat sends a heartbeat to every address that may be a daemon's.
-func (c *control) beat(news bool, now time.Time) {
+// sendHeartbeats sends a heartbeat to every address that may be a daemon's.
+func (c *control) sendHeartbeats(urgent bool, now time.Time) {
 	c.members.sequence++
-	self := c.self(now)
-	self.Known = c.knownContacts().Gossip(now)
-	message := toWire(self)
-	for _, address := range c.beatTargets(news, now) {
-		c.d.spawn(func(ctx context.Context) { c.d.beatTo(ctx, address, message) })
+	self := c.selfMember(now)
+	self.Known = c.contacts().Gossip(now)
+	message := memberToWire(self)
+	for _, address := range c.heartbeatTargets(urgent, now) {
+		c.d.spawn(func(ctx context.Context) { c.d.sendHeartbeat(ctx, address, message) })
 	}
 }
 
-// beatTargets are the addresses to send a heartbeat to. Without news it leaves
+// heartbeatTargets are the addresses to send a heartbeat to. Without news it leaves
 // those out that have exchanged one with this daemon just now.
 //
 // Only the answer to a heartbeat of its own confirms a daemon's configuration
-// (see confirmedAt). Two daemons keep the order in which they began: one whose
+// (see confirmationTime). Two daemons keep the order in which they began: one whose
 // peers always beat first would hardly ask any of them, and where it is
 // cut off from the store it would refuse customers with a bound on staleness
 // although peers know the version to be the newest. So it asks all of them
-// while its configuration is unconfirmed for longer than confirmWithin.
-func (c *control) beatTargets(news bool, now time.Time) []string {
-	due := c.beatAddresses(now)
-	if news || now.Sub(c.config.confirmed) > confirmWithin {
-		return due
+// while its configuration is unconfirmed for longer than maxConfirmationAge.
+func (c *control) heartbeatTargets(urgent bool, now time.Time) []string {
+	addresses := c.dueAddresses(now)
+	if urgent || now.Sub(c.config.confirmedAt) > maxConfirmationAge {
+		return addresses
 	}
-	return slices.DeleteFunc(due, func(address string) bool { return c.knownContacts().Fresh(address, now) })
+	return slices.DeleteFunc(addresses, func(address string) bool { return c.contacts().Fresh(address, now) })
 }
 
-// beatAddresses adds to the contacts the holders that the store names: they
+// dueAddresses adds to the contacts the holders that the store names: they
 // are asked before their slots are taken.
-func (c *control) beatAddresses(now time.Time) []string {
-	due := c.knownContacts().Due(now)
-	for _, address := range c.slots.holders {
+func (c *control) dueAddresses(now time.Time) []string {
+	due := c.contacts().Due(now)
+	for _, address := range c.slots.holderAddresses {
 		if address != c.d.identity.Peers && !slices.Contains(due, address) {
 			due = append(due, address)
 		}
@@ -159,31 +159,31 @@
 }
 
 // peerAddresses are the addresses of all daemons that may be there.
-func (c *control) peerAddresses() map[string]bool { return c.knownContacts().All() }
+func (c *control) peerAddresses() map[string]bool { return c.contacts().All() }
 
-func (d *Daemon) beatTo(ctx context.Context, address string, message *peer.Heartbeat) {
+func (d *Daemon) sendHeartbeat(ctx context.Context, address string, message *peer.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	reply, err := peer.NewDRPCMembershipClient(d.conns.To(ctx, address)).Beat(ctx, message)
 	if err != nil {
 		d.log.Debug("beat_failed", "peer", address, "err", err)
 		return
 	}
-	member := fromWire(reply)
-	member.ConfirmedAt = confirmedAt(asked, reply.ConfirmedAgeMs)
-	d.control.send(answeredBy{address: address, member: member})
+	member := memberFromWire(reply)
+	member.ConfirmedAt = confirmationTime(sentAt, reply.ConfirmedAgeMs)
+	d.control.send(heartbeatAnswered{address: address, member: member})
 }
 
 // Beat answers a peer's heartbeat; it implements peer.DRPCMembershipServer.
 func (d *Daemon) Beat(_ context.Context, in *peer.Heartbeat) (*peer.Heartbeat, error) {
-	d.control.send(heardFrom{fromWire(in)})
-	return toWire(d.view.Load().Self), nil
+	d.control.send(heartbeatReceived{memberFromWire(in)})
+	return memberToWire(d.view.Load().Self), nil
 }
 
-func (d *Daemon) listHosts(ctx context.Context) {
+func (d *Daemon) refreshHostList(ctx context.Context) {
 	if hosts, ok := d.readHosts(ctx); ok {
-		d.control.send(hostsListed{hosts})
+		d.control.send(hostListRead{hosts})
 	}
 }
 
@@ -200,7 +200,7 @@
 	return hosts, true
 }
 
-func toWire(m membership.Member) *peer.Heartbeat {
+func memberToWire(m membership.Member) *peer.Heartbeat {
 	out := &peer.Heartbeat{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: string(m.State),
 		Callers: m.Callers, Peers: m.Peers, Relay: m.Relay, Sequence: m.Sequence,
@@ -213,18 +213,18 @@
 	for _, slot := range m.Slots {
 		out.Slots = append(out.Slots, uint32(slot))
 	}
-	for service, room := range m.Headroom {
+	for service, headroom := range m.Headroom {
 		out.Headroom = append(out.Headroom, &peer.Headroom{
-			Service: service, Free: uint32(room.Free), Limit: uint32(room.Limit), Queued: uint32(room.Queued),
+			Service: service, Free: uint32(headroom.Free), Limit: uint32(headroom.Limit), Queued: uint32(headroom.Queued),
 		})
 	}
-	for name, score := range m.Demand {
-		out.Demand = append(out.Demand, &peer.Demand{Quota: name, PerSecond: score})
+	for name, perSecond := range m.Demand {
+		out.Demand = append(out.Demand, &peer.Demand{Quota: name, PerSecond: perSecond})
 	}
 	return out
 }
 
-func fromWire(in *peer.Heartbeat) membership.Member {
+func memberFromWire(in *peer.Heartbeat) membership.Member {
 	m := membership.Member{
 		Instance: in.Instance, Host: in.Host, Zone: in.Zone, State: membership.State(in.State),
 		Callers: in.Callers, Peers: in.Peers, Relay: in.Relay, Sequence: in.Sequence,
@@ -239,9 +239,9 @@
 	for _, slot := range in.Slots {
 		m.Slots = append(m.Slots, int(slot))
 	}
-	for _, room := range in.Headroom {
-		m.Headroom[room.Service] = membership.Headroom{
-			Free: int(room.Free), Limit: int(room.Limit), Queued: int(room.Queued),
+	for _, headroom := range in.Headroom {
+		m.Headroom[headroom.Service] = membership.Headroom{
+			Free: int(headroom.Free), Limit: int(headroom.Limit), Queued: int(headroom.Queued),
 		}
 	}
 	for _, demand := range in.Demand {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -15,7 +15,7 @@
 // what each gauge means.
 func (d *Daemon) registerGauges() {
 	d.metrics.Gauge("balsambarrow_ready", func() float64 {
-		return boolean(d.view.Load().Self.State == membership.StateReady)
+		return boolToFloat(d.view.Load().Self.State == membership.StateReady)
 	})
 	d.metrics.Gauge("balsambarrow_config_version", func() float64 { return float64(d.view.Load().Self.ConfigVersion) })
 	d.metrics.Gauge("balsambarrow_slots", func() float64 { return float64(len(d.view.Load().Self.Slots)) })
@@ -28,12 +28,12 @@
 		_, answerBytes := d.postings.Size()
 		return float64(answerBytes)
 	})
-	d.metrics.Gauge("balsambarrow_draining_running", func() float64 { return float64(runningOn(d.handler.Drains())) })
+	d.metrics.Gauge("balsambarrow_draining_running", func() float64 { return float64(runningOnDrained(d.handler.Drains())) })
 	d.metrics.Gauge("balsambarrow_load", func() float64 { return d.view.Load().Self.Load })
 }
 
-// runningOn is how many requests still run on upstreams that are drained.
-func runningOn(drains []upstream.Draining) int {
+// runningOnDrained is how many requests still run on upstreams that are drained.
+func runningOnDrained(drains []upstream.Draining) int {
 	n := 0
 	for _, d := range drains {
 		n += d.Running
@@ -41,24 +41,24 @@
 	return n
 }
 
-func boolean(b bool) float64 {
-	if b {
+func boolToFloat(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// observed counts a listener's answers to callers by service and result.
-type observed struct {
+// requestMetrics counts a listener's answers to callers by service and result.
+type requestMetrics struct {
 	next    http.Handler
 	metrics *telemetry.Metrics
 	// known tells which names may become a label: a caller's misspelling
 	// must not make a new series.
-	known func(service string) bool
+	isKnownService func(service string) bool
 }
 
 // ServeHTTP implements http.Handler.
-func (o *observed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (o *requestMetrics) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rest, isService := strings.CutPrefix(r.URL.Path, "/svc/")
 	if !isService {
 		o.metrics.Lookup()
@@ -66,13 +66,13 @@
 		return
 	}
 	service, _, _ := strings.Cut(rest, "/")
-	if !o.known(service) {
+	if !o.isKnownService(service) {
 		service = "unknown"
 	}
-	start := time.Now()
+	startedAt := time.Now()
 	result := &resultWriter{ResponseWriter: w}
 	// An answer that breaks off leaves by a panic; it is counted all the same.
-	defer func() { o.metrics.Request(service, result.result(), time.Since(start)) }()
+	defer func() { o.metrics.Request(service, result.result(), time.Since(startedAt)) }()
 	o.next.ServeHTTP(result, r)
 }
 
@@ -108,8 +108,8 @@
 	return outcome + " " + http.StatusText(w.status)
 }
 
-// knownService tells whether the configuration in force has a service.
-func (d *Daemon) knownService(service string) bool {
+// hasService tells whether the configuration in force has a service.
+func (d *Daemon) hasService(service string) bool {
 	snap := d.view.Load()
 	if snap.Config == nil {
 		return false
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// partBytes bounds one part of a table on its way, far below what a peer
+	// maxPartBytes bounds one part of a table on its way, far below what a peer
 	// takes in one message.
-	partBytes = 512 << 10
+	maxPartBytes = 512 << 10
 	// partTimeout bounds the passing on of one part.
 	partTimeout = 2 * time.Second
-	// handOverBound bounds the passing on of all tables; 80 parts of a full one
+	// transferTimeout bounds the passing on of all tables; 80 parts of a full one
 	// take a second within a zone.
-	handOverBound = 10 * time.Second
+	transferTimeout = 10 * time.Second
 	// maxSuccessors bounds the peers that are tried: a host that is cut off
 	// must not spend its stop on asking everybody.
 	maxSuccessors = 4
 	// postingOverhead is added to the variable bytes of a posting.
 	postingOverhead = 128
-	// assemblyFor is how long the parts of an unfinished table are kept: more
+	// assemblyTTL is how long the parts of an unfinished table are kept: more
 	// than a planned stop takes.
-	assemblyFor = 2 * time.Minute
-	// maxStatus is the highest status of an answer.
-	maxStatus = 599
+	assemblyTTL = 2 * time.Minute
+	// maxHTTPStatus is the highest status of an answer.
+	maxHTTPStatus = 599
 	// maxAssemblies bounds the tables on their way at once.
 	maxAssemblies = 8
 )
@@ -39,23 +39,23 @@
 // errDeclined says that a peer had no room for a table.
 var errDeclined = errors.New("daemon: peer does not take the postings")
 
-// handOverPostings closes the table of postings and passes it to a peer of the
+// transferPostings closes the table of postings and passes it to a peer of the
 // zone, which answers for this instance from then on. It is called at a
 // planned stop, after the callers' and relay listeners have ended every
 // request: a posting that still runs goes as unknown. Where no peer of the
 // zone takes it, another zone's may.
-func (d *Daemon) handOverPostings(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverBound)
+func (d *Daemon) transferPostings(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	for _, table := range d.postings.Seal(time.Now()) {
-		d.handOver(ctx, table)
+		d.transferTable(ctx, table)
 	}
 }
 
-func (d *Daemon) handOver(ctx context.Context, table posting.Handover) {
-	peers := d.successors()
+func (d *Daemon) transferTable(ctx context.Context, table posting.Handover) {
+	peers := d.transferTargets()
 	for _, to := range peers[:min(len(peers), maxSuccessors)] {
-		err := d.passTable(ctx, to, table)
+		err := d.sendTable(ctx, to, table)
 		if err == nil {
 			d.log.Info("postings_handed_over", "instance", table.Instance, "to", to.Instance, "postings", len(table.Postings))
 			return
@@ -68,32 +68,32 @@
 	d.log.Warn("postings_lost", "instance", table.Instance, "postings", len(table.Postings))
 }
 
-// successors lists the ready daemons, those of the own zone first.
-func (d *Daemon) successors() []membership.Member {
-	var near, far []membership.Member
+// transferTargets lists the ready daemons, those of the own zone first.
+func (d *Daemon) transferTargets() []membership.Member {
+	var sameZone, otherZones []membership.Member
 	for _, m := range d.view.Load().Members {
 		switch {
 		case m.State != membership.StateReady:
 		case m.Zone == d.identity.Zone:
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		default:
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		}
 	}
-	return append(near, far...)
+	return append(sameZone, otherZones...)
 }
 
-func (d *Daemon) passTable(ctx context.Context, to membership.Member, table posting.Handover) error {
+func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Handover) error {
 	client := peer.NewDRPCHandoverClient(d.conns.To(ctx, to.Peers))
 	var reply *peer.HandoverReply
-	for _, part := range parts(table) {
-		bounded, cancel := context.WithTimeout(ctx, partTimeout)
-		got, err := client.TakePostings(bounded, part)
+	for _, part := range splitTable(table) {
+		partCtx, cancel := context.WithTimeout(ctx, partTimeout)
+		response, err := client.TakePostings(partCtx, part)
 		cancel()
 		if err != nil {
 			return err
 		}
-		reply = got
+		reply = response
 	}
 	if reply == nil || !reply.Taken {
 		return errDeclined
@@ -101,20 +101,20 @@
 	return nil
 }
 
-// parts cuts a table so that each part stays small. An empty table is passed
+// splitTable cuts a table so that each part stays small. An empty table is passed
 // too: it makes the successor's not-run true for ids that never came.
-func parts(table posting.Handover) []*peer.PostingTable {
-	fresh := func() *peer.PostingTable {
+func splitTable(table posting.Handover) []*peer.PostingTable {
+	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
 	}
-	current := fresh()
+	current := newPart()
 	all := []*peer.PostingTable{current}
 	size := 0
-	for _, kept := range table.Postings {
-		p := postingToWire(kept)
+	for _, record := range table.Postings {
+		p := postingToWire(record)
 		n := len(p.Id) + len(p.Customer) + len(p.Body) + headerBytes(p) + postingOverhead
-		if size > 0 && size+n > partBytes {
-			current = fresh()
+		if size > 0 && size+n > maxPartBytes {
+			current = newPart()
 			all = append(all, current)
 			size = 0
 		}
@@ -135,9 +135,9 @@
 	return n
 }
 
-// handover receives what a stopping peer passes on; it implements
+// postingReceiver receives what a stopping peer passes on; it implements
 // peer.DRPCHandoverServer.
-type handover struct {
+type postingReceiver struct {
 	peer.DRPCHandoverUnimplementedServer
 	d *Daemon
 
@@ -148,17 +148,17 @@
 // assembly is a table of which parts are missing, by the postings' ids: a part
 // that arrives twice counts once.
 type assembly struct {
-	begun       time.Time
+	startedAt   time.Time
 	postings    map[postingKey]posting.Kept
 	answerBytes int
 }
 
-func (a *assembly) add(kept posting.Kept) {
-	k := postingKey{customer: kept.Customer, id: kept.ID}
-	if _, twice := a.postings[k]; !twice && kept.Answer != nil {
-		a.answerBytes += len(kept.Answer.Body)
+func (a *assembly) add(record posting.Kept) {
+	k := postingKey{customer: record.Customer, id: record.ID}
+	if _, duplicate := a.postings[k]; !duplicate && record.Answer != nil {
+		a.answerBytes += len(record.Answer.Body)
 	}
-	a.postings[k] = kept
+	a.postings[k] = record
 }
 
 type postingKey struct {
@@ -166,14 +166,14 @@
 	id       posting.ID
 }
 
-func newHandover(d *Daemon) *handover {
-	return &handover{d: d, assemblies: map[string]*assembly{}}
+func newPostingReceiver(d *Daemon) *postingReceiver {
+	return &postingReceiver{d: d, assemblies: map[string]*assembly{}}
 }
 
 // TakePostings takes one part in. The reply says whether the whole table has
 // been taken: answering for an instance with a part of its table would call
 // the rest not-run.
-func (h *handover) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
+func (h *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
 	postings, err := postingsFromWire(in)
 	if err != nil {
 		return nil, err
@@ -184,8 +184,8 @@
 	if a == nil || uint64(len(a.postings)+len(postings)) > posting.MaxRecords {
 		return &peer.HandoverReply{}, nil
 	}
-	for _, kept := range postings {
-		a.add(kept)
+	for _, record := range postings {
+		a.add(record)
 	}
 	if a.answerBytes > posting.MaxAnswerBytes {
 		delete(h.assemblies, in.Instance)
@@ -195,33 +195,33 @@
 		return &peer.HandoverReply{}, nil
 	}
 	delete(h.assemblies, in.Instance)
-	return &peer.HandoverReply{Taken: h.d.takePostings(in, a)}, nil
+	return &peer.HandoverReply{Taken: h.d.storeTable(in, a)}, nil
 }
 
 // assembly finds or begins the collecting of an instance's parts; nil where
 // there are too many.
-func (h *handover) assembly(instance string, now time.Time) *assembly {
+func (h *postingReceiver) assembly(instance string, now time.Time) *assembly {
 	for name, a := range h.assemblies {
-		if now.Sub(a.begun) > assemblyFor {
+		if now.Sub(a.startedAt) > assemblyTTL {
 			delete(h.assemblies, name)
 		}
 	}
 	a := h.assemblies[instance]
 	if a == nil && len(h.assemblies) < maxAssemblies {
-		a = &assembly{begun: now, postings: map[postingKey]posting.Kept{}}
+		a = &assembly{startedAt: now, postings: map[postingKey]posting.Kept{}}
 		h.assemblies[instance] = a
 	}
 	return a
 }
 
-func (d *Daemon) takePostings(in *peer.PostingTable, a *assembly) bool {
+func (d *Daemon) storeTable(in *peer.PostingTable, a *assembly) bool {
 	table := posting.Handover{Instance: in.Instance, Epoch: in.Epoch}
-	for _, kept := range a.postings {
-		table.Postings = append(table.Postings, kept)
+	for _, record := range a.postings {
+		table.Postings = append(table.Postings, record)
 	}
-	taken := d.postings.Take(table, time.Now())
-	d.log.Info("postings_taken", "instance", in.Instance, "postings", len(table.Postings), "taken", taken)
-	return taken
+	accepted := d.postings.Take(table, time.Now())
+	d.log.Info("postings_taken", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
+	return accepted
 }
 
 // stateNames are the states that travel. A running one does not.
@@ -229,32 +229,32 @@
 
 var statesByName = map[string]posting.State{"ran": posting.StateRan, "unknown": posting.StateUnknown}
 
-func postingToWire(k posting.Kept) *peer.Posting {
-	out := &peer.Posting{Id: k.ID.String(), Customer: k.Customer, State: stateNames[k.State], Digest: k.Digest[:]}
-	if k.Answer == nil {
+func postingToWire(record posting.Kept) *peer.Posting {
+	out := &peer.Posting{Id: record.ID.String(), Customer: record.Customer, State: stateNames[record.State], Digest: record.Digest[:]}
+	if record.Answer == nil {
 		return out
 	}
-	out.Status, out.Body, out.Dropped = uint32(k.Answer.Status), k.Answer.Body, k.Answer.Dropped
-	for name, values := range k.Answer.Header {
+	out.Status, out.Body, out.Dropped = uint32(record.Answer.Status), record.Answer.Body, record.Answer.Dropped
+	for name, values := range record.Answer.Header {
 		out.Headers = append(out.Headers, &peer.PostingHeader{Name: name, Values: values})
 	}
 	return out
 }
 
-// errBadPosting says that a peer's posting cannot be read.
-var errBadPosting = errors.New("daemon: unreadable posting in a table")
+// errInvalidPosting says that a peer's posting cannot be read.
+var errInvalidPosting = errors.New("daemon: unreadable posting in a table")
 
 func postingsFromWire(in *peer.PostingTable) ([]posting.Kept, error) {
 	var all []posting.Kept
 	for _, p := range in.Postings {
-		kept, err := postingFromWire(p)
+		record, err := postingFromWire(p)
 		if err != nil {
 			return nil, err
 		}
-		if kept.ID.Instance != in.Instance {
-			return nil, errors.Wrap(errBadPosting, "another instance's")
+		if record.ID.Instance != in.Instance {
+			return nil, errors.Wrap(errInvalidPosting, "another instance's")
 		}
-		all = append(all, kept)
+		all = append(all, record)
 	}
 	return all, nil
 }
@@ -262,24 +262,24 @@
 func postingFromWire(in *peer.Posting) (posting.Kept, error) {
 	id, err := posting.ParseID(in.Id)
 	if err != nil {
-		return posting.Kept{}, errors.Wrap(errBadPosting, err.Error())
+		return posting.Kept{}, errors.Wrap(errInvalidPosting, err.Error())
 	}
 	state, known := statesByName[in.State]
 	if len(in.Digest) != len(posting.Digest{}) || !known {
-		return posting.Kept{}, errors.Wrap(errBadPosting, "digest or state")
+		return posting.Kept{}, errors.Wrap(errInvalidPosting, "digest or state")
 	}
-	kept := posting.Kept{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
+	record := posting.Kept{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
 	if in.Status == 0 {
-		return kept, nil
+		return record, nil
 	}
-	if in.Status < http.StatusOK || in.Status > maxStatus {
-		return posting.Kept{}, errors.Wrap(errBadPosting, "status")
+	if in.Status < http.StatusOK || in.Status > maxHTTPStatus {
+		return posting.Kept{}, errors.Wrap(errInvalidPosting, "status")
 	}
-	kept.Answer = &posting.Answer{
+	record.Answer = &posting.Answer{
 		Status: int(in.Status), Header: http.Header{}, Body: in.Body, Dropped: in.Dropped,
 	}
 	for _, h := range in.Headers {
-		kept.Answer.Header[h.Name] = h.Values
+		record.Answer.Header[h.Name] = h.Values
 	}
-	return kept, nil
+	return record, nil
 }
--- a/internal/daemon/postings_bench_test.go
+++ b/internal/daemon/postings_bench_test.go
@@ -26,7 +26,7 @@
 	b.ResetTimer()
 	for range b.N {
 		bytes := 0
-		all := parts(table)
+		all := splitTable(table)
 		for _, part := range all {
 			text, err := proto.Marshal(part)
 			if err != nil {
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -17,41 +17,41 @@
 
 // Timing of quotas.
 const (
-	// planEvery is the time between plans of every quota in use; a taker that
+	// planInterval is the time between plans of every quota in use; a taker that
 	// waits wakes the planner at once.
-	planEvery = 50 * time.Millisecond
-	dropEvery = 10 * time.Second
-	// lendIdle closes a stream to a lender that was not asked for so long.
-	lendIdle = 10 * time.Second
-	// asksBuffered bounds the asks that wait for a stream; more are dropped,
+	planInterval     = 50 * time.Millisecond
+	dropIdleInterval = 10 * time.Second
+	// loanStreamIdleTimeout closes a stream to a lender that was not asked for so long.
+	loanStreamIdleTimeout = 10 * time.Second
+	// maxQueuedRequests bounds the asks that wait for a stream; more are dropped,
 	// as a network would.
-	asksBuffered = 256
+	maxQueuedRequests = 256
 )
 
 // quotaState is the control thread's part for quotas.
 type quotaState struct {
-	cuts quota.Cuts
-	// adopted are the slots that came with their tokens, by the time since
+	partitions quota.Cuts
+	// transferredAt are the slots that came with their tokens, by the time since
 	// which they are held.
-	adopted map[int]time.Time
-	shape   *quota.Shape
-	scores  map[string]float64
-	// cutOf keeps the cuts of cutVersion.
-	cutOf      map[string]quota.Cut
-	cutVersion uint64
-	nextScore  time.Time
-	nextDrop   time.Time
+	transferredAt map[int]time.Time
+	shape         *quota.Shape
+	demandScores  map[string]float64
+	// partitionByQuota keeps the cuts of partitionVersion.
+	partitionByQuota map[string]quota.Cut
+	partitionVersion uint64
+	nextScoreAt      time.Time
+	nextDropAt       time.Time
 }
 
-func newQuotaState() quotaState { return quotaState{adopted: map[int]time.Time{}} }
+func newQuotaState() quotaState { return quotaState{transferredAt: map[int]time.Time{}} }
 
 // publishShares sets the ledger to the usable slots and the versions in force.
 func (c *control) publishShares(snap *view.Snapshot, now time.Time) {
 	members := append([]membership.Member{snap.Self}, snap.Members...)
 	shape := &quota.Shape{
 		Zone:     snap.Self.Zone,
-		Slots:    c.settled(snap.Self.Held, now),
-		Versions: c.quota.cuts.Observe(snap.Config, members, now),
+		Slots:    c.spendableSlots(snap.Self.Held, now),
+		Versions: c.quota.partitions.Observe(snap.Config, members, now),
 	}
 	if old := c.quota.shape; old != nil && slices.Equal(old.Slots, shape.Slots) && slices.Equal(old.Versions, shape.Versions) {
 		return
@@ -60,18 +60,18 @@
 	c.d.ledger.SetShape(shape, now)
 }
 
-// settled returns the slots that may be spent from. A slot comes with the
+// spendableSlots returns the slots that may be spent from. A slot comes with the
 // loans that its earlier holder made of it; while they run, the borrowers and
 // this daemon together would exceed the quota. A slot that came with tokens is
 // free of loans: see quota.Ledger.Surrender.
-func (c *control) settled(held []membership.Holding, now time.Time) []int {
+func (c *control) spendableSlots(held []membership.Holding, now time.Time) []int {
 	var out []int
 	for _, h := range held {
-		if len(c.slots.levels[h.Slot].levels) > 0 {
-			c.quota.adopted[h.Slot] = h.Since
+		if len(c.slots.pendingLevels[h.Slot].levels) > 0 {
+			c.quota.transferredAt[h.Slot] = h.Since
 		}
-		adopted := c.quota.adopted[h.Slot].Equal(h.Since)
-		if adopted || now.Sub(h.Since) >= quota.Quarantine {
+		transferred := c.quota.transferredAt[h.Slot].Equal(h.Since)
+		if transferred || now.Sub(h.Since) >= quota.Quarantine {
 			out = append(out, h.Slot)
 		}
 	}
@@ -79,16 +79,16 @@
 }
 
 func (c *control) tickQuota(now time.Time) {
-	if c.active() == nil {
+	if c.activeConfig() == nil {
 		return
 	}
-	if !now.Before(c.quota.nextDrop) {
-		c.quota.nextDrop = now.Add(dropEvery)
+	if !now.Before(c.quota.nextDropAt) {
+		c.quota.nextDropAt = now.Add(dropIdleInterval)
 		c.d.ledger.DropIdle(now)
 	}
-	if !now.Before(c.quota.nextScore) || c.state == membership.StateLeaving {
-		c.quota.nextScore = now.Add(membership.BeatEvery)
-		c.scoreQuotas(now)
+	if !now.Before(c.quota.nextScoreAt) || c.state == membership.StateLeaving {
+		c.quota.nextScoreAt = now.Add(membership.BeatEvery)
+		c.updateDemandScores(now)
 	}
 	members := c.members.table.Live(now)
 	for _, name := range c.d.ledger.Names() {
@@ -96,10 +96,10 @@
 	}
 }
 
-// scoreQuotas sets what the next heartbeats tell of demand. This daemon's own
+// updateDemandScores sets what the next heartbeats tell of demand. This daemon's own
 // election uses the same numbers: with fresher ones of its own, every daemon
 // would take itself for the hub as long as demand grows everywhere.
-func (c *control) scoreQuotas(now time.Time) {
+func (c *control) updateDemandScores(now time.Time) {
 	scores := map[string]float64{}
 	for _, name := range c.d.ledger.Names() {
 		score := c.d.ledger.Score(name, now)
@@ -107,11 +107,11 @@
 			scores[name] = score
 		}
 	}
-	c.quota.scores = scores
+	c.quota.demandScores = scores
 }
 
 // situation finds the hub, the lenders and the fleet's demand of a quota. A
-// leaving daemon tells no demand (see scoreQuotas), so it is not elected.
+// leaving daemon tells no demand (see updateDemandScores), so it is not elected.
 //
 // The failure it guards against: the share of a leaving daemon is lent to the
 // hub until the loan's term has passed, and callers that keep a connection go on
@@ -119,10 +119,10 @@
 // after MaxWait although they were inside their rate.
 func (c *control) situation(name string, members []membership.Member) quota.Situation {
 	s := quota.Situation{Self: c.d.identity.Instance, Leaving: c.state == membership.StateLeaving}
-	cut := c.quota.cut(c.active(), name)
-	scores := []quota.Score{{Instance: s.Self, Value: c.quota.scores[name]}}
+	partition := c.quota.partition(c.activeConfig(), name)
+	scores := []quota.Score{{Instance: s.Self, Value: c.quota.demandScores[name]}}
 	for _, m := range members {
-		if cut.Holds(m.Zone, m.Slots) {
+		if partition.Holds(m.Zone, m.Slots) {
 			s.Lenders = append(s.Lenders, m.Instance)
 		}
 		// A leaving daemon gives its loans back: whoever went on asking it
@@ -135,82 +135,82 @@
 	return s
 }
 
-func (s *quotaState) cut(active *config.Active, name string) quota.Cut {
-	if s.cutOf == nil || s.cutVersion != active.Version {
-		s.cutOf, s.cutVersion = map[string]quota.Cut{}, active.Version
+func (s *quotaState) partition(active *config.Active, name string) quota.Cut {
+	if s.partitionByQuota == nil || s.partitionVersion != active.Version {
+		s.partitionByQuota, s.partitionVersion = map[string]quota.Cut{}, active.Version
 	}
-	cut, ok := s.cutOf[name]
+	partition, ok := s.partitionByQuota[name]
 	if !ok {
-		cut = quota.CutOf(active.Config, name)
-		s.cutOf[name] = cut
+		partition = quota.CutOf(active.Config, name)
+		s.partitionByQuota[name] = partition
 	}
-	return cut
+	return partition
 }
 
-// borrow plans at every tick, and a quota that a taker waits for at once.
-func (d *Daemon) borrow(ctx context.Context) {
-	ticker := time.NewTicker(planEvery)
+// runBorrower plans at every tick, and a quota that a taker waits for at once.
+func (d *Daemon) runBorrower(ctx context.Context) {
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	lenders := &lenders{d: d, streams: map[string]*lendStream{}}
+	sources := &loanSources{d: d, streams: map[string]*loanStream{}}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case name := <-d.ledger.Wanted():
-			lenders.plan(ctx, name)
+			sources.plan(ctx, name)
 		case <-ticker.C:
 			for _, name := range d.ledger.Names() {
-				lenders.plan(ctx, name)
+				sources.plan(ctx, name)
 			}
 		}
 	}
 }
 
 // lenders are the streams to peers that this daemon borrows from.
-type lenders struct {
+type loanSources struct {
 	d       *Daemon
 	mu      sync.Mutex
-	streams map[string]*lendStream
+	streams map[string]*loanStream
 }
 
-// lendStream is one stream to a lender.
-type lendStream struct {
-	asks chan quota.Outgoing
+// loanStream is one stream to a lender.
+type loanStream struct {
+	requests chan quota.Outgoing
 }
 
-func (l *lenders) plan(ctx context.Context, name string) {
-	for _, out := range l.d.ledger.Plan(name, time.Now()) {
-		l.send(ctx, out)
+func (l *loanSources) plan(ctx context.Context, name string) {
+	for _, outgoing := range l.d.ledger.Plan(name, time.Now()) {
+		l.send(ctx, outgoing)
 	}
 }
 
-func (l *lenders) send(ctx context.Context, out quota.Outgoing) {
-	m, known := l.d.view.Load().Find(out.To)
+func (l *loanSources) send(ctx context.Context, outgoing quota.Outgoing) {
+	m, known := l.d.view.Load().Find(outgoing.To)
 	if !known {
-		l.d.ledger.Failed(out, time.Now())
+		l.d.ledger.Failed(outgoing, time.Now())
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.streams[out.To]
+	s := l.streams[outgoing.To]
 	if s == nil {
-		s = &lendStream{asks: make(chan quota.Outgoing, asksBuffered)}
-		l.streams[out.To] = s
-		l.d.spawn(func(context.Context) { l.run(ctx, out.To, m.Peers, s) })
+		s = &loanStream{requests: make(chan quota.Outgoing, maxQueuedRequests)}
+		l.streams[outgoing.To] = s
+		l.d.spawn(func(context.Context) { l.run(ctx, outgoing.To, m.Peers, s) })
 	}
 	select {
-	case s.asks <- out:
+	case s.requests <- outgoing:
 	default:
-		l.d.ledger.Failed(out, time.Now())
+		l.d.ledger.Failed(outgoing, time.Now())
 	}
 }
 
 // run carries asks over one stream until it breaks or is idle.
-func (l *lenders) run(ctx context.Context, to, address string, s *lendStream) {
+func (l *loanSources) run(ctx context.Context, to, address string, s *loanStream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waiting := &waitingAsks{bySequence: map[uint64]quota.Outgoing{}}
-	err := l.carry(ctx, address, s, waiting)
+	pending := &pendingRequests{bySequence: map[uint64]quota.Outgoing{}}
+	err := l.forward(ctx, address, s, pending)
 	if err != nil && ctx.Err() == nil {
 		l.d.log.Debug("lend_stream_failed", "peer", to, "err", err)
 	}
@@ -218,32 +218,32 @@
 	delete(l.streams, to)
 	l.mu.Unlock()
 	now := time.Now()
-	for _, out := range waiting.drain() {
-		l.d.ledger.Failed(out, now)
+	for _, outgoing := range pending.removeAll() {
+		l.d.ledger.Failed(outgoing, now)
 	}
-	for len(s.asks) > 0 {
-		l.d.ledger.Failed(<-s.asks, now)
+	for len(s.requests) > 0 {
+		l.d.ledger.Failed(<-s.requests, now)
 	}
 }
 
-func (l *lenders) carry(ctx context.Context, address string, s *lendStream, waiting *waitingAsks) error {
+func (l *loanSources) forward(ctx context.Context, address string, s *loanStream, pending *pendingRequests) error {
 	stream, err := peer.NewDRPCQuotaClient(l.d.conns.To(ctx, address)).Lend(ctx)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	broken := make(chan error, 1)
-	l.d.spawn(func(context.Context) { broken <- l.receive(stream, waiting) })
-	idle := time.NewTimer(lendIdle)
+	receiveErr := make(chan error, 1)
+	l.d.spawn(func(context.Context) { receiveErr <- l.receive(stream, pending) })
+	idle := time.NewTimer(loanStreamIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
-		case out := <-s.asks:
-			idle.Reset(lendIdle)
-			if err := stream.Send(askToWire(waiting.add(out), out.Ask)); err != nil {
+		case outgoing := <-s.requests:
+			idle.Reset(loanStreamIdleTimeout)
+			if err := stream.Send(borrowRequestToWire(pending.add(outgoing), outgoing.Ask)); err != nil {
 				return err
 			}
-		case err := <-broken:
+		case err := <-receiveErr:
 			return err
 		case <-idle.C:
 			return nil
@@ -253,47 +253,47 @@
 	}
 }
 
-func (l *lenders) receive(stream peer.DRPCQuota_LendClient, waiting *waitingAsks) error {
+func (l *loanSources) receive(stream peer.DRPCQuota_LendClient, pending *pendingRequests) error {
 	for {
 		reply, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if out, ok := waiting.take(reply.Sequence); ok {
-			l.d.ledger.Answered(out, grantFromWire(reply), time.Now())
+		if outgoing, ok := pending.remove(reply.Sequence); ok {
+			l.d.ledger.Answered(outgoing, grantFromWire(reply), time.Now())
 		}
 	}
 }
 
-// waitingAsks are the asks of one stream that have not been answered.
-type waitingAsks struct {
-	mu         sync.Mutex
-	last       uint64
-	bySequence map[uint64]quota.Outgoing
+// pendingRequests are the asks of one stream that have not been answered.
+type pendingRequests struct {
+	mu           sync.Mutex
+	lastSequence uint64
+	bySequence   map[uint64]quota.Outgoing
 }
 
-func (w *waitingAsks) add(out quota.Outgoing) uint64 {
+func (w *pendingRequests) add(outgoing quota.Outgoing) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last++
-	w.bySequence[w.last] = out
-	return w.last
+	w.lastSequence++
+	w.bySequence[w.lastSequence] = outgoing
+	return w.lastSequence
 }
 
-func (w *waitingAsks) take(sequence uint64) (quota.Outgoing, bool) {
+func (w *pendingRequests) remove(sequence uint64) (quota.Outgoing, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out, ok := w.bySequence[sequence]
+	outgoing, ok := w.bySequence[sequence]
 	delete(w.bySequence, sequence)
-	return out, ok
+	return outgoing, ok
 }
 
-func (w *waitingAsks) drain() []quota.Outgoing {
+func (w *pendingRequests) removeAll() []quota.Outgoing {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []quota.Outgoing
-	for _, out := range w.bySequence {
-		all = append(all, out)
+	for _, outgoing := range w.bySequence {
+		all = append(all, outgoing)
 	}
 	clear(w.bySequence)
 	return all
@@ -301,59 +301,59 @@
 
 // Lend answers a peer that borrows; it implements peer.DRPCQuotaServer.
 func (d *Daemon) Lend(stream peer.DRPCQuota_LendStream) error {
-	sender := &lendSender{stream: stream}
+	responder := &loanResponder{stream: stream}
 	for {
-		request, err := stream.Recv()
+		in, err := stream.Recv()
 		if err != nil {
 			return errors.Wrap(err, "lend")
 		}
-		ask := askFromWire(request)
-		grant, ticket := d.ledger.Lend(ask, time.Now())
+		request := borrowRequestFromWire(in)
+		grant, ticket := d.ledger.Lend(request, time.Now())
 		if ticket == nil {
-			if err := sender.send(request.Sequence, grant); err != nil {
+			if err := responder.send(in.Sequence, grant); err != nil {
 				return err
 			}
 			continue
 		}
 		d.spawn(func(context.Context) {
-			_ = d.ledger.Await(stream.Context(), ask.Quota, ticket)
-			_ = sender.send(request.Sequence, d.ledger.Granted(ask.Quota, ticket, time.Now()))
+			_ = d.ledger.Await(stream.Context(), request.Quota, ticket)
+			_ = responder.send(in.Sequence, d.ledger.Granted(request.Quota, ticket, time.Now()))
 		})
 	}
 }
 
-// lendSender sends replies on one stream, one at a time.
-type lendSender struct {
+// loanResponder sends replies on one stream, one at a time.
+type loanResponder struct {
 	mu     sync.Mutex
 	stream peer.DRPCQuota_LendStream
 }
 
-func (s *lendSender) send(sequence uint64, g quota.Grant) error {
+func (s *loanResponder) send(sequence uint64, g quota.Grant) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return errors.WithStack(s.stream.Send(grantToWire(sequence, g)))
 }
 
-func askToWire(sequence uint64, a quota.Ask) *peer.BorrowRequest {
+func borrowRequestToWire(sequence uint64, request quota.Ask) *peer.BorrowRequest {
 	out := &peer.BorrowRequest{
-		Sequence: sequence, Borrower: a.Borrower, Quota: a.Quota, Loan: a.Loan, Standing: a.Standing,
-		Tokens: a.Tokens, PatienceMs: uint32(a.Patience.Milliseconds()),
+		Sequence: sequence, Borrower: request.Borrower, Quota: request.Quota, Loan: request.Loan, Standing: request.Standing,
+		Tokens: request.Tokens, PatienceMs: uint32(request.Patience.Milliseconds()),
 	}
-	for _, c := range a.Closed {
+	for _, c := range request.Closed {
 		out.Closed = append(out.Closed, &peer.LoanClosing{Loan: c.Loan, Tokens: c.Tokens})
 	}
 	return out
 }
 
-func askFromWire(in *peer.BorrowRequest) quota.Ask {
-	a := quota.Ask{
+func borrowRequestFromWire(in *peer.BorrowRequest) quota.Ask {
+	request := quota.Ask{
 		Borrower: in.Borrower, Quota: in.Quota, Loan: in.Loan, Standing: in.Standing,
 		Tokens: in.Tokens, Patience: time.Duration(in.PatienceMs) * time.Millisecond,
 	}
 	for _, c := range in.Closed {
-		a.Closed = append(a.Closed, quota.Closing{Loan: c.Loan, Tokens: c.Tokens})
+		request.Closed = append(request.Closed, quota.Closing{Loan: c.Loan, Tokens: c.Tokens})
 	}
-	return a
+	return request
 }
 
 func grantToWire(sequence uint64, g quota.Grant) *peer.BorrowReply {
--- a/internal/daemon/gate.go
+++ b/internal/daemon/regionlimiter.go
@@ -11,21 +11,21 @@
 	"balsambarrow/internal/wire"
 )
 
-// regionGate holds the limit of this daemon's region in front of its handler.
+// regionLimiter holds the limit of this daemon's region in front of its handler.
 //
 // Load pattern: hosts of several regions send to one region at the same time,
 // each by lagging headroom and unaware of the others. The limit is a quota
 // over the slots of the region's own zones, taken where the work arrives, so
 // no mistaken steering decision can put more than the limit on the region.
-type regionGate struct {
+type regionLimiter struct {
 	next   relay.Runner
 	view   *view.Publisher
 	ledger *quota.Ledger
 }
 
 // Run implements relay.Runner.
-func (g *regionGate) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
-	name, limited := g.limit()
+func (g *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+	name, limited := g.regionQuota()
 	if !limited {
 		return g.next.Run(ctx, call)
 	}
@@ -39,8 +39,8 @@
 	return answer, problem
 }
 
-// limit names the quota of the daemon's region, if it has one.
-func (g *regionGate) limit() (string, bool) {
+// regionQuota names the quota of the daemon's region, if it has one.
+func (g *regionLimiter) regionQuota() (string, bool) {
 	snap := g.view.Load()
 	if snap.Config == nil {
 		return "", false
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -12,95 +12,95 @@
 	"balsambarrow/internal/quota"
 )
 
-// hurryEvery is the time between two rounds while slots are about to move: a
+// fastRoundInterval is the time between two rounds while slots are about to move: a
 // mate joined or left, or a holder fell silent.
-const hurryEvery = time.Second
+const fastRoundInterval = time.Second
 
 // slotState is the control thread's part for slots.
 type slotState struct {
-	custody *membership.Custody
-	lease   uint64
-	next    time.Time
-	busy    bool
-	// holders are the addresses of the daemons that the store names; a
+	ownership       *membership.Custody
+	leaseID         uint64
+	nextRoundAt     time.Time
+	roundInProgress bool
+	// holderAddresses are the addresses of the daemons that the store names; a
 	// holder that no list shows is still asked before its slot is taken.
-	holders []string
-	// ready counts the zone's daemons, to see when one joins or leaves.
-	ready int
-	// levels came with a hand-over and wait for their slots.
-	levels map[int]pendingLevels
-	// givenUp is closed when a leaving daemon holds no slot any more.
-	givenUp chan struct{}
+	holderAddresses []string
+	// readyPeers counts the zone's daemons, to see when one joins or leaves.
+	readyPeers int
+	// pendingLevels came with a hand-over and wait for their slots.
+	pendingLevels map[int]pendingLevels
+	// released is closed when a leaving daemon holds no slot any more.
+	released chan struct{}
 }
 
 // pendingLevels are tokens that came with a slot which the store has not yet
 // confirmed.
 type pendingLevels struct {
-	levels []quota.Level
-	until  time.Time
+	levels    []quota.Level
+	expiresAt time.Time
 }
 
-func newSlotState() slotState { return slotState{levels: map[int]pendingLevels{}} }
+func newSlotState() slotState { return slotState{pendingLevels: map[int]pendingLevels{}} }
 
-// custody is made at the first use: the daemon's own address is known only
+// ownership is made at the first use: the daemon's own address is known only
 // once it listens.
-func (c *control) custody() *membership.Custody {
-	if c.slots.custody == nil {
+func (c *control) ownership() *membership.Custody {
+	if c.slots.ownership == nil {
 		self := membership.Holder{Instance: c.d.identity.Instance, Peers: c.d.identity.Peers}
-		c.slots.custody = membership.NewCustody(self, time.Now())
+		c.slots.ownership = membership.NewCustody(self, time.Now())
 	}
-	return c.slots.custody
+	return c.slots.ownership
 }
 
-// guardSlots comes before everything else that the control thread does.
-func (c *control) guardSlots(now time.Time) {
-	if c.custody().Run(now) {
+// detectSlotPause comes before everything else that the control thread does.
+func (c *control) detectSlotPause(now time.Time) {
+	if c.ownership().Run(now) {
 		c.d.log.Warn("paused", "slots", "suspended")
-		c.slots.next = now
+		c.slots.nextRoundAt = now
 	}
 }
 
 func (c *control) tickSlots(now time.Time) {
-	mates := c.mates()
-	if c.custody().Hearing(c.members.table.LastHeard(), staying(mates), now) {
+	peers := c.zonePeers()
+	if c.ownership().Hearing(c.members.table.LastHeard(), countRemaining(peers), now) {
 		c.d.log.Warn("isolated", "slots", "suspended")
 	}
-	c.adoptLevels(now)
-	ready := readyMates(mates, now)
-	if ready != c.slots.ready {
-		c.slots.ready = ready
-		c.slots.next = now
+	c.applyPendingLevels(now)
+	ready := countReady(peers, now)
+	if ready != c.slots.readyPeers {
+		c.slots.readyPeers = ready
+		c.slots.nextRoundAt = now
 	}
-	due := !c.slots.busy && !now.Before(c.slots.next)
-	if due && c.active() != nil && c.state != membership.StateStarting {
+	due := !c.slots.roundInProgress && !now.Before(c.slots.nextRoundAt)
+	if due && c.activeConfig() != nil && c.state != membership.StateStarting {
 		c.startSlotRound(now)
 	}
 }
 
-// yieldSlots gives way to a mate that spends from the same slots.
-func (c *control) yieldSlots(m membership.Member, now time.Time) {
-	if dropped := c.custody().Heard(m, now); len(dropped) > 0 {
+// releaseContestedSlots gives way to a mate that spends from the same slots.
+func (c *control) releaseContestedSlots(m membership.Member, now time.Time) {
+	if dropped := c.ownership().Heard(m, now); len(dropped) > 0 {
 		c.d.log.Error("slots_yielded", "to", m.Instance, "slots", dropped)
-		c.slots.next = now
-		c.news = true
+		c.slots.nextRoundAt = now
+		c.publishPending = true
 	}
 }
 
 // mates are the other daemons of the zone that are remembered.
-func (c *control) mates() []membership.Member {
-	var out []membership.Member
+func (c *control) zonePeers() []membership.Member {
+	var peers []membership.Member
 	for _, m := range c.members.table.All() {
 		if m.Zone == c.d.identity.Zone {
-			out = append(out, m)
+			peers = append(peers, m)
 		}
 	}
-	return out
+	return peers
 }
 
-// staying counts the mates that did not say that they leave.
-func staying(mates []membership.Member) int {
+// countRemaining counts the mates that did not say that they leave.
+func countRemaining(peers []membership.Member) int {
 	n := 0
-	for _, m := range mates {
+	for _, m := range peers {
 		if m.State != membership.StateLeaving {
 			n++
 		}
@@ -108,9 +108,9 @@
 	return n
 }
 
-func readyMates(mates []membership.Member, now time.Time) int {
+func countReady(peers []membership.Member, now time.Time) int {
 	n := 0
-	for _, m := range mates {
+	for _, m := range peers {
 		if m.State == membership.StateReady && now.Sub(m.HeardAt) <= membership.GoneAfter {
 			n++
 		}
@@ -119,186 +119,186 @@
 }
 
 func (c *control) startSlotRound(now time.Time) {
-	c.slots.busy = true
-	c.slots.next = now.Add(membership.RenewEvery)
-	lease := c.slots.lease
-	c.d.spawn(func(ctx context.Context) { c.send(c.d.readSlots(ctx, lease)) })
+	c.slots.roundInProgress = true
+	c.slots.nextRoundAt = now.Add(membership.RenewEvery)
+	leaseID := c.slots.leaseID
+	c.d.spawn(func(ctx context.Context) { c.send(c.d.readSlots(ctx, leaseID)) })
 }
 
-// slotsRead: the lease was renewed and the zone's entries were read.
-type slotsRead struct {
-	lease uint64
-	// renewed is when the call was sent that renewed the lease; zero if none
+// slotReadResult: the lease was renewed and the zone's entries were read.
+type slotReadResult struct {
+	leaseID uint64
+	// renewedAt is when the call was sent that renewed the lease; zero if none
 	// succeeded.
-	renewed time.Time
+	renewedAt time.Time
 	// reading is nil if the store was not read.
 	reading *membership.Reading
 }
 
 // readSlots is the first half of a round.
-func (d *Daemon) readSlots(ctx context.Context, lease uint64) slotsRead {
-	out := slotsRead{lease: lease}
-	sent := time.Now()
-	lease, err := d.holdLease(ctx, lease)
+func (d *Daemon) readSlots(ctx context.Context, leaseID uint64) slotReadResult {
+	result := slotReadResult{leaseID: leaseID}
+	sentAt := time.Now()
+	leaseID, err := d.ensureLease(ctx, leaseID)
 	if err != nil {
 		d.log.Warn("lease_not_held", "err", err)
-		return out
+		return result
 	}
-	out.lease, out.renewed = lease, sent
+	result.leaseID, result.renewedAt = leaseID, sentAt
 	l, err := d.store.List(ctx, membership.SlotPrefix(d.identity.Zone), false)
 	if err != nil {
 		d.log.Warn("slots_not_listed", "err", err)
-		return out
+		return result
 	}
-	out.reading = membership.ReadSlots(d.identity.Zone, l.Items)
-	return out
+	result.reading = membership.ReadSlots(d.identity.Zone, l.Items)
+	return result
 }
 
-// holdLease renews the lease or gets a new one, with the entry that shows it.
+// ensureLease renews the lease or gets a new one, with the entry that shows it.
 // A grant whose answer is lost leaves a lease without entry, which lapses.
-func (d *Daemon) holdLease(ctx context.Context, lease uint64) (uint64, error) {
-	if lease != 0 {
-		err := d.store.Renew(ctx, lease)
+func (d *Daemon) ensureLease(ctx context.Context, leaseID uint64) (uint64, error) {
+	if leaseID != 0 {
+		err := d.store.Renew(ctx, leaseID)
 		if !errors.Is(err, kv.ErrLeaseExpired) {
-			return lease, err
+			return leaseID, err
 		}
 		d.log.Warn("lease_lapsed")
 	}
-	lease, err := d.store.Grant(ctx, membership.LeaseTTL)
+	leaseID, err := d.store.Grant(ctx, membership.LeaseTTL)
 	if err != nil {
 		return 0, err
 	}
 	self := membership.Holder{Instance: d.identity.Instance, Peers: d.identity.Peers}
-	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, lease), 0, self.Value(), lease); err != nil {
+	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, leaseID), 0, self.Value(), leaseID); err != nil {
 		return 0, err
 	}
-	return lease, nil
+	return leaseID, nil
 }
 
-func (m slotsRead) apply(c *control) {
+func (m slotReadResult) apply(c *control) {
 	now := time.Now()
-	c.slots.lease = m.lease
-	if !m.renewed.IsZero() {
-		c.custody().LeaseRenewed(m.renewed)
+	c.slots.leaseID = m.leaseID
+	if !m.renewedAt.IsZero() {
+		c.ownership().LeaseRenewed(m.renewedAt)
 	}
 	if m.reading == nil {
 		c.endSlotRound(now, false)
 		return
 	}
-	c.slots.holders = m.reading.Holders()
-	if dropped := c.custody().Observe(m.reading); len(dropped) > 0 {
+	c.slots.holderAddresses = m.reading.Holders()
+	if dropped := c.ownership().Observe(m.reading); len(dropped) > 0 {
 		c.d.log.Error("slots_dropped", "slots", dropped)
 	}
 	steps := c.planSlots(m.reading, now)
-	gifts := c.withdraw(steps, now)
+	writes := c.withdrawLevels(steps, now)
 	if len(steps) == 0 {
 		c.endSlotRound(now, true)
 		return
 	}
-	c.d.spawn(func(ctx context.Context) { c.send(c.d.writeSlots(ctx, gifts)) })
+	c.d.spawn(func(ctx context.Context) { c.send(c.d.writeSlots(ctx, writes)) })
 }
 
 // planSlots leaves everything as it is between the start of a planned stop and
 // the moment when no request runs any more.
 func (c *control) planSlots(r *membership.Reading, now time.Time) []membership.Step {
-	leaving := c.slots.givenUp != nil
+	leaving := c.slots.released != nil
 	if c.state == membership.StateLeaving && !leaving {
 		return nil
 	}
-	slots := c.active().Config.Zones[c.d.identity.Zone].Slots
-	return c.custody().Plan(membership.Round{Reading: r, Slots: slots, Mates: c.mates(), Leaving: leaving}, now)
+	slots := c.activeConfig().Config.Zones[c.d.identity.Zone].Slots
+	return c.ownership().Plan(membership.Round{Reading: r, Slots: slots, Mates: c.zonePeers(), Leaving: leaving}, now)
 }
 
-// gift is a step with the bucket levels that go along.
-type gift struct {
+// slotWrite is a step with the bucket levels that go along.
+type slotWrite struct {
 	membership.Step
 	levels []quota.Level
 }
 
-// withdraw takes the levels out of the buckets of a leaving daemon, so that
+// withdrawLevels takes the levels out of the buckets of a leaving daemon, so that
 // nobody spends them here any more, and parts them over the slots that it
 // gives to mates. A slot that moves for balance starts empty at its new holder.
-func (c *control) withdraw(steps []membership.Step, now time.Time) []gift {
-	gifts := make([]gift, 0, len(steps))
+func (c *control) withdrawLevels(steps []membership.Step, now time.Time) []slotWrite {
+	writes := make([]slotWrite, 0, len(steps))
 	for _, s := range steps {
-		gifts = append(gifts, gift{Step: s})
+		writes = append(writes, slotWrite{Step: s})
 	}
-	if c.slots.givenUp == nil || len(gifts) == 0 {
-		return gifts
+	if c.slots.released == nil || len(writes) == 0 {
+		return writes
 	}
 	levels, clean := c.d.ledger.Surrender(now)
 	if !clean {
-		return gifts
+		return writes
 	}
-	for i := range gifts {
+	for i := range writes {
 		for _, l := range levels {
-			part := quota.Level{Quota: l.Quota, Tokens: l.Tokens / float64(len(gifts))}
-			gifts[i].levels = append(gifts[i].levels, part)
+			fraction := quota.Level{Quota: l.Quota, Tokens: l.Tokens / float64(len(writes))}
+			writes[i].levels = append(writes[i].levels, fraction)
 		}
 	}
-	return gifts
+	return writes
 }
 
-// slotsWritten: the writes of a round ended.
-type slotsWritten struct{ results []slotResult }
+// slotWriteResults: the writes of a round ended.
+type slotWriteResults struct{ results []slotWriteResult }
 
-// slotResult is how one write ended; revision is 0 if the store refused it or
+// slotWriteResult is how one write ended; revision is 0 if the store refused it or
 // its outcome is unknown.
-type slotResult struct {
+type slotWriteResult struct {
 	step     membership.Step
 	revision uint64
 }
 
 // writeSlots is the second half of a round.
-func (d *Daemon) writeSlots(ctx context.Context, gifts []gift) slotsWritten {
-	var out slotsWritten
-	for _, g := range gifts {
-		revision, err := d.writeSlot(ctx, g)
+func (d *Daemon) writeSlots(ctx context.Context, writes []slotWrite) slotWriteResults {
+	var round slotWriteResults
+	for _, write := range writes {
+		revision, err := d.writeSlot(ctx, write)
 		if err != nil {
-			d.log.Warn("slot_not_written", "slot", g.Slot, "err", err)
-			out.results = append(out.results, slotResult{step: g.Step})
+			d.log.Warn("slot_not_written", "slot", write.Slot, "err", err)
+			round.results = append(round.results, slotWriteResult{step: write.Step})
 			continue
 		}
-		out.results = append(out.results, slotResult{step: g.Step, revision: revision})
-		if g.To.Instance != "" && g.To.Instance != d.identity.Instance {
-			d.passLevels(ctx, g)
+		round.results = append(round.results, slotWriteResult{step: write.Step, revision: revision})
+		if write.To.Instance != "" && write.To.Instance != d.identity.Instance {
+			d.sendLevels(ctx, write)
 		}
 	}
-	return out
+	return round
 }
 
-func (d *Daemon) writeSlot(ctx context.Context, g gift) (uint64, error) {
-	key := membership.SlotKey(d.identity.Zone, g.Slot)
-	if g.To.Instance == "" {
-		return 0, d.store.Delete(ctx, key, g.At)
+func (d *Daemon) writeSlot(ctx context.Context, write slotWrite) (uint64, error) {
+	key := membership.SlotKey(d.identity.Zone, write.Slot)
+	if write.To.Instance == "" {
+		return 0, d.store.Delete(ctx, key, write.At)
 	}
-	return d.store.CompareAndSwap(ctx, key, g.At, g.To.Value(), 0)
+	return d.store.CompareAndSwap(ctx, key, write.At, write.To.Value(), 0)
 }
 
-// passLevels tells the new holder that a slot is its own, with the levels. It
+// sendLevels tells the new holder that a slot is its own, with the levels. It
 // is sent once: levels that are lost on the way are lost tokens, sent twice
 // they would be made.
-func (d *Daemon) passLevels(ctx context.Context, g gift) {
+func (d *Daemon) sendLevels(ctx context.Context, write slotWrite) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	message := &peer.SlotHandover{From: d.identity.Instance, Slots: []uint32{uint32(g.Slot)}}
-	for _, l := range g.levels {
+	message := &peer.SlotHandover{From: d.identity.Instance, Slots: []uint32{uint32(write.Slot)}}
+	for _, l := range write.levels {
 		message.Levels = append(message.Levels, &peer.Level{Quota: l.Quota, Tokens: l.Tokens})
 	}
-	if _, err := peer.NewDRPCHandoverClient(d.conns.To(ctx, g.To.Peers)).TakeSlots(ctx, message); err != nil {
-		d.log.Warn("levels_not_passed", "slot", g.Slot, "to", g.To.Instance, "err", err)
+	if _, err := peer.NewDRPCHandoverClient(d.conns.To(ctx, write.To.Peers)).TakeSlots(ctx, message); err != nil {
+		d.log.Warn("levels_not_passed", "slot", write.Slot, "to", write.To.Instance, "err", err)
 	}
 }
 
-func (m slotsWritten) apply(c *control) {
+func (m slotWriteResults) apply(c *control) {
 	now := time.Now()
 	started := 0
 	for _, r := range m.results {
-		if c.custody().Done(r.step, r.revision, now) {
+		if c.ownership().Done(r.step, r.revision, now) {
 			started++
 		}
 	}
-	c.d.log.Info("slots_changed", "started", started, "held", len(c.custody().Usable(now)))
+	c.d.log.Info("slots_changed", "started", started, "held", len(c.ownership().Usable(now)))
 	// The next reading shows what became of the writes.
 	c.endSlotRound(now, false)
 }
@@ -306,25 +306,25 @@
 // endSlotRound closes a round; a settled zone is looked at again when the
 // lease is due, an unsettled one soon.
 func (c *control) endSlotRound(now time.Time, settled bool) {
-	c.slots.busy = false
-	if !settled || c.holderSilent(now) {
-		c.slots.next = earlier(c.slots.next, now.Add(hurryEvery))
+	c.slots.roundInProgress = false
+	if !settled || c.zonePeerUnresponsive(now) {
+		c.slots.nextRoundAt = minTime(c.slots.nextRoundAt, now.Add(fastRoundInterval))
 	}
-	if c.slots.givenUp == nil {
+	if c.slots.released == nil {
 		return
 	}
-	c.slots.next = earlier(c.slots.next, now.Add(tickEvery))
+	c.slots.nextRoundAt = minTime(c.slots.nextRoundAt, now.Add(tickInterval))
 	if settled {
-		close(c.slots.givenUp)
-		c.slots.givenUp = nil
-		c.slots.next = now.Add(time.Hour)
+		close(c.slots.released)
+		c.slots.released = nil
+		c.slots.nextRoundAt = now.Add(time.Hour)
 	}
 }
 
-// holderSilent tells whether a mate of the zone is silent and may be taken
+// zonePeerUnresponsive tells whether a mate of the zone is silent and may be taken
 // over from soon.
-func (c *control) holderSilent(now time.Time) bool {
-	for _, m := range c.mates() {
+func (c *control) zonePeerUnresponsive(now time.Time) bool {
+	for _, m := range c.zonePeers() {
 		if now.Sub(m.HeardAt) > membership.GoneAfter && m.State != membership.StateLeaving {
 			return true
 		}
@@ -332,7 +332,7 @@
 	return false
 }
 
-func earlier(a, b time.Time) time.Time {
+func minTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/internal/daemon/steering.go
+++ b/internal/daemon/steering.go
@@ -27,6 +27,6 @@
 		c.steer.indexVersion = snap.Config.Version
 	}
 	snap.Lookup = lookup.NewDirectory(snap.Config, c.steer.index, snap.Ready)
-	handling := c.handling(snap, now)
+	handling := c.handlingMembers(snap, now)
 	snap.Steer = c.steer.builder.Build(snap.Config, handling, upstream.Assign(snap.Config.Config, handling), now)
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -10,15 +10,15 @@
 	"balsambarrow/internal/membership"
 )
 
-// leaveMargin is how long other daemons may still name this one in their lookup
+// leaveNoticeDelay is how long other daemons may still name this one in their lookup
 // answers: until they hear that it leaves, or hear it no more. The lookup ttl
 // runs from the last such answer; without the margin a caller that got it uses
 // a listener that is closed.
-const leaveMargin = membership.GoneAfter
+const leaveNoticeDelay = membership.GoneAfter
 
-// giveUpBound bounds the passing on of slots: above two rounds of calls to a
+// slotReleaseTimeout bounds the passing on of slots: above two rounds of calls to a
 // slow store, so that an outage of it does not hold a stop up for long.
-const giveUpBound = 5 * time.Second
+const slotReleaseTimeout = 5 * time.Second
 
 // Stop leaves the fleet and ends the daemon without cutting off a request: it
 // leaves the lookup answers at once, waits until callers have looked elsewhere,
@@ -31,119 +31,119 @@
 // are closed from here.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.log.Info("stopping")
-	left := make(chan struct{})
-	d.control.send(leave{left})
-	<-left
-	sleep(ctx, leaveMargin+d.options.LookupTTL)
-	first := d.finish(ctx)
-	d.handOverPostings(ctx)
-	d.giveUpSlots(ctx)
+	leaving := make(chan struct{})
+	d.control.send(leaveRequest{leaving})
+	<-leaving
+	sleep(ctx, leaveNoticeDelay+d.options.LookupTTL)
+	err := d.drainRequests(ctx)
+	d.transferPostings(ctx)
+	d.releaseSlots(ctx)
 	d.Kill()
 	_ = d.tracing.Close(ctx)
 	d.log.Info("stopped")
-	return first
+	return err
 }
 
-// handOverReserve is kept of a stop's bound for passing postings and slots on:
+// transferReserve is kept of a stop's bound for passing postings and slots on:
 // a request that hangs must not use it up, or every posting that this daemon
 // remembers would be in doubt for good.
-const handOverReserve = 10 * time.Second
+const transferReserve = 10 * time.Second
 
-// finish lets what runs end, for as long as the reserve stays.
-func (d *Daemon) finish(ctx context.Context) error {
+// drainRequests lets what runs end, for as long as the reserve stays.
+func (d *Daemon) drainRequests(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		return d.shutDown(ctx)
+		return d.shutDownServers(ctx)
 	}
-	reserve := min(handOverReserve, time.Until(deadline)/2)
+	reserve := min(transferReserve, time.Until(deadline)/2)
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(-reserve))
 	defer cancel()
-	return d.shutDown(ctx)
+	return d.shutDownServers(ctx)
 }
 
-// shutDown waits for the requests of all listeners, the callers' first: a
+// shutDownServers waits for the requests of all listeners, the callers' first: a
 // caller's request may need this daemon's relay listener to the end.
-func (d *Daemon) shutDown(ctx context.Context) error {
-	var first error
+func (d *Daemon) shutDownServers(ctx context.Context) error {
+	var firstErr error
 	for _, server := range d.servers {
-		if err := server.Shutdown(ctx); err != nil && first == nil {
-			first = errors.Wrap(err, "shut down")
+		if err := server.Shutdown(ctx); err != nil && firstErr == nil {
+			firstErr = errors.Wrap(err, "shut down")
 		}
 	}
-	return first
+	return firstErr
 }
 
-// closing asks for each connection to be closed by its user while the daemon
+// closeWhileLeaving asks for each connection to be closed by its user while the daemon
 // leaves.
-func (d *Daemon) closing(next http.Handler) http.Handler {
+func (d *Daemon) closeWhileLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.view.Load().Self.State == membership.StateLeaving {
-			w = &closingWriter{ResponseWriter: w}
+			w = &connectionCloseWriter{ResponseWriter: w}
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// closingWriter sets the header last: handlers strip hop-by-hop headers from
+// connectionCloseWriter sets the header last: handlers strip hop-by-hop headers from
 // what they copy, and would take it off again.
-type closingWriter struct{ http.ResponseWriter }
+type connectionCloseWriter struct{ http.ResponseWriter }
 
-func (w *closingWriter) WriteHeader(status int) {
+func (w *connectionCloseWriter) WriteHeader(status int) {
 	w.Header().Set("Connection", "close")
 	w.ResponseWriter.WriteHeader(status)
 }
 
-func (w *closingWriter) Write(p []byte) (int, error) {
+func (w *connectionCloseWriter) Write(p []byte) (int, error) {
 	w.Header().Set("Connection", "close")
 	return w.ResponseWriter.Write(p)
 }
 
 // Flush keeps answers streaming.
-func (w *closingWriter) Flush() {
+func (w *connectionCloseWriter) Flush() {
 	if f, ok := w.ResponseWriter.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (w *closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *connectionCloseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// giveUpSlots passes the slots and their levels to the zone's other daemons.
+// releaseSlots passes the slots and their levels to the zone's other daemons.
 // Where the store does not answer within the bound the entries stay: others
 // take the slots when this daemon's lease has lapsed.
-func (d *Daemon) giveUpSlots(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, giveUpBound)
+func (d *Daemon) releaseSlots(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, slotReleaseTimeout)
 	defer cancel()
-	given := make(chan struct{})
-	lease := make(chan uint64, 1)
-	d.control.send(giveUp{given: given, lease: lease})
+	released := make(chan struct{})
+	leaseID := make(chan uint64, 1)
+	d.control.send(releaseRequest{released: released, leaseID: leaseID})
 	select {
-	case <-given:
+	case <-released:
 	case <-ctx.Done():
 		d.log.Warn("slots_not_given_up")
 		return
 	}
-	if id := <-lease; id != 0 {
+	if id := <-leaseID; id != 0 {
 		if err := d.store.Revoke(ctx, id); err != nil {
 			d.log.Debug("lease_not_revoked", "err", err)
 		}
 	}
 }
 
-// giveUp: no request runs any more; all slots are to go to mates.
-type giveUp struct {
-	given chan struct{}
-	lease chan uint64
+// releaseRequest: no request runs any more; all slots are to go to mates.
+type releaseRequest struct {
+	released chan struct{}
+	leaseID  chan uint64
 }
 
-func (m giveUp) apply(c *control) {
-	m.lease <- c.slots.lease
-	if c.active() == nil {
-		close(m.given)
+func (m releaseRequest) apply(c *control) {
+	m.leaseID <- c.slots.leaseID
+	if c.activeConfig() == nil {
+		close(m.released)
 		return
 	}
-	c.slots.givenUp = m.given
-	c.slots.next = time.Time{}
+	c.slots.released = m.released
+	c.slots.nextRoundAt = time.Time{}
 }
 
 // Kill ends the daemon at once, as a crash would. Tests use it.
