--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -105,7 +105,7 @@
 		conns:    peer.NewConns(opts.Dial, secured.client()),
 		client:   upstream.NewClient(opts.Dial),
 
-		relayClient: upstream.NewSecureClient(opts.Dial, secured.client()),
+		relayClient: upstream.NewTLSClient(opts.Dial, secured.client()),
 		ledger:      quota.NewLedger(),
 		handler:     upstream.NewHandler(),
 		postings:    posting.NewTable(instance, time.Now(), posting.DefaultLimits()),
@@ -163,7 +163,7 @@
 
 func (d *Daemon) listenAll() (net.Listener, error) {
 	runner := &upstream.Runner{
-		Handler: d.handler, Client: d.client, KeyValid: d.keyValid, Tracer: d.tracing.Tracer, Retries: retry.NewBudgets(),
+		Handler: d.handler, Client: d.client, KeyValid: d.keyValid, Tracer: d.tracing.Tracer, RetryBudgets: retry.NewBudgets(),
 	}
 	handle := &regionGate{next: runner, view: &d.view, ledger: d.ledger}
 	front := entry.New(entry.Deps{
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -20,7 +20,7 @@
 	if snap.Self.State == membership.StateLeaving && now.Sub(snap.Self.LeavingSince) < leaveMargin {
 		ready = append(slices.Clone(ready), snap.Self)
 	}
-	mine := upstream.Assign(snap.Config.Config, ready).Of(snap.Self.Instance)
+	mine := upstream.Assign(snap.Config.Config, ready).UpstreamsOf(snap.Self.Instance)
 	c.d.handler.Assign(snap.Config.Config, mine, len(snap.Members) > 0)
 	c.showHeadroom(snap)
 	names := slices.Sorted(maps.Keys(mine))
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -33,7 +33,7 @@
 }
 
 // runningOn is how many requests still run on upstreams that are drained.
-func runningOn(drains []upstream.Draining) int {
+func runningOn(drains []upstream.DrainStatus) int {
 	n := 0
 	for _, d := range drains {
 		n += d.Running
--- a/internal/upstream/assign.go
+++ b/internal/upstream/assign.go
@@ -64,8 +64,10 @@
 	return a
 }
 
-// Of returns the upstreams that an instance handles.
-func (a *Assignment) Of(instance string) map[string]config.Upstream { return a.byInstance[instance] }
+// UpstreamsOf returns the upstreams that an instance handles, by name.
+func (a *Assignment) UpstreamsOf(instance string) map[string]config.Upstream {
+	return a.byInstance[instance]
+}
 
 // Slots returns how many slots of a service an instance handles, without those
 // of upstreams that are drained.
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -28,12 +28,12 @@
 }
 
 // NewClient returns a client that connects with dial (nil: net.Dialer).
-func NewClient(dial Dialer) *Client { return NewSecureClient(dial, nil) }
+func NewClient(dial Dialer) *Client { return NewTLSClient(dial, nil) }
 
-// NewSecureClient returns a client whose https connections use what conf
-// returns at the moment of dialling, so that a changed certificate counts from
-// the next connection on.
-func NewSecureClient(dial Dialer, conf func() *tls.Config) *Client {
+// NewTLSClient returns a client that calls conf for the TLS configuration of
+// each new https connection, so that a changed certificate takes effect with
+// the next connection.
+func NewTLSClient(dial Dialer, conf func() *tls.Config) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -221,8 +221,8 @@
 	return int(math.Ceil(float64(n) * w.part(now)))
 }
 
-// Draining is the state of one upstream that gets no new work.
-type Draining struct {
+// DrainStatus is the progress of the drain of one upstream.
+type DrainStatus struct {
 	Upstream string `json:"upstream"`
 	Running  int    `json:"running"`
 	// EmptyAfterMs is the time from when this handler learned of the drain
@@ -231,10 +231,10 @@
 }
 
 // Drains lists the upstreams handled here that are being emptied, by name.
-func (h *Handler) Drains() []Draining {
+func (h *Handler) Drains() []DrainStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []Draining
+	var out []DrainStatus
 	for _, p := range h.pools {
 		for _, w := range p.workers {
 			if w.drain.active {
@@ -242,12 +242,12 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Draining) int { return strings.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(out, func(a, b DrainStatus) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
-func (w *worker) draining() Draining {
-	d := Draining{Upstream: w.name, Running: w.running, EmptyAfterMs: -1}
+func (w *worker) draining() DrainStatus {
+	d := DrainStatus{Upstream: w.name, Running: w.running, EmptyAfterMs: -1}
 	if !w.drain.emptied.IsZero() {
 		d.EmptyAfterMs = w.drain.emptied.Sub(w.drain.began).Milliseconds()
 	}
--- a/internal/upstream/handler_test.go
+++ b/internal/upstream/handler_test.go
@@ -80,7 +80,7 @@
 	}
 	drains := map[string]config.Drain{"d": {Kind: config.DrainUpstream, Target: "u1"}}
 	h.Assign(lookupConfig(drains), workers("u1", "u2"), false)
-	g.Expect(h.Drains()).To(ConsistOf(Draining{Upstream: "u1", Running: 2, EmptyAfterMs: -1}))
+	g.Expect(h.Drains()).To(ConsistOf(DrainStatus{Upstream: "u1", Running: 2, EmptyAfterMs: -1}))
 	for _, t := range running {
 		t.Done(Result{Took: time.Millisecond})
 	}
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -28,8 +28,9 @@
 	// after the queue: a key withdrawn while a request waits must not run.
 	KeyValid func(digest config.Digest, customer string) bool
 	Tracer   trace.Tracer
-	// Retries bounds the second attempts; nil: all are made.
-	Retries *retry.Budgets
+	// RetryBudgets limits the retries of each service. A nil value allows all
+	// retries.
+	RetryBudgets *retry.Budgets
 }
 
 // Run waits for room, sends the call, and returns the answer as it begins.
@@ -37,7 +38,7 @@
 	ctx, span := r.Tracer.Start(ctx, "handler", trace.WithAttributes(
 		attribute.String("service", call.Service), attribute.String("customer", call.Customer)))
 	defer span.End()
-	r.Retries.RecordRequest(call.Service)
+	r.RetryBudgets.RecordRequest(call.Service)
 	var problem *wire.Problem
 	avoid := ""
 	for range maxAttempts {
@@ -49,7 +50,7 @@
 		}
 		span.AddEvent(latest.Type)
 		problem = latest.After(problem)
-		if !repeatable(call, latest) || !r.Retries.AllowRetryOn(call.Service, latest) {
+		if !repeatable(call, latest) || !r.RetryBudgets.AllowRetryOn(call.Service, latest) {
 			break
 		}
 	}
