--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -20,7 +20,7 @@
 	if snap.Self.State == membership.StateLeaving && now.Sub(snap.Self.LeavingSince) < leaveNoticeDelay {
 		candidates = append(slices.Clone(candidates), snap.Self)
 	}
-	assigned := upstream.Assign(snap.Config.Config, candidates).Of(snap.Self.Instance)
+	assigned := upstream.Assign(snap.Config.Config, candidates).UpstreamsOf(snap.Self.Instance)
 	c.d.handler.Assign(snap.Config.Config, assigned, len(snap.Members) > 0)
 	c.updateHeadroom(snap)
 	names := slices.Sorted(maps.Keys(assigned))
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -33,7 +33,7 @@
 }
 
 // runningOnDrained is how many requests still run on upstreams that are drained.
-func runningOnDrained(drains []upstream.Draining) int {
+func runningOnDrained(drains []upstream.DrainStatus) int {
 	n := 0
 	for _, d := range drains {
 		n += d.Running
