--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	// maxConfigurationAge is the age of the configuration up to which the host counts as
-	// ready: a watch and a slow answer, and less than keys are accepted for.
+	// maxConfigurationAge is the highest age of the confirmed configuration at which the host
+	// is ready. It allows for one watch and one slow response of the store, and is below the
+	// age up to which API keys are accepted.
 	maxConfigurationAge = 3300 * time.Millisecond
-	// deactivateAfter is how long others must have been enough before a host stops to
-	// take callers: at a start and after a cut, heartbeats of all hosts come
-	// within a second or two.
+	// deactivateAfter is how long this host must not have been selected as an active host
+	// before it becomes a standby. After a start or a network partition, the heartbeats of all
+	// hosts arrive within one or two seconds.
 	deactivateAfter = 4 * time.Second
-	// activationEvery is the least time between two decisions on it; each looks at all hosts
-	// of the region.
+	// activationInterval is the least time between two activation decisions. Each decision goes
+	// through all hosts of the region.
 	activationEvery = 100 * time.Millisecond
 )
 
-// activation is whether this host takes callers.
+// activation is the decision whether this host is an active host, that is, whether callers are
+// directed to it. A host that is not active is a standby.
 type activation struct {
-	// active says that this host is one of those that should.
+	// active is the decision in force, and lastSelectedAt is when this host was last selected
+	// as one of the active hosts.
 	active   bool
 	activeAt time.Time
-	// decidedAt is when that was decided last, and basis what it went by beside the
-	// load of the hosts.
+	// decidedAt is when the decision was last made, and inputs is what it depended on, apart
+	// from the load of the hosts.
 	decidedAt time.Time
 	basis     basis
 }
@@ -36,17 +39,17 @@
 	able, leaving bool
 }
 
-// canServe tells whether the host could take callers at once.
+// canServe reports whether the host could serve callers now.
 func (c *control) canServe(now time.Time) bool {
 	known := c.catalog != nil && c.listed
 	return known && !c.leaving && now.Sub(c.confirmedAt) < maxConfigurationAge
 }
 
-// setReady decides whether callers may be sent here.
+// updateReady decides whether callers may be directed to this host.
 func (c *control) setReady(now time.Time, heard []fleet.Member) {
 	c.decideActivation(now, heard)
 	able := c.canServe(now)
-	// A host that stands by serves whoever comes.
+	// A standby reports itself ready too, because it serves callers that connect to it anyway.
 	c.d.ready.Store(able)
 	ready := c.activation.active && able
 	if ready == c.ready {
@@ -57,13 +60,13 @@
 	if ready {
 		c.restoreSnapshotAgain(now)
 	}
-	// The others should know at once.
+	// Peers must learn of the change without delay.
 	c.announceToAll(now)
 	c.d.events.Info("ready", "ready", ready, "active", c.activation.active, "version", c.version(), "age", now.Sub(c.confirmedAt),
 		"leaving", c.leaving, "upstreams", c.d.table.Size(), "hosts", c.members.Count())
 }
 
-// decideActivation decides whether this host should take callers.
+// decideActivation decides whether this host should be active.
 func (c *control) decideActivation(now time.Time, heard []fleet.Member) {
 	if !c.knowsOthers(now) {
 		return
@@ -71,7 +74,7 @@
 	d := &c.activation
 	next := basis{c.members.Generation(), c.canServe(now), c.leaving}
 	since := now.Sub(d.decidedAt)
-	// What this host itself can do shows at once.
+	// A change of this host's own ability is applied without delay.
 	own := next.able != d.basis.able || next.leaving != d.basis.leaving
 	if !own && (since < activationEvery || next == d.basis && since < reviewEvery) {
 		return
@@ -87,15 +90,17 @@
 	d.active = wanted
 }
 
-// knowsOthers tells whether the host can tell if it is needed: right after its start it
-// knows only itself, and every host would take callers.
+// knowsPeers reports whether the host knows enough peers to decide whether it must be active.
+// Right after its start a host knows only itself, so without this check every host would become
+// active.
 func (c *control) knowsOthers(now time.Time) bool {
 	return c.listed && (c.registration.lease > 0 || now.Sub(c.d.startedAt) >= registerWithin)
 }
 
-// shouldBeActive tells whether this host is one of those that take callers, by what is
-// known of all. Where no host is able, as in an outage of the store, those go on
-// that would be the first to be able again.
+// shouldBeActive reports whether this host is one of the active hosts, judged by everything
+// known about the region. If no host can serve, as during a store outage, it selects among all
+// hosts as if all could serve, because the selected hosts would be the first to be able to
+// serve again.
 func (c *control) shouldBeActive(now time.Time, heard []fleet.Member) bool {
 	self := standby.Host{
 		Instance: c.d.self.Instance, Zone: c.d.self.Zone, Region: c.d.self.Region,
@@ -118,7 +123,8 @@
 			able = append(able, h)
 		}
 	}
-	// Who should take callers if all were able may spend, so it registers as such.
+	// A host that would be active if all hosts could serve may hold rate shares, so it
+	// registers as a host that holds them.
 	c.d.spends.Store(c.activation.active || standby.Active(all, self.Region)[self.Instance])
 	active := standby.Active(able, self.Region)
 	if len(active) == 0 {
@@ -127,8 +133,9 @@
 	return active[self.Instance]
 }
 
-// others are the hosts that this one goes by. One that stands by does not hear the
-// others that do, and takes them to be as able as they are registered.
+// knownPeers returns the peers that the activation decision takes into account. A standby
+// receives no heartbeats from other standbys, and assumes that each registered standby can
+// serve.
 func (c *control) others(heard []fleet.Member) []fleet.Member {
 	if c.ready {
 		return heard
--- a/internal/entryhost/bench_test.go
+++ b/internal/entryhost/bench_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// BenchmarkRequest is a caller's request from its arrival to its answer, with the caller and
-// the upstream in the same process.
+// BenchmarkRequest measures a caller's request from its arrival to its response. The caller and
+// the upstream run in the same process.
 func BenchmarkRequest(b *testing.B) {
 	g := NewWithT(b)
 	s := newSite(b)
--- a/internal/entryhost/callerconns.go
+++ b/internal/entryhost/callerconns.go
@@ -10,34 +10,33 @@
 	"balsambarrow/internal/clock"
 )
 
-// Callers' connections.
+// Limits on callers' connections.
 //
-// Load pattern: a customer sends seven times its rate. Each request that is
-// refused comes back on a new connection, and the old one is kept open for
-// nothing. A host at its limit of descriptors can neither accept callers nor reach
-// upstreams. So a refusal closes its connection (see front), connections that have been
-// idle for as long as operators allow are closed, and where many are open each
-// answer closes its own.
+// Callers that retry after a refusal often open a new connection and leave the old one open. A
+// customer that sends seven times its rate can thus exhaust the file descriptors of a host,
+// which can then neither accept callers nor connect to upstreams. Three rules prevent this: a
+// refusal closes its connection (see package front), connections that exceed the configured
+// idle timeout are closed, and when many connections are open every response closes its own.
 const (
-	// crowdedPart of the descriptors in use by callers makes answers close their
-	// connections. The rest is for those to upstreams and peers, of which there
-	// are as many as requests that run.
+	// callerDescriptorFraction is the fraction of the file descriptors that callers'
+	// connections may use before responses close their connections. The rest is for connections
+	// to upstreams and peers, of which there are as many as running requests.
 	crowdedPart = 0.5
-	// sweepEvery is how often idle connections are looked at.
+	// idleCheckInterval is the time between two checks for idle connections.
 	sweepEvery = time.Second
 )
 
 // callerConns tracks the connections of callers. It is safe for concurrent use.
 type callerConns struct {
 	mu sync.Mutex
-	// idle holds since when each open connection has been idle; the zero time
-	// stands for one that is not.
+	// idleSince holds, for each open connection, since when it has been idle. The zero time
+	// means that the connection is not idle.
 	idle map[net.Conn]time.Time
 }
 
 func newCallerConns() *callerConns { return &callerConns{idle: map[net.Conn]time.Time{}} }
 
-// track is a ConnState hook.
+// track is a ConnState hook of http.Server.
 func (c *callerConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,14 +50,14 @@
 	}
 }
 
-// count is the number of open connections.
+// count returns the number of open connections.
 func (c *callerConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle)
 }
 
-// sweep closes connections that have been idle for longer than most.
+// closeIdle closes the connections that have been idle for longer than maxIdle.
 func (c *callerConns) sweep(now time.Time, most time.Duration) {
 	c.mu.Lock()
 	var expired []net.Conn
@@ -69,12 +68,12 @@
 	}
 	c.mu.Unlock()
 	for _, conn := range expired {
-		// Whatever Close says, the connection is of no use any more.
+		// An error does not matter: the connection is not used again.
 		_ = conn.Close()
 	}
 }
 
-// sweepCallers closes callers' idle connections until ctx ends.
+// closeIdleCallers closes callers' idle connections periodically until ctx ends.
 func (d *Daemon) sweepCallers(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -90,7 +89,7 @@
 	}
 }
 
-// crowded tells whether callers have so many connections open that answers
+// nearDescriptorLimit reports whether callers have so many connections open that responses
 // should close theirs.
 func (d *Daemon) crowded() bool {
 	most := d.settings.Load().Capacity.Descriptors
--- a/internal/entryhost/callerconns_test.go
+++ b/internal/entryhost/callerconns_test.go
@@ -13,10 +13,10 @@
 	"balsambarrow/internal/clock"
 )
 
-// A customer sends far too much for ten seconds, each time on a new connection.
-// The connections of its refused requests stay open and idle until the host has
-// no descriptor left: it accepts nobody, and reaches no upstream, to the end of
-// the day. Those that are idle for longer than operators allow must go.
+// Guards against a host that runs out of file descriptors. A customer that sends far too much
+// for ten seconds, each time on a new connection, leaves the connections of its refused
+// requests open and idle. The host could then accept no callers and reach no upstream for the
+// rest of the day, so connections that exceed the idle timeout must be closed.
 func TestIdleConnectionsOfCallersAreClosed(t *testing.T) {
 	g := NewWithT(t)
 	c := newCallerConns()
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -10,78 +10,81 @@
 	"balsambarrow/internal/rendezvous"
 )
 
-// How hosts confirm to each other that what they know is what the store holds.
+// How hosts confirm that their copy of the store's state is current.
 //
-// Load pattern: each host needs to know every second that no key was withdrawn
-// and no upstream has left, and each call to the store is paid for. So one host of
-// each region watches the store; the others ask it, by datagram, for the digest of
-// what it knows and its age. The same digest confirms what they know as of the
-// question less that age. Where they differ the answer brings the changes that lack,
-// and only where that cannot be they look at the store. A host that the store turns
-// away stays confirmed.
+// Each host must know every second that no API key was withdrawn and no upstream has left, but
+// each store call costs money. Therefore one host of each region, the watcher, watches the
+// store, and the other hosts of the region request from it, by datagram, the digest of its
+// state and the age of that state. If the digests are equal, the requesting host's state is
+// confirmed as of the time of its request minus that age. If they differ, the response carries
+// the missing changes, and the requesting host reads the store only if the changes cannot be
+// sent. A host that the store rejects therefore stays confirmed.
 const (
-	// askEvery is the time between two questions.
+	// confirmInterval is the time between two confirmation requests.
 	askEvery = 500 * time.Millisecond
-	// askStandby is the same for a host that stands by.
+	// standbyConfirmInterval is the time between two confirmation requests of a standby.
 	askStandby = time.Second
-	// secondPeerAfter is the age from which another host than the watcher is asked too,
-	// of another region if there is one. The store may turn a whole region away;
-	// each of its hosts takes a second or two to find that out and to leave the
-	// watch to the next.
+	// secondPeerAge is the age of the confirmed state from which a second host is queried as
+	// well as the watcher, preferably one of another region. The store may reject a whole
+	// region, and each host of the region takes one or two seconds to find that out and to pass
+	// the watch on to the next.
 	secondPeerAfter = 1200 * time.Millisecond
-	// refreshAnswer is how long the watcher may take to answer where a request waits: a
-	// few milliseconds on the way, and turns of two small processors.
+	// refreshTimeout is how long the watcher may take to respond if a request is waiting for
+	// the confirmation: a few milliseconds of network delay, and scheduling delays on two small
+	// processors.
 	refreshAnswer = 100 * time.Millisecond
-	// lookAfter is the age from which a host looks for itself: two questions have had
-	// no answer that confirms.
+	// readStoreAge is the age of the confirmed state from which a host reads the store itself.
+	// By then two confirmation requests have failed.
 	lookAfter = 2100 * time.Millisecond
-	// standbyLater is how much later both are for a host that stands by. It asks less
-	// often, and looks for itself if a caller comes.
+	// standbyExtraAge is added to secondPeerAge and readStoreAge on a standby. A standby sends
+	// confirmation requests less often, and reads the store when a caller arrives.
 	standbyLater = 900 * time.Millisecond
-	// hostsLookAfter is the age of what is known of other hosts' registrations from which a
-	// host looks for itself, and the time between such looks.
+	// hostsReadStoreAge is the age of the confirmed registrations of entry hosts from which a
+	// host reads the store itself, and the least time between two such reads.
 	hostsLookAfter = 8 * time.Second
-	// askAgain is when a host asks again whose peer had sent as much as its link bears.
+	// deferredRetryDelay is the delay before the next confirmation request if the peer deferred
+	// the changes because it had used up its link's send allowance.
 	askAgain = 150 * time.Millisecond
-	// confirmsKept bounds the questions without an answer that are remembered.
+	// maxPendingConfirms bounds the number of confirmation requests without a response that are
+	// remembered.
 	confirmsKept = 8
-	// storeKey is what the watcher is picked by.
+	// watcherKey is the rendezvous key by which the watcher is selected.
 	storeKey = "store"
 )
 
-// confirms are the questions that this process has asked.
+// confirmRequests holds the confirmation requests that this process has sent.
 type confirms struct {
 	last   uint64
 	askDue time.Time
 	asked  map[uint64]question
-	// refreshed is when a question was asked for a request that waits.
+	// refreshedAt is when the last request was sent on behalf of a waiting caller's request.
 	refreshed time.Time
 }
 
-// question is one that a peer was asked.
+// pendingConfirm is a confirmation request that was sent to a peer.
 type question struct {
 	at time.Time
-	// referred says that another peer had named the one that was asked, and whole that
-	// it was asked for all that the store holds.
+	// referred is set if another peer referred this host to the peer that was queried, and full
+	// if the request is for the full state of the store.
 	referred, whole bool
 }
 
-// newConfirms begins with an id of its own (see firstID).
+// newConfirmRequests starts at a random id (see randomID).
 func newConfirms() confirms { return confirms{last: randomID(), asked: map[uint64]question{}} }
 
-// next is the id of the next question.
+// nextID returns the id of the next request.
 func (q *confirms) next() uint64 {
 	q.last++
 	return q.last
 }
 
-// randomID is where a process begins to number its questions: at random. One that
-// began at zero would take the answer to a question of the process before it, which
-// had the same address, for the answer to its own; spec/confirm.pml finds that.
+// randomID returns the id from which a process numbers its requests. It is random because a
+// process that started at zero could mistake a response to the previous process at the same
+// address for a response to its own request; spec/confirm.pml finds that case.
 func randomID() uint64 { return rand.Uint64() }
 
-// watcher is the host that watches the store for this region: one of those that
-// take callers and reach the store, by rendezvous. "" if this host knows none.
+// watcher returns the instance that watches the store for this region, selected by rendezvous
+// hash among the active hosts that reach the store. It is "" if this host knows of none.
 func (c *control) watcher() string {
 	if d := c.d.directory.Load(); d != c.watchers.of {
 		c.watchers = watchers{of: d, own: rendezvous.Pick(storeKey, d.storeReaders(c.ownRegion))}
@@ -89,18 +92,18 @@
 	return c.watchers.own
 }
 
-// watchers is who watches the store, as of a directory.
+// watcherCache holds the watcher that was selected from a directory.
 type watchers struct {
 	of  *directory
 	own string
 }
 
-// ownRegion tells whether a region is this host's.
+// isOwnRegion reports whether a region is the region of this host.
 func (c *control) ownRegion(region string) bool { return region == c.d.self.Region }
 
-// second is another host than the watcher that takes callers and reaches the store,
-// as far as this one knows: one of another region, which the same failure is less
-// likely to have met; "" if there is none.
+// secondPeer returns an active host other than the watcher that reaches the store, as far as
+// this host knows. Hosts of other regions are preferred, since they are less likely to share a
+// failure with the watcher. It is "" if there is none.
 func (c *control) second(watcher string) string {
 	d := c.d.directory.Load()
 	if far := rendezvous.Pick(storeKey, d.storeReaders(func(region string) bool { return !c.ownRegion(region) })); far != "" {
@@ -112,8 +115,8 @@
 	return rendezvous.Pick(storeKey, near)
 }
 
-// confirmKnowledge has what is known confirmed, by the watcher or by a look at
-// the store.
+// confirmState has the copy of the store's state confirmed, by the watcher or by a read of the
+// store.
 func (c *control) confirmKnowledge(now time.Time) {
 	watcher := c.watcher()
 	watches := watcher == c.d.self.Instance || watcher == "" && c.watchesAlone()
@@ -133,7 +136,7 @@
 	}
 	c.lookForHosts(now)
 	if !c.listed || now.Before(c.confirms.askDue) {
-		// Before the first listing there is nothing to confirm.
+		// Before the first listing there is no state to confirm.
 		return
 	}
 	c.confirms.askDue = now.Add(every)
@@ -145,29 +148,29 @@
 	}
 }
 
-// watchesAlone tells whether this host watches the store where no host that takes callers
-// reaches it. One that stands by leaves that to those that take callers, if it hears any:
-// in an outage of the store each call of each host is paid for, and brings nothing.
+// watchesAsFallback reports whether this host watches the store if it knows of no active host
+// that reaches the store. A standby leaves the watch to active hosts if it knows of any: during
+// a store outage each call of each host costs money and achieves nothing.
 func (c *control) watchesAlone() bool {
 	return c.ready || !c.d.directory.Load().anyReady()
 }
 
-// looksAlone tells whether this host looks at the store if nobody confirms what it knows.
-// One that stands by leaves that to those that take callers as long as none of them reaches
-// the store either: at the end of an outage all hosts would look at once.
+// readsAsFallback reports whether this host reads the store if no peer confirms its state. A
+// standby leaves that to the active hosts while none of them reaches the store: otherwise all
+// hosts would read the store at the same moment when an outage ends.
 func (c *control) looksAlone() bool {
 	d := c.d.directory.Load()
 	return c.watchesAlone() || len(d.storeReaders(func(string) bool { return true })) > 0
 }
 
-// ask sends a question to a host.
+// requestConfirm sends a confirmation request to a host.
 func (c *control) ask(now time.Time, host string) {
 	if host != "" {
 		c.askPeer(now, c.members.Address(host), question{})
 	}
 }
 
-// askPeer sends a question to an address.
+// requestConfirmAt sends a confirmation request to an address.
 func (c *control) askPeer(now time.Time, address string, asked question) {
 	q := &c.confirms
 	asked.at = now
@@ -184,9 +187,9 @@
 	}
 }
 
-// handleConfirmation takes an answer in. It was made after the question left, so
-// what it says held at the question less the age, however long it was on its way
-// and whatever stood still meanwhile.
+// handleConfirmAnswer applies the response to a confirmation request. The peer built the
+// response after the request was sent. The peer's state was therefore current at the time of
+// the request minus the reported age, whatever delays the network or a suspended process added.
 func (c *control) handleConfirmation(a *fleet.ConfirmAnswer) {
 	asked, ok := c.confirms.asked[a.Id]
 	if !ok {
@@ -211,12 +214,14 @@
 	case before:
 		c.lackChanges(now, a, asked)
 	default:
-		// There are more changes than fit into one answer.
+		// More changes are missing than fit into one response, so the next request is sent at
+		// once.
 		c.confirms.askDue = time.Time{}
 	}
 }
 
-// lackChanges goes on after an answer that told of changes and did not bring them.
+// handleMissingChanges handles a response whose digest differs but which carried no usable
+// changes.
 func (c *control) lackChanges(now time.Time, a *fleet.ConfirmAnswer, asked question) {
 	switch {
 	case a.Later:
@@ -224,13 +229,14 @@
 		c.askHolders(now, a, asked)
 	case asked.referred:
 	case a.Revision > 0 && a.Revision < c.revision:
-		// The peer is behind, and will know the same with its next look.
+		// The peer is behind and catches up with its next read of the store.
 	default:
 		c.d.lookNow("changes not known to the peer")
 	}
 }
 
-// askHolders asks the hosts that an answer has named instead of changes.
+// requestFromSources sends the request to the patch sources that a response named instead of
+// carrying the changes.
 func (c *control) askHolders(now time.Time, a *fleet.ConfirmAnswer, asked question) {
 	if asked.referred {
 		return
@@ -241,7 +247,8 @@
 	}
 }
 
-// takeAll takes over from a peer what the store holds, if this host has not listed it yet.
+// applyFullState applies a peer's full copy of the store's state, unless this host has already
+// listed the store.
 func (c *control) takeAll(now time.Time, a *fleet.ConfirmAnswer, asked question) {
 	if c.listed || !a.Whole {
 		return
@@ -256,7 +263,7 @@
 	}
 	c.replaceAll(now, items)
 	c.revision = a.Revision
-	// It is weak beside the peer, and registers as a host that stands by.
+	// This host is weak compared with the peer, and registers as a standby.
 	close(c.d.listed)
 	if c.digest.Sum() != a.Digest || c.hostRegistrations.digest.Sum() != a.Hosts {
 		c.d.lookNow("peer's items differ from its digest")
@@ -268,7 +275,7 @@
 		"age_us", a.AgeUs)
 }
 
-// applyPeerChanges takes changes over that a peer has sent.
+// applyPeerChanges applies changes that a peer has sent.
 func (c *control) applyPeerChanges(now time.Time, changes []*fleet.Change) {
 	events, err := c.eventsOf(changes)
 	if err != nil {
@@ -277,8 +284,8 @@
 	c.applyChanges(now, events)
 }
 
-// refresh has what is known confirmed for a request that waits: by the watcher, which
-// costs nothing, and by the store if that brings nothing in time.
+// refresh has the state confirmed for a waiting request: by the watcher, which costs nothing,
+// and by a read of the store if the watcher does not confirm it in time.
 func (c *control) refresh(now time.Time) {
 	watcher := c.watcher()
 	if c.d.watches.Load() || watcher == "" {
@@ -300,8 +307,8 @@
 	})
 }
 
-// lookForHosts has the store looked at if the registrations of hosts have not been
-// confirmed for long.
+// refreshHostRegistrations triggers a read of the store if the registrations of entry hosts
+// have not been confirmed for a long time.
 func (c *control) lookForHosts(now time.Time) {
 	h := &c.hostRegistrations
 	if h.at.IsZero() || now.Sub(h.at) < hostsLookAfter || now.Before(h.lookDue) {
@@ -311,7 +318,8 @@
 	c.d.lookNow("hosts not confirmed")
 }
 
-// handleDigest asks the watcher at once where it knows something else.
+// handleDigest triggers a confirmation request at once if the digest in the watcher's heartbeat
+// differs from this host's digest.
 func (c *control) handleDigest(from string, digest uint64) {
 	if digest != 0 && digest != c.digest.Sum() && from == c.watcher() {
 		c.confirms.askDue = time.Time{}
--- a/internal/entryhost/confirm_test.go
+++ b/internal/entryhost/confirm_test.go
@@ -8,11 +8,11 @@
 	"balsambarrow/internal/fleet"
 )
 
-// A host asks what the store holds, is killed and starts again, with the address that
-// it had. The answer to its old question, held up on the way, comes when the new
-// process has asked for the first time. Taken for the answer to that, it would confirm
-// a version for a time after it was given, and a key that was withdrawn meanwhile would
-// go on working; a token that was granted to one caller would admit another.
+// Guards against a delayed response to a previous process. A host sends a confirmation request,
+// is killed and starts again at the same address. The response arrives after the new process
+// has sent its first request. If it matched that request, it would confirm a version for a time
+// after the response was sent, and a withdrawn API key would go on working; a token granted to
+// one caller would admit another.
 func TestAnswersToAnEarlierProcessAreStrangers(t *testing.T) {
 	g := NewWithT(t)
 	before, after := newConfirms(), newConfirms()
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	// surveyEvery is how often hosts that have gone silent are looked for, and
-	// demandEvery how often the demand that others have told is summed up. The second
-	// is well below the time that heartbeats are reckoned to take.
+	// expiryInterval is the time between two checks for unresponsive hosts, and demandInterval
+	// the least time between two computations of the total demand that peers have reported.
+	// demandInterval is well below the delay that is assumed for heartbeats.
 	surveyEvery = 100 * time.Millisecond
 	demandEvery = 50 * time.Millisecond
-	// reviewEvery is how often settings and loads, which change without notice, are
+	// reviewInterval is how often settings and loads, which change without notification, are
 	// taken into account.
 	reviewEvery = time.Second
-	// tickEvery is how often the control thread looks at what time alone
-	// changes: a tenth of the shortest bound that it keeps.
+	// tickInterval is how often the control goroutine handles what depends on time alone. It is
+	// a tenth of the shortest bound that the control goroutine enforces.
 	tickEvery = 100 * time.Millisecond
-	// standbyTick is the same for a host that stands by.
+	// standbyTickInterval is the tickInterval of a standby.
 	standbyTick = 250 * time.Millisecond
-	// watchSilence is how long a watch may have been deaf before it says nothing.
+	// watchLossDelay is how long a broken watch may go undetected.
 	watchSilence = time.Second
-	// keyMargin covers the way from the caller and what the process needs
-	// between the check of a key and its next look at the clock.
+	// keyCheckMargin allows for the network delay from the caller and for the processing time
+	// between the check of an API key and the next reading of the clock.
 	keyMargin = 400 * time.Millisecond
 )
 
-// message is something that the control thread is told.
+// message is a function that the control goroutine runs.
 type message func(*control)
 
-// control owns what the daemon believes. Only its goroutine touches it.
+// control holds the host's view of its peers, of the store and of the upstreams. Only its own
+// goroutine accesses it.
 type control struct {
 	d       *Daemon
 	inbox   chan message
 	members *fleet.Members
-	// registrations of entry hosts in the store, by key.
+	// registrations holds the entry hosts' registrations in the store, by key.
 	registrations map[string]fleet.Registration
 	roster        *follow.Roster
 	catalog       *catalog.Catalog
-	// items is what the store holds but for snapshots, and revision the store's of the
-	// latest look, here or at the peer that confirmed the same.
+	// items holds the items of the store except snapshots. revision is the store's revision at
+	// the latest read, made by this host or by the peer that confirmed the same state.
 	items    map[string]kv.Item
 	revision uint64
-	// configuration is the value that catalog was decoded from.
+	// configuration is the encoded value of catalog.
 	configuration []byte
 	zones         map[string]bool
 	confirmedAt   time.Time
@@ -58,19 +59,19 @@
 	leaving       bool
 	storeOut      bool
 	registration  registration
-	// hostsListed says that registrations were taken over once, and hostsChanged that
-	// some have changed since.
+	// hostsApplied is set once registrations have been passed on to members, and hostsChanged
+	// if some have changed since.
 	hostsListed, hostsChanged bool
-	// held says that the registration stands.
+	// holdsShares is set while the registration entitles this host to hold rate shares.
 	held     bool
 	sequence uint64
-	// heartbeatDue and standbyDue are when heartbeats to hosts that take callers, and to the
-	// others, are due.
+	// heartbeatDue is when the next full heartbeat to active hosts is due, and
+	// compactHeartbeatDue when the next compact heartbeat to standbys is due.
 	heartbeatDue, briefHeartbeatDue time.Time
-	// toAllHosts says that the next heartbeat to hosts that stand by is sent whether this
-	// host takes callers or not.
+	// heartbeatToAll is set if the next compact heartbeat goes to all standbys, whether this
+	// host is active or not.
 	toAllHosts bool
-	// rounds counts the heartbeats to hosts that stand by.
+	// compactRounds counts the rounds of compact heartbeats to standbys.
 	rounds            int
 	ready             bool
 	activation        activation
@@ -82,13 +83,14 @@
 	hostRegistrations hostKnowledge
 	confirms          confirms
 	watchers          watchers
-	// snapshotReadAt is when what the fleet had learned was read last.
+	// snapshotReadAt is when the snapshot of the fleet's learned state was last read.
 	snapshotReadAt time.Time
-	// guide is what the guide in the store is, as far as this host knows, and guides are
-	// the hosts that it makes itself known to until it hears one that takes callers.
+	// storedHint is the active-hosts hint in the store, as far as this host knows. hintedPeers
+	// are the addresses to which it sends heartbeats until it receives a heartbeat from an
+	// active host.
 	guide  []byte
 	guides []string
-	// snapshots paces those that this host writes.
+	// snapshotWriter paces the snapshots that this host writes.
 	snapshots snapshot.Writer
 }
 
@@ -100,7 +102,7 @@
 	}
 }
 
-// send tells the control thread something; it is dropped when the daemon ends.
+// send queues a message for the control goroutine. The message is dropped when the daemon ends.
 func (c *control) send(m message) {
 	select {
 	case c.inbox <- m:
@@ -130,8 +132,8 @@
 	}
 }
 
-// tickInterval is the time between two looks at what time alone changes. A host that
-// stands by has nothing to do that must be done sooner.
+// tickPeriod returns the time between two ticks. A standby has no duties that need the shorter
+// period.
 func (c *control) tickInterval() time.Duration {
 	if c.ready {
 		return tickEvery
@@ -139,7 +141,7 @@
 	return standbyTick
 }
 
-// drain takes what else is waiting, so that a burst is published once.
+// handleQueued runs the messages that are already queued, so that a burst is published once.
 func (c *control) drain() {
 	for {
 		select {
@@ -156,7 +158,7 @@
 		c.removeUpstream(id, "missing since the store is back")
 	}
 	if held := c.registered(now); held != c.held {
-		// Others should ask another host for customers' tokens, or this one again.
+		// Peers must send token requests for customers to another host, or to this one again.
 		c.held = held
 		c.announce(now)
 		c.d.registeredOnce.Store(true)
@@ -167,9 +169,9 @@
 	c.sendHeartbeats(now)
 }
 
-// buckets is how many buckets a customer's rate is split among: one for each
-// region with hosts, heard or only registered. A region that is not heard may
-// only be cut off.
+// bucketCount returns the number of buckets among which a customer's rate is split: one for
+// each region that has hosts, whether their heartbeats arrive or they are only registered. A
+// region whose heartbeats do not arrive may only be partitioned.
 func (c *control) buckets() int {
 	regions := c.members.Regions()
 	if slices.Contains(regions, c.d.self.Region) {
@@ -201,7 +203,7 @@
 	c.handleDigest(b.Instance, b.Digest)
 }
 
-// removeUpstream stops sending to an upstream.
+// removeUpstream stops sending requests to an upstream.
 func (c *control) removeUpstream(id, why string) {
 	c.d.table.Remove(id)
 	c.d.events.Info("upstream gone", "upstream", id, "reason", why)
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	// upstreamDialBound bounds a connection to an upstream: three ways to the
-	// farthest region and back, and one lost packet.
+	// upstreamDialTimeout bounds the time to connect to an upstream. It covers three round
+	// trips to the farthest region and one lost packet.
 	upstreamDialBound = 600 * time.Millisecond
-	// storeDialBound bounds a connection to the store. One that was tried while
-	// the host was cut off hangs for as long after the cut has healed.
+	// storeDialTimeout bounds the time to connect to the store. A connection attempt made
+	// during a network partition hangs for that long after the partition has healed.
 	storeDialBound = 600 * time.Millisecond
-	// headerBound and idleBound bound slow and idle callers; they are above
-	// what operators allow callers.
+	// headerTimeout and callerIdleTimeout bound slow and idle callers. They exceed the limits
+	// that operators set for callers.
 	headerBound = 10 * time.Second
 	idleBound   = 60 * time.Second
-	// directionsFor is how long callers keep an answer of the directory.
+	// directoryTTL is how long callers may cache a response of the directory.
 	directionsFor = 2 * time.Second
 )
 
-// Daemon is one running entry host.
+// Daemon is a running entry host.
 type Daemon struct {
 	settings atomic.Pointer[Settings]
 	self     Self
@@ -59,38 +59,39 @@
 	directory atomic.Pointer[directory]
 	pool      atomic.Pointer[pool]
 	ready     atomic.Bool
-	// registeredOnce says that this host has held shares, or that it stands by and will
-	// not: where no owner of a bucket answers it goes by its fallback bucket.
+	// fallbackAllowed is set once this host has held rate shares, or is a standby and will not
+	// hold any. Only then does it use its fallback bucket when no owner of a bucket responds.
 	registeredOnce atomic.Bool
-	// listed is closed after the first listing of the store; peersKnown says that it
-	// had other hosts.
+	// listed is closed after the first listing of the store. hasPeers is set if that listing
+	// contained other entry hosts.
 	listed     chan struct{}
 	peersKnown atomic.Bool
-	// needed is closed when the host knows, before its first listing, that it will take
-	// callers.
+	// willBeActive is closed if the host knows before its first listing that it will be active.
 	needed chan struct{}
-	// lookWhenRegistered says that no look at the store follows the first registration.
+	// readWhenRegistered is set if no read of the store follows the first registration by
+	// itself.
 	lookWhenRegistered atomic.Bool
-	// spends says that this host should hold shares of customers' rates.
+	// wantsShares is set if this host should hold rate shares.
 	spends atomic.Bool
-	// watches says that this host watches the store for its region.
+	// watches is set while this host watches the store for its region.
 	watches atomic.Bool
-	// known is what the store held and when, for hosts that ask.
+	// summary describes the state of the store that this host knows, for peers that send
+	// confirmation requests.
 	known atomic.Pointer[knowledge]
-	// hurry ends the pause before the next look at the store.
+	// wakeReader ends the pause before the next read of the store.
 	hurry chan struct{}
-	// fresh tells of each new state, and newHosts of each change of the hosts.
+	// stateUpdated fires at each new state, and hostsUpdated at each change of the known hosts.
 	fresh, newHosts signal
-	// startedAt is when the daemon started, and startedWall the time of day then.
+	// startedAt is when the daemon started, and startedWall the wall-clock time of the start.
 	startedAt, startedWall time.Time
-	// startingFor bounds how long a caller waits after the start.
+	// startupWait bounds how long a caller may wait for a host that has just started.
 	startingFor time.Duration
 	meter       meter
 
 	callerConns *callerConns
 
-	// addresses are those that the listeners have; port 0 of the settings is
-	// replaced by the one that the system gave.
+	// addresses are the addresses of the listeners. A port 0 in the settings is replaced by the
+	// port that the system assigned.
 	addresses Listen
 	listeners map[string]net.Listener
 	servers   []*http.Server
@@ -100,7 +101,7 @@
 	tasks     sync.WaitGroup
 }
 
-// New opens the listeners of a daemon; Start lets it serve.
+// New opens the listeners of a daemon. Start begins to serve.
 func New(s *Settings, events *telemetry.Events, metrics *telemetry.Metrics) (*Daemon, error) {
 	tracing, err := telemetry.NewTracing(s.TraceFile)
 	if err != nil {
@@ -192,7 +193,7 @@
 		"callers", d.self.Callers, "peers", d.self.Peers, "store", d.settings.Load().Store)
 }
 
-// received takes a packet of a peer in.
+// handlePacket dispatches a packet from a peer.
 func (d *Daemon) received(p *fleet.Packet, from string) {
 	if b := p.GetHeartbeat(); b != nil {
 		d.control.send(func(c *control) { c.handleHeartbeat(b) })
@@ -209,7 +210,7 @@
 	d.tokens.receive(p, from)
 }
 
-// listen opens the listeners and returns the addresses that they have.
+// listen opens the listeners and returns their addresses.
 func listen(l Listen) (Listen, map[string]net.Listener, error) {
 	listeners := map[string]net.Listener{}
 	for _, address := range []*string{&l.Callers, &l.Readiness, &l.Directory, &l.Metrics} {
@@ -243,10 +244,10 @@
 	}()
 }
 
-// Addresses are those that the listeners have.
+// Addresses returns the addresses of the listeners.
 func (d *Daemon) Addresses() Listen { return d.addresses }
 
-// bounds are the front's, from the settings in force.
+// bounds returns the bounds for package front from the settings in force.
 func (d *Daemon) bounds() front.Bounds {
 	b := d.settings.Load().Bounds
 	if !b.StrictRevocation || b.Revoke.Value() == 0 {
@@ -267,10 +268,10 @@
 	}()
 }
 
-// Failed reports a listener that broke.
+// Failed returns a channel that reports listeners that failed.
 func (d *Daemon) Failed() <-chan error { return d.errs }
 
-// Reload takes new settings over. What is bound to open listeners stays.
+// Reload applies new settings. Listeners that are already open keep their addresses.
 func (d *Daemon) Reload(s *Settings) {
 	d.settings.Store(s)
 	d.events.SetLevel(s.LogLevel)
--- a/internal/entryhost/directory.go
+++ b/internal/entryhost/directory.go
@@ -5,31 +5,32 @@
 	"balsambarrow/internal/place"
 )
 
-// Self is what this daemon tells of itself.
+// Self describes this daemon to its peers.
 type Self struct {
 	place.Host
-	// Host is the entry host's name; Callers and Peers its addresses.
+	// Name is the name of the entry host. Callers and Peers are the addresses on which it
+	// serves callers and receives datagrams from peers.
 	Name    string
 	Callers string
 	Peers   string
 }
 
-// directory is who can be named to callers. It is never modified.
+// directory lists the hosts to which callers can be directed. It is never modified.
 type directory struct {
 	self    Self
 	ready   bool
 	leaving bool
-	// seesStore says that this host's last call to the store succeeded.
+	// reachesStore is set if this host's last call to the store succeeded.
 	seesStore bool
 	others    []fleet.Member
 }
 
-// mostNamed is the number of addresses that callers take from one answer.
+// maxAddresses is the number of addresses that callers accept in one response.
 const mostNamed = 64
 
-// resolve names the ready hosts of a region; where it has none, those of all
-// regions. A body must not leave the caller's region and the regions that may
-// serve it, so a host elsewhere is the last choice.
+// resolve returns the addresses of the ready hosts of a region, or of all regions if the region
+// has none. Request bodies must stay within the caller's region and the regions that may serve
+// it, so hosts elsewhere are the last choice.
 func (d *directory) resolve(region string) []string {
 	type test func(region string, ready bool) bool
 	for _, wanted := range []test{
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// storeReaders lists the instances of some regions that take callers and reach the store.
+// storeReaders lists the active instances of some regions that reach the store.
 func (d *directory) storeReaders(in func(region string) bool) []string {
 	var out []string
 	if d.ready && d.seesStore && in(d.self.Region) {
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -71,8 +71,8 @@
 	return d.Addresses
 }
 
-// An operator withdraws a key. It must stop working everywhere, other keys must
-// go on, and a later write of an older version must not bring it back.
+// Guards against a withdrawn API key that still works: it must be refused, other keys must go
+// on working, and a later write of an older version must not restore it.
 func TestConfigurationOnlyGoesForward(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -93,10 +93,10 @@
 	g.Eventually(withdrawn, "5s", "20ms").Should(Equal(http.StatusOK), "after a compaction too")
 }
 
-// A host is cut off from the store in each way that there is. A key that is
-// withdrawn meanwhile must not work there longer than promised, so the host
-// refuses all keys in time, says that nothing has run, and is not named any
-// more. When the store is back it serves again.
+// Guards against a withdrawn API key that works longer than promised on a host that has lost
+// the store, for each way in which the store can fail. The host must refuse all keys in time,
+// respond that the request has not run, and leave the directory. When the store is back, the
+// host must serve again.
 func TestHostThatLostTheStoreRefusesKeys(t *testing.T) {
 	for name, fault := range map[string]standin.StoreFault{
 		"silent": standin.StoreSilent, "busy": standin.StoreBusy, "many": standin.StoreMany, "reset": standin.StoreReset,
@@ -126,8 +126,8 @@
 	}
 }
 
-// Upstreams leave in each way that there is; each must get nothing new, while the
-// other one serves.
+// Guards against requests to an upstream that is leaving, for each way in which an upstream can
+// leave. The other upstream must serve meanwhile.
 func TestLeavingUpstreamsGetNothingNew(t *testing.T) {
 	for name, leave := range map[string]func(*site, *standin.Worker){
 		"draining": func(s *site, k *standin.Worker) { s.register(k, "s", "127.0.0.1:1", "a1", "draining", 2) },
@@ -163,8 +163,8 @@
 	}
 }
 
-// What callers are told of each way in which a send fails, and how often the
-// request has run. A posting must never run twice, and "not run" must be true.
+// Checks the response to the caller, and how often the request has run, for each way in which
+// an attempt can fail. A posting must never run twice, and "not run" must be true.
 func TestOutcomes(t *testing.T) {
 	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	shed := func(w http.ResponseWriter, _ *http.Request) {
@@ -191,7 +191,7 @@
 		answer func(http.ResponseWriter, *http.Request)
 		post   bool
 		status int
-		// arrivals at both upstreams together.
+		// arrivals is the number of arrivals at both upstreams together.
 		arrivals int
 	}{
 		{"read, cut", cut, false, http.StatusBadGateway, 2},
@@ -236,8 +236,8 @@
 	}
 }
 
-// One upstream spoils its answers. A read is served by the other one, and the
-// caller sees nothing of it.
+// Guards against failures of one upstream that reach the caller: a read must be served by the
+// other upstream.
 func TestReadIsServedByAnotherUpstream(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -255,8 +255,9 @@
 	}
 }
 
-// An upstream's address is given to another one while its entry is still read.
-// The other one refuses, and the request says truly that it has not run.
+// Guards against a wrong outcome when an upstream's address passes to another upstream while
+// the old entry is still in use. The other upstream refuses the request, and the response must
+// say that the request has not run.
 func TestAddressGivenToAnotherUpstream(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -270,8 +271,9 @@
 	g.Expect(k.Runs()).To(HaveLen(before))
 }
 
-// A host is stopped while it answers requests and more come in on it. Each must
-// get its whole answer, and the host must not be named any more.
+// Guards against requests that are lost when a host is stopped while it serves requests and
+// receives more. Each must get its complete response, and the directory must no longer name the
+// host.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -305,7 +307,7 @@
 	g.Expect(s.store.Keys("balsambarrow/hosts/")).To(HaveLen(1), "its registration is given up")
 }
 
-// The caller leaves. Its request must not go on at the upstream.
+// Guards against a request that goes on at the upstream after its caller has disconnected.
 func TestCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -328,9 +330,9 @@
 	g.Eventually(gone, "2s").Should(BeClosed())
 }
 
-// Hosts start together, and readings of the store that may be stale do not show
-// their registrations yet. They must know each other all the same before they
-// serve: each would else give out the whole rate of every customer.
+// Guards against hosts that start together and do not find each other because stale reads of
+// the store do not show their registrations yet. They must know each other before they serve,
+// since otherwise each would grant the full rate of every customer.
 func TestHostsThatStartTogetherFindEachOther(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -345,9 +347,9 @@
 	}
 }
 
-// Callers keep their connections. One that is served keeps it; one that is refused
-// comes back on a new one, so the answer must close the old one, or a customer
-// that sends too much uses up all descriptors of a host.
+// Guards against a customer that uses up all file descriptors of a host. Callers keep their
+// connections open, and retry on a new one after a refusal. A refusal must therefore close its
+// connection, while a served request keeps it.
 func TestRefusalClosesTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -374,9 +376,9 @@
 	g.Expect(closes).To(BeFalse())
 }
 
-// A host is behind with its work. A caller asks, gives up and closes its
-// connection before the host has read the request. The host must not send it to
-// an upstream any more. The connection is held back here until it is closed.
+// Guards against a request that is sent to an upstream after its caller has left. On a busy
+// host, the caller gives up and closes its connection before the host has read the request.
+// TCP_CORK holds the request back here until the connection is closed.
 func TestRequestOfACallerThatHasLeftIsNotSent(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -388,7 +390,7 @@
 	for range 50 {
 		c, err := net.Dial("tcp", h.listen.Callers)
 		g.Expect(err).NotTo(HaveOccurred())
-		// The close is there together with the request.
+		// The close arrives together with the request.
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(raw.Control(func(fd uintptr) {
@@ -403,11 +405,10 @@
 	g.Expect(len(k.Runs())-before).To(Equal(1), "only the one that waits for its answer")
 }
 
-// A fleet has three hosts with a fast link and one with a slow one. Callers that
-// are sent to the slow one wait behind each other's reports. So the directory of
-// every host names the fast ones only. The slow one is ready, and serves a caller
-// that comes with an old address by the configuration of that moment; when the
-// fast ones have died, it takes callers.
+// Guards against callers on a host with a slow link, where they wait behind each other's
+// reports. In a fleet with three fast hosts, the directory of every host must name only those.
+// The slow host must be ready, and serve a caller that uses an old address by the current
+// configuration; when the fast hosts have died, it must become active.
 func TestWeakHostStandsBy(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -428,7 +429,7 @@
 	g.Expect(s.read(weak).status).To(Equal(http.StatusOK))
 
 	s.declare(7, "k2")
-	// Its own next look at the store is minutes away.
+	// The standby's own next read of the store is minutes away.
 	granted := func() int { return s.call(weak, "GET", "/read/1", "k2", "").status }
 	g.Eventually(granted, "2500ms", "100ms").Should(Equal(http.StatusOK), "learns that it has to look at the store")
 	for _, h := range strong {
@@ -439,9 +440,9 @@
 	g.Eventually(weak.ready, "5s", "50ms").Should(BeTrue())
 }
 
-// Guards against refusals after the loss of all hosts: they start together, and callers
-// come before any of them knows the configuration, who takes callers or who holds the
-// customer's bucket. Most callers try only once more.
+// Guards against refusals after the loss of all hosts: they start together, and callers arrive
+// before any host knows the configuration, the active hosts or the holder of the customer's
+// bucket. Most callers retry only once.
 func TestCallersThatComeWithTheStartAreServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -464,9 +465,9 @@
 	}
 }
 
-// Guards against a start that costs the store several calls a host: one that joins
-// stronger hosts reads who they are, has one of them tell all else, registers once, as a
-// host that stands by, and never takes callers.
+// Guards against a start that costs several store calls per host. A host that joins stronger
+// hosts must read the active-hosts hint, get the rest of the state from one of them, register
+// once, as a standby, and never become active.
 func TestHostThatJoinsStrongerOnesCostsTheStoreLittle(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -489,9 +490,9 @@
 	g.Eventually(func() []string { return directory(t, s.hosts[0], "a") }, "5s", "10ms").Should(ConsistOf(named))
 }
 
-// Guards against a host whose first registration takes longer than its first watch waits
-// for it, as with a slow store: it takes callers, and refuses all of them as over their
-// rate until it happens to look at the store again.
+// Guards against a host whose first registration takes longer than its first watch waits for
+// it, as with a slow store: it would be active and refuse all requests as over their rate until
+// its next read of the store.
 func TestALateFirstRegistrationIsFollowedByALook(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -512,9 +513,9 @@
 	s.awaitServing()
 }
 
-// Guards against a look at the store, or a refusal, for each caller that comes to a host
-// that stands by: the host that watches confirms what it knows. Here the store gives it no
-// answer at all.
+// Guards against a read of the store, or a refusal, for each caller that connects to a standby:
+// the watcher must confirm the standby's state. In this test the store does not respond to the
+// standby at all.
 func TestHostThatStandsByIsConfirmedForItsCallers(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -534,10 +535,10 @@
 	}
 }
 
-// The store turns one host away and serves the others. Callers of that host must
-// be served on, since a peer tells it that nothing has changed; and as soon as a
-// key is withdrawn, the host must not accept it longer than promised, though it
-// cannot read the new configuration.
+// Guards against refusals on a host that the store rejects while it serves the others. A peer
+// confirms that nothing has changed, so callers of that host must still be served. A withdrawn
+// API key must not be accepted longer than promised, although the host cannot read the new
+// configuration from the store.
 func TestHostTurnedAwayByTheStoreIsConfirmedByAnother(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -566,9 +567,9 @@
 	}
 }
 
-// Guards against a large configuration that peers cannot pass on: each host reads it from
-// the store, and one that the store turns away denies what was added, or serves what was
-// dropped, for as long as it is turned away.
+// Guards against a large configuration that peers cannot pass on: each host would have to read
+// it from the store, and a host that the store rejects would refuse requests to new routes, or
+// serve dropped ones, for as long as it is rejected.
 func TestALargeConfigurationReachesAHostThroughItsPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -589,10 +590,10 @@
 	}
 }
 
-// The store turns all hosts of a region away at once, without an answer, and serves
-// the other region. One host after the other finds out and leaves the watch to the
-// next, which is as deaf. Their callers must be served on, by what the other region
-// knows.
+// Guards against refusals when the store stops responding to all hosts of a region and serves
+// the other region. One host after the other finds out and passes the watch on to the next,
+// which does not reach the store either. Their callers must still be served by the state of the
+// other region.
 func TestRegionTurnedAwayByTheStoreIsConfirmedByAnother(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -640,8 +641,8 @@
 	}
 }
 
-// Nobody who reads logs or metrics may learn a customer's key, on a day with
-// refusals, failures and unknown keys either.
+// Guards against customers' API keys in logs or metrics, including those of refused, failed and
+// unauthorized requests.
 func TestKeysStayOutOfLogsAndMetrics(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -671,8 +672,8 @@
 	g.Expect(logs.String() + metrics).NotTo(ContainSubstring("secret"))
 }
 
-// A request that is tried at two upstreams leaves a span for the host and one for
-// each upstream, all of the caller's trace.
+// A request that is tried at two upstreams must leave a span for the host and one for each
+// attempt, all with the caller's trace id.
 func TestSpansOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
--- a/internal/entryhost/guide.go
+++ b/internal/entryhost/guide.go
@@ -13,39 +13,42 @@
 	"balsambarrow/platform"
 )
 
-// How hundreds of hosts start at once.
+// How a large number of hosts starts at the same time.
 //
-// Load pattern: all hosts lose power, and each lists all that the store holds when it
-// starts again. Together that is more than the store's link carries in a second, and those
-// that are to take callers wait behind all the others. So the fleet keeps a small key with
-// the hosts that take callers. A host that reads there that it is much weaker than they
-// are makes itself known to them, directs callers to them as soon as it hears them, and
-// lists the store later.
+// After a power loss all hosts start together, and each would list the whole store. The
+// listings exceed the capacity of the store's link, and the hosts that are to be active wait
+// behind all the others. The fleet therefore keeps a small key in the store, the active-hosts
+// hint, which names the active hosts. A host that is much weaker than the hosts in the hint
+// sends them its heartbeats, directs callers to them as soon as it receives their heartbeats,
+// and requests the state of the store from them. It lists the store itself only if they do not
+// send it.
 
 const (
-	// guided is the number of hosts of each region that the guide names.
+	// maxHintHosts is the number of hosts of each region in the hint.
 	guided = 16
-	// leastGuides is the number of stronger hosts in its region from which a host leaves
-	// the first calls to them.
+	// minStrongerHosts is the number of stronger hosts in its region that must exist before a
+	// host leaves the first listing to them.
 	leastGuides = 3
-	// weakPart of the strength of the strongest is a host's that expects to stand by.
+	// weakFraction is the fraction of the strongest host's capacity below which a host expects
+	// to be a standby.
 	weakPart = 0.5
-	// listAfter and listSpread are when a host that expects to stand by lists the store:
-	// after the start, and at random within the spread.
+	// peerStateDelay is how long after its start a host that expects to be a standby requests
+	// the state of the store from peers. It lists the store itself if no peer has sent the
+	// state by peerStateWindow later.
 	listAfter  = 700 * time.Millisecond
 	listSpread = 1500 * time.Millisecond
-	// guideAfter is how long a host with one core waits for a guide where there is none;
-	// one with less waits for longer, mostGuideWait at most, so that the strongest are
-	// ready first and write it.
+	// hintDelay is how long a host with one core waits for a hint if the store has none. A host
+	// with less than one core waits longer, up to maxHintDelay, so that the strongest hosts are
+	// ready first and write the hint.
 	guideAfter    = 200 * time.Millisecond
 	mostGuideWait = 1500 * time.Millisecond
-	// askSpread is within which hosts begin to ask peers for what the store holds, and
-	// askPeersEvery the time between two questions.
+	// peerRequestSpread is the interval over which hosts randomly spread their first request to
+	// peers, and peerRequestInterval the time between two requests.
 	askSpread     = 300 * time.Millisecond
 	askPeersEvery = 300 * time.Millisecond
 )
 
-// guide names the hosts that take callers, by region.
+// activeHostsHint lists the active hosts by region.
 type guide map[string][]guideHost
 
 type guideHost struct {
@@ -58,7 +61,7 @@
 	return standby.Capacity{Cores: h.Cores, LinkMbps: h.LinkMbps}
 }
 
-// newGuide names the hosts of a directory that take callers.
+// newActiveHostsHint lists the active hosts of a directory.
 func newGuide(d *directory, own standby.Capacity) guide {
 	g := guide{}
 	if d.ready {
@@ -76,8 +79,8 @@
 	return g
 }
 
-// stronger lists the addresses of the hosts of a region beside which a host is weak; none
-// if there are too few to leave the callers to.
+// strongerPeers returns the addresses of the hosts of a region compared with which a host is
+// weak. It returns none if there are too few of them to serve the callers.
 func (g guide) stronger(region string, own standby.Capacity) []string {
 	if own == (standby.Capacity{}) {
 		return nil
@@ -94,20 +97,21 @@
 	return out
 }
 
-// startFromGuide reads the guide before the first listing. A host that is weak beside those that
-// it names makes itself known to them, and has them tell what the store holds. It returns
-// the revision of that; false if the host has to list the store itself.
+// startFromHint reads the active-hosts hint before the first listing. A host that is weak
+// compared with the hosts in the hint sends them its heartbeats and requests the state of the
+// store from them. startFromHint returns the revision of that state, or false if the host has
+// to list the store itself.
 func (d *Daemon) startFromGuide(ctx context.Context) (revision uint64, ok bool) {
 	g, known := d.fetchGuide(ctx)
 	if cores := d.capacity().Cores; known && len(g) == 0 && cores > 0 {
-		// Nobody has written one yet: the fleet starts for the first time.
+		// No host has written a hint yet, because the fleet starts for the first time.
 		sleep(ctx, min(time.Duration(float64(guideAfter)/cores), mostGuideWait))
 		g, _ = d.fetchGuide(ctx)
 	}
 	stronger := g.stronger(d.self.Region, d.capacity())
 	if len(stronger) == 0 {
 		if len(g[d.self.Region]) > 0 {
-			// It is one of the strongest: others need not be known for it to register.
+			// This host is one of the strongest, so it can register before it knows its peers.
 			d.spends.Store(true)
 			close(d.needed)
 		}
@@ -120,8 +124,8 @@
 	return d.listFromPeers(ctx, stronger)
 }
 
-// fetchGuide reads the guide, which is empty if there is none; false if the store does not
-// answer.
+// fetchHint reads the hint, which is empty if the store has none. It returns false if the store
+// does not respond or the hint is not readable.
 func (d *Daemon) fetchGuide(ctx context.Context) (g guide, ok bool) {
 	bounded, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
@@ -139,8 +143,8 @@
 	return g, true
 }
 
-// listFromPeers asks peers in turn for all that the store holds, until one has told it or
-// it is time to list the store. It returns the revision of what was told.
+// loadFromPeers requests the full state of the store from peers in turn, until one has sent it
+// or it is time to list the store. It returns the revision of the state.
 func (d *Daemon) listFromPeers(ctx context.Context, peers []string) (revision uint64, ok bool) {
 	until := d.now().Add(listAfter + listSpread)
 	sleep(ctx, listAfter+rand.N(askSpread))
@@ -173,8 +177,8 @@
 	}
 }
 
-// writeGuide writes the guide into the store if it has changed. Whoever writes snapshots
-// does.
+// writeHint writes the active-hosts hint into the store if it has changed. It is called on the
+// host that writes snapshots.
 func (c *control) writeGuide() {
 	data, err := json.Marshal(newGuide(c.d.directory.Load(), c.d.capacity()))
 	if err != nil {
@@ -195,5 +199,5 @@
 	})
 }
 
-// readGuide notes what the guide in the store is.
+// noteStoredHint records the hint that is in the store.
 func (c *control) readGuide(item kv.Item) { c.guide = item.Value }
--- a/internal/entryhost/guide_test.go
+++ b/internal/entryhost/guide_test.go
@@ -10,8 +10,8 @@
 	"balsambarrow/internal/standby"
 )
 
-// Guards against hundreds of hosts that all list the store at the same moment, so that
-// those that are to take callers wait behind all the others.
+// Guards against hundreds of hosts that all list the store at the same moment, so that the
+// hosts that are to be active wait behind all the others.
 func TestWhoLeavesTheFirstListingToOthers(t *testing.T) {
 	strong, weak := standby.Capacity{Cores: 0.8, LinkMbps: 200}, standby.Capacity{Cores: 0.16, LinkMbps: 20}
 	member := func(peers, region string, ready bool, c standby.Capacity) fleet.Member {
--- a/internal/entryhost/heartbeat.go
+++ b/internal/entryhost/heartbeat.go
@@ -6,8 +6,7 @@
 	"balsambarrow/internal/fleet"
 )
 
-// announce has heartbeats sent at once. Those that stand by are told only by hosts
-// that callers are sent to.
+// announce makes heartbeats due at once. Only active hosts send heartbeats to standbys.
 func (c *control) announce(now time.Time) {
 	c.heartbeatDue = now
 	if c.ready {
@@ -15,13 +14,13 @@
 	}
 }
 
-// announceToAll has heartbeats sent at once to every host.
+// announceToAll makes heartbeats to every host due at once.
 func (c *control) announceToAll(now time.Time) {
 	c.heartbeatDue, c.briefHeartbeatDue, c.toAllHosts = now, now, true
 }
 
-// sendHeartbeats sends the heartbeats that are due: full ones to the hosts that take callers,
-// brief ones to the others. Hosts that stand by tell nothing to each other.
+// sendHeartbeats sends the heartbeats that are due: full ones to active hosts and compact ones
+// to standbys. Standbys send no heartbeats to each other.
 func (c *control) sendHeartbeats(now time.Time) {
 	if !now.Before(c.heartbeatDue) {
 		c.heartbeatDue = now.Add(c.members.Interval(c.ready))
@@ -44,8 +43,8 @@
 	}
 }
 
-// readyPeers lists the hosts that are told all: those that take callers, as far as is
-// known.
+// activePeers returns the addresses to which full heartbeats are sent: the known active hosts,
+// or the hosts of the active-hosts hint if none is known.
 func (c *control) readyPeers() []string {
 	if peers := c.members.ReadyPeers(); len(peers) > 0 {
 		return peers
@@ -53,8 +52,8 @@
 	return c.guides
 }
 
-// answerStandby makes this host known to one of its region that stands by and was not heard
-// before. Until it hears a host that takes callers, it looks at the store for itself.
+// replyToStandby sends a heartbeat to a standby of this region that was not known before. Until
+// a standby receives a heartbeat from an active host, it reads the store itself.
 func (c *control) answerStandby(now time.Time, b *fleet.Heartbeat, changes []fleet.MemberChange) {
 	if !c.ready || b.Ready || b.Leaving || b.Region != c.d.self.Region || len(changes) == 0 {
 		return
@@ -70,7 +69,7 @@
 	}
 }
 
-// heartbeat is what this host tells of itself.
+// heartbeat returns the heartbeat of this host.
 func (c *control) heartbeat(now time.Time) *fleet.Heartbeat {
 	c.sequence++
 	s, load, capacity := c.d.self, c.d.meter.read(now), c.d.capacity()
@@ -83,7 +82,8 @@
 	}
 }
 
-// addLearned adds what customers ask for here and which objects were seen where.
+// addLearned adds the demand of customers at this host and the objects that upstreams are warm
+// for.
 func (c *control) addLearned(now time.Time, b *fleet.Heartbeat) {
 	for customer, rate := range c.d.shares.AnnounceDemand(now) {
 		b.Demand = append(b.Demand, &fleet.Demand{Customer: customer, PerSecond: float32(rate)})
--- a/internal/entryhost/helper_test.go
+++ b/internal/entryhost/helper_test.go
@@ -22,18 +22,18 @@
 	"balsambarrow/platform"
 )
 
-// site is a stand-in of the users' platform with entry hosts on it.
+// site is a stand-in for the users' platform with entry hosts on it.
 type site struct {
 	t      testing.TB
 	store  *standin.KVStore
 	server *httptest.Server
 	hosts  []*host
 	serial atomic.Int64
-	// logs receives what the hosts write.
+	// logs receives the log lines of the hosts.
 	logs io.Writer
-	// rate and burst of the customer that is declared.
+	// rate is both the rate and the burst of the declared customer.
 	rate int
-	// added is the number of routes that are declared beside the usual ones.
+	// extraRoutes is the number of declared routes besides the usual ones.
 	added int
 	// traces is the file for spans; "" writes none.
 	traces string
@@ -66,11 +66,12 @@
 
 // hostOptions is how a host differs from the others.
 type hostOptions struct {
-	// mbps is the rate of its link; 0: it does not say.
+	// mbps is the rate of the host's link; 0 leaves it unknown.
 	mbps float64
-	// starting is how long callers wait after its start; 0: as usual.
+	// startupWait is how long callers may wait after the host's start; 0 means the default.
 	starting time.Duration
-	// store is the address at which it reaches the store; "": as all do.
+	// store is the address at which the host reaches the store; "" means the address that all
+	// hosts use.
 	store string
 }
 
@@ -102,7 +103,7 @@
 	return h
 }
 
-// guided is the number of hosts that the guide in the store names.
+// hintHosts returns the number of hosts in the store's active-hosts hint.
 func (s *site) guided() int {
 	store := platform.NewStore(s.server.URL, (&net.Dialer{}).DialContext, func(string, error) {})
 	defer store.Close()
@@ -113,7 +114,7 @@
 	return bytes.Count(item.Value, []byte(`"peers"`))
 }
 
-// gate stands before the store for one host. While it is shut it gives no answer.
+// gate is a proxy in front of the store for one host. While it is shut, calls get no response.
 type gate struct {
 	store http.Handler
 	shut  atomic.Bool
@@ -122,7 +123,8 @@
 // ServeHTTP implements http.Handler.
 func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if g.shut.Load() {
-		// The server notices that a client has gone only once the body is read.
+		// The server notices that the client has closed the connection only once the body is
+		// read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return
@@ -130,7 +132,7 @@
 	g.store.ServeHTTP(w, r)
 }
 
-// gate returns a gate and the address at which it stands.
+// gate returns a gate and its address.
 func (s *site) gate() (g *gate, address string) {
 	g = &gate{store: s.store}
 	server := httptest.NewServer(g)
@@ -157,7 +159,7 @@
 	s.store.Put("servers/"+k.ID, k.Entry(service, address, zone, state, sequence))
 }
 
-// declare writes a configuration with one customer that has the keys.
+// declare writes a configuration with one customer that has the given API keys.
 func (s *site) declare(version int, keys ...string) {
 	if keys == nil {
 		keys = []string{}
@@ -186,7 +188,7 @@
 	s.store.Put("op/config", value)
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
@@ -194,7 +196,7 @@
 	err    error
 }
 
-// call sends a request to a host on a connection of its own.
+// call sends a request to a host on a new connection.
 func (s *site) call(h *host, method, path, key, body string) answer {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 8 * time.Second}
 	r, err := http.NewRequest(method, "http://"+h.listen.Callers+path, strings.NewReader(body))
@@ -219,7 +221,7 @@
 
 func (s *site) post(h *host) answer { return s.call(h, "POST", "/post/1", "k1", "weight=200") }
 
-// metrics is what a host serves on its metrics address.
+// metrics returns what a host serves on its metrics address.
 func (s *site) metrics(h *host) string {
 	g := NewWithT(s.t)
 	resp, err := http.Get("http://" + h.listen.Metrics + "/metrics")
--- a/internal/entryhost/knowledge.go
+++ b/internal/entryhost/knowledge.go
@@ -12,45 +12,48 @@
 )
 
 const (
-	// maxChangeBytes is the most that an answer brings of what decides about requests:
-	// the largest value of the store, packed.
+	// maxChangeBytes bounds the changes of configuration, upstreams and zones in one response.
+	// It is the size of the largest value of the store, compressed.
 	maxChangeBytes = 256 << 10
-	// maxHostChangeBytes is the same for the registrations of entry hosts.
+	// maxHostChangeBytes bounds the changes of entry hosts' registrations in one response.
 	maxHostChangeBytes = 24 << 10
-	// wholeMaxAge is the age up to which a host passes on all that it knows.
+	// maxFullStateAge is the highest age of the confirmed state at which a host sends it in
+	// full to a peer.
 	wholeMaxAge = 1500 * time.Millisecond
 )
 
-// knowledge is what the store held at a time. It is never modified.
+// storeSummary is the digest of the store's state, and when it was confirmed. It is never
+// modified.
 type knowledge struct {
 	digest uint64
 	at     time.Time
-	// hosts and hostsAt are the same for the registrations of entry hosts.
+	// hosts and hostsAt are the digest and the time for the registrations of entry hosts.
 	hosts   uint64
 	hostsAt time.Time
-	// revision of the store that both speak for.
+	// revision is the store's revision that both digests describe.
 	revision uint64
 }
 
-// hostKnowledge is what is known of the registrations of entry hosts. They are
-// confirmed apart: two hosts that were cut off from the store at different times may
-// never agree on them, and must still confirm each other's keys.
+// hostState is the state of the entry hosts' registrations. It is confirmed separately: two
+// hosts that were partitioned from the store at different times may never agree on the
+// registrations, and must still be able to confirm each other's API keys.
 type hostKnowledge struct {
 	digest  follow.Digest
 	journal follow.Journal
 	at      time.Time
-	// lookDue is when the store may be looked at on their behalf again.
+	// readDue is the earliest time of the next read of the store for these registrations.
 	lookDue time.Time
 }
 
-// confirmedAsOf notes that what is known was what the store held at a time.
+// advanceConfirmedAt records that the registrations matched the store at a time.
 func (h *hostKnowledge) confirmedAsOf(asOf time.Time) {
 	if asOf.After(h.at) {
 		h.at = asOf
 	}
 }
 
-// announcedDigest is the digest in heartbeats: only the watcher tells it.
+// announcedDigest returns the digest for heartbeats. Only the watcher announces it; other hosts
+// send 0.
 func (c *control) announcedDigest() uint64 {
 	if !c.d.watches.Load() {
 		return 0
@@ -58,8 +61,8 @@
 	return c.digest.Sum()
 }
 
-// publishKnowledge tells what hosts that ask are answered. The others should look at
-// once where the watcher knows something new.
+// publishSummary publishes the summary that answers confirmation requests. If the watcher's
+// digest has changed, it sends a heartbeat at once so that its peers request the change.
 func (c *control) publishKnowledge(now time.Time, watches bool) {
 	before := c.d.known.Load()
 	known := knowledge{c.digest.Sum(), c.confirmedAt, c.hostRegistrations.digest.Sum(), c.hostRegistrations.at, c.revision}
@@ -72,7 +75,7 @@
 	}
 }
 
-// answerConfirmRequest answers a host that asks what this one knows.
+// handleConfirmRequest responds to a peer's confirmation request.
 func (d *Daemon) answerConfirmRequest(q *fleet.ConfirmRequest, from string) {
 	k := d.known.Load()
 	if k == nil || k.digest == 0 {
@@ -85,9 +88,9 @@
 	d.answerConfirm(&fleet.ConfirmAnswer{Id: q.Id, Digest: k.digest, Hosts: k.hosts, Revision: k.revision}, k.at, k.hostsAt, from)
 }
 
-// answerWithChanges answers a host that knows something else than this one, with the
-// changes that it lacks, if they are known and fit; or with who has them, if this host
-// has sent as much as its link bears.
+// respondWithChanges responds to a peer whose state differs from this host's. The response
+// carries the changes that the peer lacks, if they are known and fit into it, or the patch
+// sources, if this host has used up its link's send allowance.
 func (c *control) answerWithChanges(q *fleet.ConfirmRequest, from string) {
 	a := &fleet.ConfirmAnswer{
 		Id: q.Id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Revision: c.revision,
@@ -103,8 +106,8 @@
 	c.d.answerConfirm(a, c.confirmedAt, c.hostRegistrations.at, from)
 }
 
-// answerWithAll answers a host that has just started with all that the store holds, as far
-// as this one knows it, or with who else may have it.
+// respondWithFullState responds to a host that has just started. The response carries the full
+// state of the store as known here, or the addresses of other hosts that may have it.
 func (c *control) answerWithAll(a *fleet.ConfirmAnswer, from string) {
 	if !c.listed || c.d.now().Sub(c.confirmedAt) > wholeMaxAge {
 		return
@@ -118,7 +121,8 @@
 	c.d.answerConfirm(a, c.confirmedAt, c.hostRegistrations.at, from)
 }
 
-// addChanges adds changes to an answer if the link bears it, and else who has them.
+// addChanges adds changes to a response if the link's send allowance permits it, and the patch
+// sources otherwise.
 func (c *control) addChanges(a *fleet.ConfirmAnswer, changes []*fleet.Change, from string) {
 	size := proto.Size(&fleet.ConfirmAnswer{Changes: changes})
 	ok, holders := c.fanout.Send(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
@@ -141,19 +145,20 @@
 	return out
 }
 
-// itemOf is the item that a change tells, as it was sent.
+// itemOf returns the item of a change as it was sent.
 func itemOf(x *fleet.Change) kv.Item {
 	return kv.Item{Key: x.Key, Value: x.Value, Revision: x.Revision}
 }
 
-// eventsOf unpacks changes that a peer has sent, in their order. The error is one of
-// package delta's.
+// eventsOf decodes the changes that a peer has sent, in their order. The errors are those of
+// package delta.
 func (c *control) eventsOf(changes []*fleet.Change) ([]kv.Event, error) {
 	var out []kv.Event
 	known := c.configuration
 	for _, x := range changes {
 		if !c.seen.IsNews(x.Key, x.Revision) {
-			// The answer to a question that was asked twice.
+			// The change was already applied, for example because the same request was sent
+			// twice.
 			continue
 		}
 		e := kv.Event{Item: itemOf(x), Deleted: x.Deleted}
@@ -170,8 +175,8 @@
 	return out, nil
 }
 
-// answerConfirm sends an answer that speaks for the time at, and of registrations for
-// the time hostsAt.
+// sendConfirmAnswer sends a response. at is the time as of which the state is confirmed, and
+// hostsAt the same for the entry hosts' registrations.
 func (d *Daemon) answerConfirm(a *fleet.ConfirmAnswer, at, hostsAt time.Time, from string) {
 	now := d.now()
 	a.AgeUs = uint64(now.Sub(at).Microseconds()) + 1
--- a/internal/entryhost/meter.go
+++ b/internal/entryhost/meter.go
@@ -8,11 +8,11 @@
 	"balsambarrow/internal/standby"
 )
 
-// meterMemory is the time over which the load is averaged: what moves callers
-// between hosts should not follow chance or a burst of a second.
+// meterTimeConstant is the time over which the load is averaged. The load decides which hosts
+// serve callers, and must not follow random variation or a burst of one second.
 const meterMemory = 3 * time.Second
 
-// meter measures what this host does. It is safe for concurrent use.
+// meter measures the load of this host. It is safe for concurrent use.
 type meter struct {
 	mu       sync.Mutex
 	requests float64
@@ -21,7 +21,7 @@
 	load     standby.Load
 }
 
-// add counts one answer.
+// add counts one response.
 func (m *meter) add(bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,7 +29,7 @@
 	m.bytes += float64(bytes)
 }
 
-// read brings the load to now and returns it.
+// update computes the load up to now and returns it.
 func (m *meter) read(now time.Time) standby.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,7 +46,7 @@
 	return m.load
 }
 
-// last is the load as it was read last.
+// latest returns the load as of the last update.
 func (m *meter) last() standby.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/entryhost/metrics.go
+++ b/internal/entryhost/metrics.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// flag is how a metric tells yes and no.
+// boolGauge returns the metric value of a condition.
 func flag(yes bool) float64 {
 	if yes {
 		return 1
@@ -39,7 +39,7 @@
 	return 0
 }
 
-// observe counts one answer to a caller.
+// observe counts one response to a caller.
 func (d *Daemon) observe(o front.Observation) {
 	cause := string(o.Cause)
 	if cause == "" {
@@ -52,7 +52,7 @@
 	d.observePlaced(o.Route, o.Placed)
 }
 
-// observePlaced counts what was expected of an upstream beside what came of it.
+// observePlaced records the expected and the actual times of an upstream.
 func (d *Daemon) observePlaced(route string, p *front.Placed) {
 	if p == nil {
 		return
--- a/internal/entryhost/placed_test.go
+++ b/internal/entryhost/placed_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// An answer comes late because its upstream took longer than was expected. Both
-// figures must be on its line and in the metrics, or nobody can tell a bad choice
-// from a slow upstream.
+// Guards against late responses that cannot be explained: the log line and the metrics must
+// hold both the expected and the actual time, so that a bad choice of upstream can be told from
+// a slow upstream.
 func TestLateAnswerTellsWhatWasExpected(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -8,24 +8,24 @@
 	"balsambarrow/internal/place"
 )
 
-// published is what the control thread has told the other threads.
+// published is the state that the control goroutine has published to the other goroutines.
 type published struct {
 	surveyed, reviewed, summed time.Time
-	// generation and demand are those of the members that were told last.
+	// generation and demandGeneration are the generations of the members and of their demand
+	// that were last published.
 	generation, demand uint64
-	// heard are the other hosts that are there.
+	// peers are the other hosts that are present.
 	heard []fleet.Member
 	view  view
 	state front.State
 }
 
-// view is what the directory and the pool depend on beside the other hosts.
+// selfState is the state of this host on which the directory and the bucket hosts depend.
 type view struct {
 	ready, leaving, seesStore, held bool
 }
 
-// publish tells the other threads what has changed. Most messages change nothing that
-// they go by.
+// publish publishes what has changed. Most messages change nothing that other goroutines use.
 func (c *control) publish(now time.Time) {
 	p := &c.published
 	if now.Sub(p.surveyed) >= surveyEvery {
@@ -47,7 +47,8 @@
 	c.publishDemand(now, changed)
 }
 
-// publishHosts tells who takes callers and who holds customers' buckets.
+// publishHosts publishes the known hosts: the active ones to the directory and the placement
+// table, and the holders of customers' buckets.
 func (c *control) publishHosts() {
 	heard := c.published.heard
 	c.d.directory.Store(&directory{self: c.d.self, ready: c.ready, leaving: c.leaving, seesStore: !c.storeOut, others: heard})
@@ -69,7 +70,7 @@
 	c.d.shares.SetSlack(bounds.RateSlack)
 }
 
-// publishState tells what requests go by.
+// publishState publishes the state by which requests are served.
 func (c *control) publishState() {
 	next := front.State{
 		Catalog: c.catalog, ConfirmedAt: c.confirmedAt, Listed: c.listed, Leaving: c.leaving, Standby: !c.activation.active,
@@ -82,7 +83,7 @@
 	c.d.fresh.fire()
 }
 
-// publishDemand tells what customers ask for at the other hosts.
+// publishDemand publishes the customers' demand at the other hosts.
 func (c *control) publishDemand(now time.Time, changed bool) {
 	p := &c.published
 	if !changed && (p.demand == c.members.DemandGeneration() || now.Sub(p.summed) < demandEvery) {
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -9,28 +9,28 @@
 	"balsambarrow/internal/share"
 )
 
-// answerFor is how long the owner of a bucket may take to answer: a millisecond
-// on the way, and turns of two processors that have a sixth of a core each.
+// grantTimeout is how long the owner of a bucket may take to respond: one millisecond of
+// network delay, and scheduling delays on two processors with a sixth of a core each.
 const answerFor = 40 * time.Millisecond
 
-// answerFarFor is the same for an owner in another region: the way there and back
-// is up to 110 ms.
+// remoteGrantTimeout is the grantTimeout for an owner in another region, to which the
+// round-trip time is up to 110 ms.
 const answerFarFor = 200 * time.Millisecond
 
-// pool is the hosts that hold customers' buckets for this one, by instance. It is
+// bucketHosts lists the hosts that hold customers' buckets for this host, by instance. It is
 // never modified.
 type pool struct {
 	instances []string
-	// answerFor is how long one of them may take to answer.
+	// timeout is how long one of them may take to respond.
 	answerFor time.Duration
-	// peers is the address of each but this host.
+	// peers holds the address of each of them except this host.
 	peers map[string]string
-	// hosts is the number of all hosts.
+	// hosts is the total number of hosts of the fleet.
 	hosts int
 }
 
-// tokens admits customers' requests by the bucket of this region, wherever it
-// is held.
+// tokens admits customers' requests by the token bucket of this region, whichever host holds
+// it.
 type tokens struct {
 	d     *Daemon
 	spare *share.FallbackBucket
@@ -44,7 +44,7 @@
 	return &tokens{d: d, spare: share.NewFallbackBucket(), last: randomID(), waiting: map[uint64]chan *fleet.TokenAnswer{}}
 }
 
-// expect makes room for the answer to a question and returns the question's id.
+// newRequest registers a token request and returns its id and the channel for its response.
 func (t *tokens) expect() (id uint64, answer chan *fleet.TokenAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,7 +54,7 @@
 	return t.last, answer
 }
 
-// Admit takes one request of a customer.
+// Admit decides whether to admit one request of a customer.
 func (t *tokens) Admit(now time.Time, c *catalog.Customer) share.Verdict {
 	if c.Rate <= 0 {
 		return share.Verdict{Admitted: true, Part: 1}
@@ -67,8 +67,9 @@
 		if v.NoLease && t.d.registeredOnce.Load() {
 			return t.spare.Admit(now, c, p.hosts)
 		}
-		// A host that has just started waits for its registration, a call or two: the
-		// fallback bucket would serve the first caller of each customer and refuse the next.
+		// A host that has just started has no lease for one or two store calls, and the request
+		// waits for the registration. The fallback bucket would admit the first request of each
+		// customer and refuse the next.
 		return v
 	}
 	a := t.ask(peer, c.Name, p.answerFor)
@@ -82,9 +83,9 @@
 	}
 }
 
-// ask asks the owner for one token; nil if it does not answer in time. An answer
-// that comes later is dropped: the token is lost, which refuses too much rather
-// than too little.
+// requestToken requests one token from the owner of the bucket. It returns nil if the owner
+// does not respond in time. A later response is dropped and its token is lost, which refuses
+// too many requests rather than too few.
 func (t *tokens) ask(peer, customer string, patience time.Duration) *fleet.TokenAnswer {
 	id, answer := t.expect()
 	defer func() {
@@ -106,7 +107,7 @@
 	}
 }
 
-// receive takes a packet about tokens in.
+// handlePacket handles a token request or the response to one.
 func (t *tokens) receive(p *fleet.Packet, from string) {
 	if q := p.GetTokenRequest(); q != nil {
 		t.grant(q, from)
@@ -128,7 +129,7 @@
 	}
 }
 
-// grant answers a peer from the bucket that this host holds.
+// grant responds to a peer's token request from the bucket that this host holds.
 func (t *tokens) grant(q *fleet.TokenRequest, from string) {
 	state := t.d.state.Load()
 	if state.Catalog == nil {
@@ -140,7 +141,8 @@
 	}
 	v := t.d.shares.Admit(t.d.now(), c)
 	if v.NoLease {
-		// Its registration has lapsed since it told so; the asker goes by its fallback bucket.
+		// The registration has expired since this host announced it. The peer uses its fallback
+		// bucket.
 		return
 	}
 	answer := &fleet.TokenAnswer{
@@ -151,8 +153,8 @@
 	}
 }
 
-// Refund gives the token of a request back that certainly did not run. Only the
-// host that holds the bucket does; a lost token refuses too much.
+// Refund returns the token of a request that certainly did not run. Only the host that holds
+// the bucket returns it; a lost token refuses too many requests rather than too few.
 func (t *tokens) Refund(customer string) {
 	p := t.d.pool.Load()
 	if p.peers[share.ShardOwner(customer, p.instances)] == "" {
@@ -160,10 +162,10 @@
 	}
 }
 
-// newPool lists the hosts of this region that are ready and whose registration
-// stands: one whose registration has lapsed may not spend. Where the region has
-// none, those of the others hold its buckets: the store may turn a whole region
-// away, and its callers would all be refused as over their rate.
+// newBucketHosts lists the hosts of this region that are ready and have a valid registration; a
+// host whose registration has expired may not grant tokens. If the region has none, the hosts
+// of other regions hold its buckets. Otherwise, if the store rejected a whole region, all
+// requests of the region's callers would be refused as over their rate.
 func newPool(self Self, ready bool, heard []fleet.Member, hosts int) *pool {
 	p := &pool{peers: map[string]string{}, hosts: hosts, answerFor: answerFor}
 	if ready {
@@ -177,7 +179,7 @@
 	return p
 }
 
-// add lists the hosts of some regions.
+// add adds the peers of some regions.
 func (p *pool) add(heard []fleet.Member, in func(region string) bool) {
 	for _, m := range heard {
 		if m.Ready && m.Registered && !m.Leaving && in(m.Region) {
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -13,66 +13,67 @@
 )
 
 const (
-	// leaseTime is how long a host that has died is counted by the others: what
-	// its customers' shares wait for. Renewals cost a tenth of a call each.
+	// activeLeaseTTL is how long peers count a host that holds rate shares after it has died,
+	// and thus how long the rate shares of customers stay reduced. Each renewal costs a tenth
+	// of a store call.
 	leaseTime = 5 * time.Second
-	// renewEvery leaves room for two lost renewals.
+	// renewInterval leaves room for two lost renewals.
 	renewEvery = 1500 * time.Millisecond
-	// standbyLease and standbyRenew are those of hosts that stand by, which hold no
-	// share of any customer's rate.
+	// standbyLeaseTTL and standbyRenewInterval apply to standbys, which hold no rate shares.
 	standbyLease = 20 * time.Second
 	standbyRenew = 6 * time.Second
-	// leaseMargin is how much earlier the host itself stops to spend: its last
-	// renewal may have arrived as late as a slow store's answer.
+	// leaseMargin is how much before the end of its lease a host stops granting tokens. The
+	// last renewal may have reached the store as late as the response of a slow store.
 	leaseMargin = time.Second
-	// callBound bounds one call to the store.
+	// storeCallTimeout bounds one call to the store.
 	callBound = 1200 * time.Millisecond
 	retryCall = 250 * time.Millisecond
-	// registerWithin bounds how long the first registration waits for the first
-	// listing, once that begins, and the first watch for the first registration.
+	// registrationTimeout bounds how long the first registration waits for the first listing
+	// once that has begun, and how long the first watch waits for the first registration.
 	registerWithin = time.Second
-	// yieldToStronger is how long a host with one core waits before it is the first to
-	// register; one with less waits for longer, mostWait at most. Those that find
-	// enough stronger ones register as hosts that stand by.
+	// registrationDelay is how long a host with one core waits before it registers if it knows
+	// no other host. A host with less than one core waits longer, up to maxRegistrationDelay,
+	// so that stronger hosts register first. A host that then finds enough stronger hosts
+	// registers as a standby.
 	yieldToStronger = 100 * time.Millisecond
 	mostWait        = 500 * time.Millisecond
 )
 
-// registration is what keeps this host's entry in the store.
+// registration describes this host's entry in the store.
 type registration struct {
-	// written is when the entry was in the store, and kept when the last call left
-	// that kept it.
+	// writtenAt is when the entry was known to be in the store, and renewedAt when the last
+	// successful renewal was sent.
 	written, kept time.Time
 	lease         time.Duration
-	// spends says that it is the entry of a host that holds shares.
+	// holdsShares is set if the entry is that of a host that holds rate shares.
 	spends bool
 }
 
-// registered tells whether the others count this host as one that holds shares, and it
-// knows those that registered before. The lease of a host that stands by is long: cut
-// off, it would go on spending for as long.
+// mayHoldShares reports whether peers count this host as one that holds rate shares, and this
+// host knows all hosts that registered before it. A standby may not hold shares: its lease is
+// so long that it would go on granting tokens for that long after a network partition.
 //
-// Of two hosts that start together, the one that registers later must find the other,
-// whose heartbeats it then makes itself known by. Otherwise both go on as the only
-// host, and each gives out the whole rate of every customer.
+// Of two hosts that start together, the one that registers later must find the other and make
+// itself known by heartbeats. Otherwise each acts as the only host and grants the full rate of
+// every customer.
 func (c *control) registered(now time.Time) bool {
 	r := c.registration
 	return r.spends && !c.hostRegistrations.at.Before(r.written) && now.Sub(r.kept) < r.lease-leaseMargin
 }
 
-// registrar keeps this host's registration.
+// registrar maintains this host's registration.
 type registrar struct {
 	d     *Daemon
 	lease uint64
-	// spends says that the lease is that of a host that holds shares.
+	// holdsShares is set if the lease is that of a host that holds rate shares.
 	spends bool
-	// registeredBefore says that an entry was written since the start, and written is
-	// when the last one was.
+	// registeredBefore is set once an entry was written since the start, and writtenAt is when
+	// the last entry was written.
 	registeredBefore bool
 	written          time.Time
-	// kept is when the last call left that kept the registration.
+	// renewedAt is when the last successful grant or renewal was sent.
 	kept time.Time
-	// done is closed after the first registration.
+	// registered is closed after the first registration.
 	done chan struct{}
 }
 
@@ -96,8 +97,8 @@
 	r.end()
 }
 
-// awaitOthers waits for the first listing, unless the host will take callers in any case,
-// and where it has no other host lets stronger ones register first.
+// awaitPeers waits for the first listing, unless the host will be active in any case. If the
+// listing contains no other host, it lets stronger hosts register first.
 func (r *registrar) awaitOthers(ctx context.Context) {
 	timeout := time.NewTimer(registerWithin + listAfter + listSpread)
 	defer timeout.Stop()
@@ -119,7 +120,7 @@
 	_ = r.try(ctx, r.readOthers)
 }
 
-// readOthers reads which hosts are registered.
+// readPeers reads the registered hosts.
 func (r *registrar) readOthers(ctx context.Context) error {
 	l, err := r.d.store.List(ctx, platform.HostPrefix, false)
 	if err != nil {
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// retryPause is the pause after a call that failed. Each is paid for, and an entry that
-// lapses while a host stands by decides little.
+// retryPause returns the pause after a failed call. Each call costs money, and it matters
+// little if the entry of a standby expires.
 func (r *registrar) retryPause() time.Duration {
 	if r.registeredBefore && !r.d.spends.Load() {
 		return renewEvery
@@ -148,8 +149,8 @@
 	return retryCall
 }
 
-// due tells whether the lease is to be renewed, or to be exchanged because the host
-// has begun or ended to hold shares.
+// due reports whether the lease is to be renewed, or replaced because the host has started or
+// ceased to hold rate shares.
 func (r *registrar) due() bool {
 	if r.lease == 0 || r.spends != r.d.spends.Load() || r.spends {
 		return true
@@ -157,7 +158,7 @@
 	return r.d.now().Sub(r.kept) >= standbyRenew
 }
 
-// try makes one bounded call and logs why it failed.
+// try makes one call with a timeout and logs an error.
 func (r *registrar) try(ctx context.Context, call func(context.Context) error) error {
 	bounded, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
@@ -168,7 +169,7 @@
 	return err
 }
 
-// keep renews the lease, or makes one and writes the entry under it.
+// renewOrRegister renews the lease, or obtains a lease and writes the entry under it.
 func (r *registrar) keep(ctx context.Context) error {
 	began, spends := r.d.now(), r.d.spends.Load()
 	if r.lease != 0 && r.spends == spends {
@@ -192,8 +193,9 @@
 	r.lease, r.written = lease, r.d.now()
 	r.tell(began)
 	if spends && (r.registeredBefore || r.d.lookWhenRegistered.Load()) {
-		// What registered meanwhile is to be known before this host spends. At the start
-		// the first watch follows, unless it did not wait, or a peer has told all.
+		// The hosts that registered in the meantime must be known before this host grants
+		// tokens. At the start the first watch reads them, unless the watch did not wait for
+		// the registration or a peer has sent the full state.
 		r.d.lookNow("registered")
 	}
 	r.registeredBefore = true
@@ -220,8 +222,8 @@
 	return r.d.store.Put(ctx, platform.HostPrefix+s.Instance, value, lease)
 }
 
-// tell tells the control thread that the registration was kept by a call that left at
-// a time.
+// noteRenewed passes to the control goroutine that the registration was renewed by a call that
+// was sent at a given time.
 func (r *registrar) tell(began time.Time) {
 	r.kept = began
 	kept := registration{written: r.written, kept: began, lease: r.leaseTime(), spends: r.spends}
@@ -231,8 +233,8 @@
 	r.d.control.send(func(c *control) { c.registration = kept })
 }
 
-// end gives the registration of a host that holds shares up, so that the others need
-// not wait for it to lapse.
+// endLease ends the lease of a host that holds rate shares, so that peers need not wait for it
+// to expire.
 func (r *registrar) end() {
 	if r.lease == 0 || !r.spends {
 		return
@@ -244,7 +246,7 @@
 	}
 }
 
-// await waits until a channel is closed, for a time at most.
+// await waits until a channel is closed, at most for a given time.
 func await(ctx context.Context, done <-chan struct{}, most time.Duration) {
 	t := time.NewTimer(most)
 	defer t.Stop()
--- a/internal/entryhost/register_test.go
+++ b/internal/entryhost/register_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a customer that gets its rate several times over: a host that stands by
-// is cut off and goes on spending for as long as its long lease stands, and one that has
-// just registered spends before it knows those that did so before.
+// Guards against a customer that gets its rate several times over: a standby that is
+// partitioned would grant tokens until the end of its long lease, and a host that has just
+// registered would grant tokens before it knows the hosts that registered before it.
 func TestWhoMayHoldShares(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spender := registration{written: now, kept: now, lease: leaseTime, spends: true}
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -10,25 +10,25 @@
 	"balsambarrow/internal/settings"
 )
 
-// Settings is the daemon's settings file, JSON with comments.
+// Settings is the daemon's settings file, in JSON with comments.
 type Settings struct {
-	// Host names the entry host. Required.
+	// Host is the name of the entry host. Required.
 	Host string `json:"host"`
-	// Zone is the availability zone that it stands in. Required; a name of Zones.
+	// Zone is the availability zone of the host. Required; must be a key of Zones.
 	Zone string `json:"zone"`
-	// Zones gives the region of each availability zone. Required.
+	// Zones maps each availability zone to its region. Required.
 	Zones map[string]string `json:"zones"`
-	// Listen holds the addresses of the listeners, IP:port.
+	// Listen holds the addresses of the listeners, as IP:port.
 	Listen Listen `json:"listen"`
-	// Store is the address of the platform's store, IP:port. Required.
+	// Store is the address of the platform's store, as IP:port. Required.
 	Store string `json:"store"`
-	// Capacity is what the host has. Default: not known, then all hosts of the
-	// fleet count as alike.
+	// Capacity is the capacity of the host. Default: unknown; then all hosts of the fleet count
+	// as equal.
 	Capacity Capacity `json:"capacity"`
-	// Bounds are the times and amounts that were promised to users.
+	// Bounds are the times and limits that were promised to users.
 	Bounds Bounds `json:"bounds"`
-	// TraceFile receives one JSON span a line; "-" is standard output. Default
-	// "": no spans are written.
+	// TraceFile receives one JSON span per line; "-" is standard output. Default "": no spans
+	// are written.
 	TraceFile string `json:"trace_file"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `json:"log_level"`
@@ -36,63 +36,62 @@
 
 // Listen holds one address per listener.
 type Listen struct {
-	// Callers serves requests over HTTP. Required.
+	// Callers serves callers' requests over HTTP. Required.
 	Callers string `json:"callers"`
-	// Readiness answers whether the daemon is ready. Required.
+	// Readiness serves the readiness check. Required.
 	Readiness string `json:"readiness"`
-	// Directory tells callers where to connect. Required.
+	// Directory tells callers to which hosts they should connect. Required.
 	Directory string `json:"directory"`
-	// Peers receives heartbeats, as datagrams. Required.
+	// Peers receives datagrams of peers. Required.
 	Peers string `json:"peers"`
 	// Metrics serves counters and histograms. Default "": not served.
 	Metrics string `json:"metrics"`
 }
 
-// Capacity is what a host has; see package standby for what it decides.
+// Capacity is the capacity of a host; package standby uses it to select the active hosts.
 type Capacity struct {
-	// CPUShare of a core, and CPUCores, how many times as fast as the usual one
-	// that core is.
+	// CPUShare is the share of a core that the host has, and CPUCores the speed of that core
+	// relative to the usual core.
 	CPUShare float64 `json:"cpu_share"`
 	CPUCores float64 `json:"cpu_cores"`
 	// LinkMbps is the rate of the host's link, in Mbit/s.
 	LinkMbps float64 `json:"link_mbps"`
-	// MemoryMB is the memory that the process may use, in MB. Default 0: not known.
+	// MemoryMB is the memory that the process may use, in MB. Default 0: unknown.
 	MemoryMB float64 `json:"memory_mb"`
-	// Descriptors is the number of files and connections that the process may
-	// have open. Default 0: not known, then callers' connections are not bounded.
+	// Descriptors is the number of files and connections that the process may have open.
+	// Default 0: unknown; then callers' connections are not limited.
 	Descriptors int `json:"descriptors"`
 }
 
-// Bounds are what was promised to users. Times are strings with a unit.
+// Bounds are the times and limits that were promised to users. Times are strings with a unit.
 type Bounds struct {
 	// Grace is the time from SIGTERM to SIGKILL. Default 6s.
 	Grace Duration `json:"grace"`
-	// Revoke is the time after which a key that was withdrawn must not work
-	// anywhere. Default 0: a host that is cut off goes on accepting keys.
+	// Revoke is the time after which a withdrawn API key must not work on any host. Default 0:
+	// a host that is partitioned from the store goes on accepting keys.
 	Revoke Duration `json:"revoke"`
-	// StrictRevocation says that Revoke binds also hosts that are cut off from
-	// the store. Default false.
+	// StrictRevocation makes Revoke apply to hosts that are partitioned from the store too.
+	// Default false.
 	StrictRevocation bool `json:"strict_revocation"`
-	// RetryRatio, RetrySlack and RetryWindow bound the tries again of a service
-	// over the fleet: in any window, the ratio of its requests and the slack.
-	// Defaults 0.1, 0 and 10s.
+	// RetryRatio, RetrySlack and RetryWindow bound the retries to a service over the whole
+	// fleet. In any window, the number of retries is at most RetryRatio times the number of
+	// requests, plus RetrySlack. Defaults 0.1, 0 and 10s.
 	RetryRatio  float64  `json:"retry_ratio"`
 	RetrySlack  float64  `json:"retry_slack"`
 	RetryWindow Duration `json:"retry_window"`
-	// RateSlack is the number of requests beyond its rate and burst that a customer may
-	// get. Default 0.
+	// RateSlack is the number of requests that a customer may be granted beyond its rate and
+	// burst. Default 0.
 	RateSlack float64 `json:"rate_slack"`
-	// MaxShift bounds the part of a region's requests that may change the
-	// region in which they run, from one two seconds to the next. Default 0:
-	// without bound.
+	// MaxShift bounds the fraction of a region's requests that may run in another region than
+	// before, from one two-second interval to the next. Default 0: not bounded.
 	MaxShift float64 `json:"max_shift"`
 }
 
-// Duration is spelled "1500ms" or "2.5s".
+// Duration is a duration such as "1500ms" or "2.5s".
 type Duration string
 
-// Value returns the duration; 0 for "". A checked settings file has no other
-// spelling.
+// Value returns the duration, or 0 for "". A validated settings file holds no text that does
+// not parse.
 func (d Duration) Value() time.Duration {
 	v, err := time.ParseDuration(string(d))
 	if err != nil {
@@ -108,8 +107,8 @@
 	defaultRetryWindow = "10s"
 )
 
-// LoadSettings reads and checks a settings file. A file that cannot be used
-// gives a jsonc.Faults error.
+// LoadSettings reads and validates a settings file. An invalid file gives an error of type
+// jsonc.Faults.
 func LoadSettings(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +117,7 @@
 	return ParseSettings(path, text)
 }
 
-// ParseSettings checks the text of a settings file; name appears in its faults.
+// ParseSettings validates the text of a settings file; name appears in its faults.
 func ParseSettings(name string, text []byte) (*Settings, error) {
 	return jsonc.Read(name, text, (*Settings).applyDefaults, (*Settings).faults)
 }
--- a/internal/entryhost/signal.go
+++ b/internal/entryhost/signal.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// signal wakes everyone who waits for what comes next. It is safe for concurrent
-// use.
+// signal is a broadcast: it wakes all goroutines that wait for the next event. It is safe for
+// concurrent use.
 type signal struct {
 	mu   sync.Mutex
 	wake chan struct{}
 }
 
-// next returns a channel that is closed at the next fire.
+// next returns a channel that is closed at the next call of fire.
 func (s *signal) next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -11,15 +11,15 @@
 	"balsambarrow/platform"
 )
 
-// snapshotMaxAge is the age of the last snapshot that was read from which a host that
-// begins to take callers reads it again.
+// snapshotMaxAge is the age of the last snapshot read from which a host that becomes ready
+// reads the snapshot again.
 const snapshotMaxAge = 5 * time.Second
 
-// snapshotRole is what the host that writes snapshots is picked by.
+// snapshotWriterKey is the rendezvous key by which the host that writes snapshots is selected.
 const snapshotRole = "snapshot"
 
-// restoreSnapshot takes over what the fleet knew before this process began. A snapshot that
-// cannot be used is ignored: the host learns anew.
+// restoreSnapshot restores the learned state of the fleet from a snapshot. A snapshot that
+// cannot be decoded is ignored, and the host learns the state anew.
 func (c *control) restoreSnapshot(now time.Time, items []kv.Item) {
 	i := slices.IndexFunc(items, func(item kv.Item) bool { return item.Key == platform.SnapshotKey })
 	if i < 0 {
@@ -35,8 +35,8 @@
 		"upstreams", len(m.Upstreams), "objects", c.d.table.Restore(now, m), "routes", len(m.Routes))
 }
 
-// restoreSnapshotAgain has what the fleet has learned read anew, if this host did not hear it
-// because it stood by.
+// rereadSnapshot reads the snapshot again if the last read is old, because a standby does not
+// receive the learned state in heartbeats.
 func (c *control) restoreSnapshotAgain(now time.Time) {
 	if now.Sub(c.snapshotReadAt) < snapshotMaxAge {
 		return
@@ -54,14 +54,15 @@
 	})
 }
 
-// writesSnapshot tells whether this host is the one of the fleet that writes
-// snapshots. Two that believe so for a moment overwrite each other.
+// isSnapshotWriter reports whether this host writes the snapshots of the fleet. If two hosts
+// consider themselves the writer for a moment, they overwrite each other's snapshot.
 func (c *control) writesSnapshot() bool {
 	all := c.d.directory.Load().storeReaders(func(string) bool { return true })
 	return rendezvous.Pick(snapshotRole, all) == c.d.self.Instance
 }
 
-// snapshot writes what this host knows into the store, if it is its turn.
+// writeSnapshotIfDue writes the learned state of this host into the store, if a snapshot is due
+// and this host is the writer.
 func (c *control) snapshot(now time.Time) {
 	if !c.snapshots.Due(now) || !c.writesSnapshot() {
 		return
--- a/internal/entryhost/snapshot_test.go
+++ b/internal/entryhost/snapshot_test.go
@@ -12,8 +12,8 @@
 	"balsambarrow/platform"
 )
 
-// warmSite has one upstream that has answered about an object on three routes, and
-// others that joined afterwards. The snapshot of it is written.
+// warmSite returns a site with one upstream that has served an object on three routes, and
+// others that joined afterwards. A snapshot of this state is in the store, and no host runs.
 func warmSite(t *testing.T) (s *site, warm *standin.Worker) {
 	g := NewWithT(t)
 	s = newSite(t)
@@ -26,7 +26,7 @@
 	for i := range 6 {
 		s.worker(fmt.Sprint("later-", i), "s", "a1", 80*time.Millisecond)
 	}
-	// The first one may have been on its way before all requests were answered.
+	// The first snapshot may have been encoded before all requests were served.
 	for range 2 {
 		before := s.store.Revision(platform.SnapshotKey)
 		g.Eventually(func() uint64 { return s.store.Revision(platform.SnapshotKey) }, "15s", "50ms").Should(BeNumerically(">", before))
@@ -37,7 +37,7 @@
 	return s, warm
 }
 
-// askAll asks about the object once on each route.
+// requestAll requests the object once on each route.
 func (s *site) askAll(h *host) {
 	g := NewWithT(s.t)
 	g.Expect(s.read(h).status).To(Equal(http.StatusOK))
@@ -45,8 +45,9 @@
 	g.Expect(s.post(h).status).To(Equal(http.StatusOK))
 }
 
-// All hosts lose power while the upstreams live on. Objects must be asked for where
-// they are warm, not at upstreams that have never seen them.
+// Guards against cold requests after all hosts lost power while the upstreams kept running:
+// requests for an object must go to the upstream that is warm for it, not to one that has never
+// served it.
 func TestRestartedHostsKnowWhatIsWarm(t *testing.T) {
 	g := NewWithT(t)
 	s, warm := warmSite(t)
@@ -57,7 +58,8 @@
 	g.Expect(len(warm.Runs())-runs).To(BeNumerically(">=", 4), "each request went to the upstream that is warm")
 }
 
-// Another program has written over the snapshot. The host must start without it.
+// Guards against a host that fails to start because another program has overwritten the
+// snapshot. The host must start without it.
 func TestBrokenSnapshotIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	s, _ := warmSite(t)
--- a/internal/entryhost/starting.go
+++ b/internal/entryhost/starting.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// What a host that has just started does with callers that come before it knows who
-// takes them.
+// How a host that has just started handles callers before it knows the active hosts.
 //
-// Load pattern: all hosts start again at the same moment, and all callers come at once.
-// Each host knows within some tenths of a second who takes callers. An answer in the
-// meantime sends callers to hosts that refuse them, and many callers try only once more.
+// If all hosts start again at the same moment, all callers arrive at once. Each host knows the
+// active hosts within some tenths of a second. A response before that would direct callers to
+// hosts that refuse them, and many callers retry only once, so the callers wait instead.
 
-// startGrace bounds how long a caller waits for a host that has just started: the
-// calls to the store at its start, from the farthest region, beside those of all others.
+// defaultStartupWait bounds how long a caller waits for a host that has just started. It covers
+// the store calls at the start, from the farthest region and concurrent with those of all other
+// hosts.
 const startGrace = time.Second
 
-// starting is what is left of startingFor; 0 or less: nothing.
+// remainingStartupWait returns how long callers may still wait; 0 or less means that they do
+// not wait.
 func (d *Daemon) starting() time.Duration { return d.startingFor - d.now().Sub(d.startedAt) }
 
-// awaitPool waits, right after the start, until some host takes callers, and returns
-// the hosts that hold customers' buckets.
+// awaitBucketHosts waits, right after the start, until some host is active, and returns the
+// hosts that hold customers' buckets.
 func (d *Daemon) awaitPool() *pool {
 	d.awaitStarted(func() bool { return len(d.pool.Load().instances) > 0 })
 	return d.pool.Load()
 }
 
-// awaitDirectory waits, right after the start, until some host takes callers, and
-// returns the directory.
+// awaitDirectory waits, right after the start, until some host is active, and returns the
+// directory.
 func (d *Daemon) awaitDirectory() *directory {
 	d.awaitStarted(func() bool { return d.directory.Load().anyReady() })
 	return d.directory.Load()
 }
 
-// awaitStarted waits until a condition holds that has never held since the start, but
-// not beyond startingFor after the start.
+// awaitStartup waits until a condition holds, but not beyond startupWait after the start.
 func (d *Daemon) awaitStarted(holds func() bool) {
 	left := d.starting()
 	if left <= 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// anyReady tells whether some host takes callers.
+// anyReady reports whether some host is active and ready.
 func (d *directory) anyReady() bool {
 	if d.ready {
 		return true
--- a/internal/entryhost/stop.go
+++ b/internal/entryhost/stop.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// acceptPart of the grace is for callers to go elsewhere: they keep an
-	// answer of the directory for two seconds, some for longer. The rest is for
-	// requests that still run.
+	// acceptFraction is the fraction of the grace period in which the host still accepts
+	// requests while callers move to other hosts: callers cache a response of the directory for
+	// two seconds, some for longer. The rest is for requests that still run.
 	acceptPart = 0.55
-	// endMargin is left of the grace when the daemon gives up waiting: the call that
-	// gives the registration up, which a silent store lets run to its bound, and the
-	// end of the process. The platform kills what is left at the end of the grace.
+	// exitMargin is the part of the grace period that is left when the daemon stops waiting for
+	// requests. It covers the call that ends the lease, which runs into its timeout if the
+	// store is unresponsive, and the exit of the process. The platform kills the process at the
+	// end of the grace period.
 	endMargin = retryCall + 150*time.Millisecond
 )
 
-// Stop ends the daemon within the grace and cuts no request off: it stops being
-// named, closes connections with the answers that they carry, then takes no new
-// requests and waits for those that run.
+// Stop ends the daemon within the grace period without interrupting requests. First the
+// directory stops naming the host and responses close their connections; then the host accepts
+// no new requests and waits for those that run.
 func (d *Daemon) Stop() {
 	began := d.now()
 	grace := d.settings.Load().Bounds.Grace.Value()
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -11,9 +11,9 @@
 	"balsambarrow/platform"
 )
 
-// storeSink follows all that the store holds. One watch of everything costs half
-// of what a watch of the declarations and one of the upstreams cost, and what it
-// brings confirms the declarations too.
+// storeSink receives the whole content of the store. One watch of all keys costs half as much
+// as separate watches of the configuration and of the upstreams, and every response to it
+// confirms the configuration too.
 type storeSink struct{ c *control }
 
 // Listed implements follow.Sink.
@@ -26,7 +26,7 @@
 			c.replaceAll(now, l.Items)
 		}
 		if first {
-			// Whether the host will hold shares decides how it registers.
+			// The type of the registration depends on whether the host will hold rate shares.
 			c.shouldBeActive(now, nil)
 			close(c.d.listed)
 		}
@@ -37,7 +37,7 @@
 	})
 }
 
-// replaceAll takes all over that the store holds.
+// replaceState replaces the state by a full listing of the store.
 func (c *control) replaceAll(now time.Time, items []kv.Item) {
 	c.seen.Listed(items)
 	c.journal.Reset()
@@ -93,7 +93,7 @@
 	})
 }
 
-// applyChanges takes changes over, from the store or from a peer.
+// applyChanges applies changes from the store or from a peer.
 func (c *control) applyChanges(now time.Time, events []kv.Event) {
 	for _, e := range c.seen.Latest(events) {
 		before, hostsBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
@@ -112,7 +112,7 @@
 	c.listHosts(now)
 }
 
-// applyWrite takes a key over that was written.
+// applyWrite applies the write of a key.
 func (c *control) applyWrite(now time.Time, item kv.Item) {
 	if item.Key != platform.SnapshotKey {
 		c.items[item.Key] = item
@@ -134,7 +134,7 @@
 		return
 	}
 	if item.Key == platform.SnapshotKey && c.confirmedAt.IsZero() && c.listed {
-		// The first listing may have been old.
+		// The first listing may have been stale.
 		c.restoreSnapshot(now, []kv.Item{item})
 	}
 	if zone, ok := platform.EvacuatedZone(item.Key); ok {
@@ -142,7 +142,7 @@
 	}
 }
 
-// applyRemoval takes over that a key is gone.
+// applyDelete applies the deletion of a key.
 func (c *control) applyRemoval(now time.Time, key string) {
 	delete(c.items, key)
 	if id, ok := platform.UpstreamID(key); ok {
@@ -154,7 +154,7 @@
 	c.hostUnregistered(key)
 }
 
-// hostRegistered notes an entry host's registration.
+// setHostRegistration records the registration of an entry host.
 func (c *control) hostRegistered(item kv.Item) {
 	var r fleet.Registration
 	if err := json.Unmarshal(item.Value, &r); err != nil || r.Instance == "" {
@@ -166,7 +166,7 @@
 	c.hostsChanged = true
 }
 
-// hostUnregistered notes that an entry host's registration is gone.
+// removeHostRegistration removes the registration of an entry host.
 func (c *control) hostUnregistered(key string) {
 	if _, ok := c.registrations[key]; !ok {
 		return
@@ -176,7 +176,7 @@
 	c.hostsChanged = true
 }
 
-// listHosts takes over which hosts are registered, if that has changed.
+// updateMembers passes the registered hosts on to members if they have changed.
 func (c *control) listHosts(now time.Time) {
 	if c.hostsListed && !c.hostsChanged {
 		return
@@ -185,7 +185,7 @@
 	c.members.List(now, slices.Collect(maps.Values(c.registrations)))
 }
 
-// declare takes a configuration over if it is newer.
+// applyConfiguration puts a configuration into force if it is newer.
 func (c *control) declare(item kv.Item) {
 	next, err := platform.DecodeConfiguration(item.Value)
 	if err != nil {
@@ -201,12 +201,12 @@
 	c.d.table.SetCatalog(next)
 }
 
-// evacuate takes over that a zone is to be emptied, or is taken back.
+// setEvacuated starts or ends the evacuation of a zone.
 func (c *control) evacuate(zone string, empty bool) {
 	if c.zones[zone] == empty {
 		return
 	}
-	// Others hold the present map.
+	// Other goroutines hold references to the present map.
 	c.zones = maps.Clone(c.zones)
 	if empty {
 		c.zones[zone] = true
@@ -219,14 +219,15 @@
 	c.d.table.Evacuate(c.d.now(), c.zones)
 }
 
-// confirmedAsOf notes that what is known was what the store held at a time.
+// advanceConfirmedAt records that the state matched the store at a time.
 func (c *control) confirmedAsOf(asOf time.Time) {
 	if asOf.After(c.confirmedAt) {
 		c.confirmedAt = asOf
 	}
 }
 
-// confirmedByStore is the same, by an answer of the store itself.
+// noteStoreReached records a successful response of the store itself, which confirms both the
+// state and the entry hosts' registrations.
 func (c *control) confirmedByStore(asOf time.Time) {
 	c.confirmedAsOf(asOf)
 	c.hostRegistrations.confirmedAsOf(asOf)
@@ -239,14 +240,14 @@
 
 func (c *control) noteStoreLost(err error) {
 	if !c.storeOut {
-		// The others may have to go by another watcher from now on.
+		// Peers may have to select another watcher from now on.
 		c.storeOut = true
 		c.announce(c.d.now())
 		c.d.events.Warn("store lost", "error", err, "age", c.d.now().Sub(c.confirmedAt))
 	}
 }
 
-// register takes an upstream's account of itself in.
+// putUpstreamEntry applies an upstream's entry in the store.
 func (c *control) register(now time.Time, item kv.Item) {
 	u, err := platform.DecodeUpstream(item)
 	if err != nil {
--- a/internal/entryhost/storelook.go
+++ b/internal/entryhost/storelook.go
@@ -6,28 +6,33 @@
 	"balsambarrow/internal/follow"
 )
 
-// How often a host looks at the store. A change ends a watch at once; changes come
-// in crowds, so watches are spaced. One that ends without a change confirms what
-// is known: its age is at most the wait, the space and an answer's time, and what
-// is left of the bound on withdrawn keys is how long keyed requests go on when the
-// store is lost. A draining upstream must be left within 2.5 s.
+// How often a host reads the store.
+//
+// A change ends a watch at once, and changes come in bursts, so there is a minimum interval
+// between watches. A watch that ends without a change confirms the state. The age of the
+// confirmed state is therefore at most the watch timeout plus the interval plus the response
+// time of the store, and the rest of the bound on withdrawn API keys is how long keyed requests
+// go on after the store is lost. New requests must stop going to a draining upstream within 2.5
+// s.
 const (
-	// storeWait is how long a watch waits for a change. Together with storeWatch it
-	// stays below lookAfter, from which other hosts look for themselves.
+	// storeWatchTimeout is how long a watch waits for a change. Together with
+	// watcherReadInterval it stays below readStoreAge, from which other hosts read the store
+	// themselves.
 	storeWait = 700 * time.Millisecond
-	// storeWatch is the space between looks of the host that watches for its
-	// region.
+	// watcherReadInterval is the interval between reads of the host that watches the store for
+	// its region.
 	storeWatch = 700 * time.Millisecond
-	// storeTurnedAway is the longest pause between calls of a host that the store
-	// turns away, while it stands by or a peer confirms what it knows: each is paid for,
-	// and the registration, which lapses meanwhile, is made by calls of its own.
+	// maxRejectedBackoff is the longest pause between calls of a host that the store rejects,
+	// while the host is a standby or a peer confirms its state. Each call costs money, and the
+	// registration, which expires meanwhile, is renewed by separate calls.
 	storeTurnedAway = 2 * time.Second
-	// storeOwn is the least space between looks of the others. What has changed
-	// is then known after two seconds at most: a look of the watcher, its word,
-	// and this.
+	// minReadInterval is the least interval between reads of the other hosts. They then know a
+	// change after at most two seconds: a read by the watcher, its heartbeat, and this
+	// interval.
 	storeOwn = 1200 * time.Millisecond
-	// storeSeldom is the space of the others, whose knowledge the watcher confirms.
-	// A look after the store has forgotten the history since costs one listing.
+	// confirmedReadInterval is the interval between reads of the other hosts while the watcher
+	// confirms their state. A read whose start revision the store has already compacted costs
+	// one listing.
 	storeSeldom = 5 * time.Minute
 )
 
@@ -43,15 +48,14 @@
 	return pace
 }
 
-// refresh has what is known confirmed now, and returns a channel that is closed when
-// there is a new state.
+// refresh has the state confirmed now, and returns a channel that is closed at the next state.
 func (d *Daemon) refresh() <-chan struct{} {
 	news := d.fresh.next()
 	d.control.send(func(c *control) { c.refresh(c.d.now()) })
 	return news
 }
 
-// lookNow has the store looked at without waiting for the next turn.
+// readStoreNow triggers a read of the store without waiting for the next regular one.
 func (d *Daemon) lookNow(cause string) {
 	select {
 	case d.hurry <- struct{}{}:
--- a/internal/entryhost/takeall_test.go
+++ b/internal/entryhost/takeall_test.go
@@ -14,7 +14,8 @@
 	"balsambarrow/internal/telemetry"
 )
 
-// startingControl is the control of a daemon that was not started: tests play its messages.
+// newTestControl returns the control of a daemon that was not started. Tests run the queued
+// messages themselves.
 func startingControl(t *testing.T) *control {
 	g := NewWithT(t)
 	settings, err := ParseSettings("test", []byte(`{
@@ -37,7 +38,7 @@
 	return d.control
 }
 
-// allOf is a peer's answer with all that the store holds.
+// fullAnswer is a peer's response with the full state of the store.
 func allOf(zones ...string) *fleet.ConfirmAnswer {
 	a := &fleet.ConfirmAnswer{Whole: true, Revision: 50, AgeUs: 1}
 	for i, zone := range zones {
@@ -46,8 +47,8 @@
 	return a
 }
 
-// Guards against a first listing that is old and arrives after a peer has told what the
-// store holds: the host would send to an evacuated zone, and believe that it is confirmed.
+// Guards against a stale first listing that arrives after a peer has sent the state of the
+// store: the host would send requests to an evacuated zone, and consider its state confirmed.
 func TestAnOldListingDoesNotReplaceWhatAPeerHasTold(t *testing.T) {
 	g := NewWithT(t)
 	c := startingControl(t)
@@ -62,8 +63,8 @@
 	g.Expect(c.zones).NotTo(HaveKey("a1"), "a listing of the moment does")
 }
 
-// Guards against a peer of an earlier version, which does not know such a question and
-// answers with the changes that it would tell any host: none.
+// Guards against a peer of an earlier version, which does not know requests for the full state
+// and responds with the changes since the given digest, of which there are none.
 func TestAnAnswerThatIsNotWholeIsNotTakenForAll(t *testing.T) {
 	for i, a := range []*fleet.ConfirmAnswer{{Digest: 7, Hosts: 8}, {Digest: 7, Changes: allOf("a1").Changes}} {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
