--- a/internal/entryhost/callerconns_test.go
+++ b/internal/entryhost/callerconns_test.go
@@ -29,7 +29,7 @@
 	c.track(idle, http.StateIdle)
 	g.Expect(c.count()).To(Equal(2))
 	c.sweep(clock.Now().Add(time.Second), 2*time.Second)
-	g.Expect(closed(idleThere)).To(BeFalse(), "within what operators allow")
+	g.Expect(closed(idleThere)).To(BeFalse(), "idle for less than the timeout")
 	c.sweep(clock.Now().Add(3*time.Second), 2*time.Second)
 	g.Expect(closed(idleThere)).To(BeTrue())
 	g.Expect(closed(busyThere)).To(BeFalse(), "a request runs on it")
@@ -59,5 +59,5 @@
 	open()
 	g.Expect(d.crowded()).To(BeTrue())
 	d.settings.Store(&Settings{})
-	g.Expect(d.crowded()).To(BeFalse(), "not known how many it may have")
+	g.Expect(d.crowded()).To(BeFalse(), "the limit is unknown")
 }
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -183,7 +183,7 @@
 		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Whole: asked.whole,
 	}}}
 	if err := c.d.wire.SendPacket(p, address); err != nil {
-		c.d.events.Debug("peer not asked", "peer", address, "error", err)
+		c.d.events.Debug("confirmation request not sent", "peer", address, "error", err)
 	}
 }
 
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -28,7 +28,7 @@
 	s.declare(4, "k1")
 	s.store.SetFault(func(string) standin.StoreFault { return standin.StoreBusy })
 	one, two := s.host("h1", "a1"), s.host("h2", "a2")
-	g.Expect(s.read(one).status).To(Equal(http.StatusServiceUnavailable), "nothing is known yet")
+	g.Expect(s.read(one).status).To(Equal(http.StatusServiceUnavailable), "no configuration is known yet")
 	g.Expect(one.ready()).To(BeFalse())
 	s.store.SetFault(nil)
 	s.awaitServing()
@@ -49,7 +49,7 @@
 	g.Expect(runs[len(runs)-1].Target).To(Equal("/open/1?a=%2F"))
 	g.Eventually(func() []string { return directory(t, one, "a") }, "5s", "50ms").Should(
 		ConsistOf(one.listen.Callers, two.listen.Callers))
-	g.Expect(directory(t, one, "b")).To(HaveLen(2), "no host there: those of other regions")
+	g.Expect(directory(t, one, "b")).To(HaveLen(2), "the region has no hosts, so hosts of other regions are named")
 	g.Expect(one.ready()).To(BeTrue())
 	g.Expect(status(one.listen.Metrics, "/metrics")).To(Equal(http.StatusOK))
 }
@@ -117,8 +117,8 @@
 			}, "10s", "50ms").Should(Equal(http.StatusServiceUnavailable))
 			g.Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
 			g.Eventually(h.ready, "10s", "50ms").Should(BeFalse())
-			g.Expect(s.call(h, "GET", "/open/1", "", "").status).To(Equal(http.StatusOK), "needs no key")
-			g.Expect(s.call(h, "GET", "/none/", "k1", "").status).To(Equal(http.StatusServiceUnavailable), "may be new")
+			g.Expect(s.call(h, "GET", "/open/1", "", "").status).To(Equal(http.StatusOK), "the route needs no key")
+			g.Expect(s.call(h, "GET", "/none/", "k1", "").status).To(Equal(http.StatusServiceUnavailable), "the path may belong to a newer configuration")
 			s.store.SetFault(nil)
 			g.Eventually(func() int { return s.read(h).status }, "10s", "50ms").Should(Equal(http.StatusOK))
 			g.Eventually(h.ready, "10s", "50ms").Should(BeTrue())
@@ -132,7 +132,7 @@
 	for name, leave := range map[string]func(*site, *standin.Worker){
 		"draining": func(s *site, k *standin.Worker) { s.register(k, "s", "127.0.0.1:1", "a1", "draining", 2) },
 		"removed":  func(s *site, k *standin.Worker) { s.store.Delete("servers/" + k.ID) },
-		"void":     func(s *site, k *standin.Worker) { s.store.Put("servers/"+k.ID, []byte(`{"service":7}`)) },
+		"invalid":  func(s *site, k *standin.Worker) { s.store.Put("servers/"+k.ID, []byte(`{"service":7}`)) },
 		"evacuated": func(s *site, _ *standin.Worker) {
 			s.store.Put("op/evacuate/a1", []byte(`{}`))
 		},
@@ -194,15 +194,15 @@
 		// arrivals is the number of arrivals at both upstreams together.
 		arrivals int
 	}{
-		{"read, cut", cut, false, http.StatusBadGateway, 2},
-		{"post, cut", cut, true, http.StatusBadGateway, 1},
+		{"read, aborted", cut, false, http.StatusBadGateway, 2},
+		{"post, aborted", cut, true, http.StatusBadGateway, 1},
 		{"read, shed", shed, false, http.StatusServiceUnavailable, 2},
 		{"post, shed", shed, true, http.StatusServiceUnavailable, 2},
 		{"read, unsigned", unsigned, false, http.StatusBadGateway, 2},
 		{"post, unsigned", unsigned, true, http.StatusBadGateway, 1},
 		{"read, encoded", encoded, false, http.StatusBadGateway, 2},
-		{"read, cut short", short, false, http.StatusBadGateway, 2},
-		{"post, cut short", short, true, http.StatusBadGateway, 1},
+		{"read, truncated", short, false, http.StatusBadGateway, 2},
+		{"post, truncated", short, true, http.StatusBadGateway, 1},
 		{"read, failed", fails, false, http.StatusInternalServerError, 2},
 		{"post, failed", fails, true, http.StatusInternalServerError, 1},
 	}
@@ -304,7 +304,7 @@
 	wait.Wait()
 	g.Expect(bad).To(BeEmpty())
 	g.Expect(directory(t, other, "a")).To(ConsistOf(other.listen.Callers))
-	g.Expect(s.store.Keys("balsambarrow/hosts/")).To(HaveLen(1), "its registration is given up")
+	g.Expect(s.store.Keys("balsambarrow/hosts/")).To(HaveLen(1), "its registration is removed")
 }
 
 // Guards against a request that goes on at the upstream after its caller has disconnected.
@@ -402,7 +402,7 @@
 		g.Expect(c.Close()).To(Succeed())
 	}
 	g.Expect(s.read(h).status).To(Equal(http.StatusOK))
-	g.Expect(len(k.Runs())-before).To(Equal(1), "only the one that waits for its answer")
+	g.Expect(len(k.Runs())-before).To(Equal(1), "only the request whose caller waits for the response")
 }
 
 // Guards against callers on a host with a slow link, where they wait behind each other's
@@ -431,7 +431,7 @@
 	s.declare(7, "k2")
 	// The standby's own next read of the store is minutes away.
 	granted := func() int { return s.call(weak, "GET", "/read/1", "k2", "").status }
-	g.Eventually(granted, "2500ms", "100ms").Should(Equal(http.StatusOK), "learns that it has to look at the store")
+	g.Eventually(granted, "2500ms", "100ms").Should(Equal(http.StatusOK), "the standby learns of the new configuration")
 	for _, h := range strong {
 		h.stopped.Store(true)
 		h.daemon.Kill()
@@ -484,8 +484,8 @@
 	g.Eventually(weak.ready, "5s", "10ms").Should(BeTrue())
 	g.Eventually(func() []string { return directory(t, weak, "a") }, "5s", "10ms").Should(ConsistOf(named))
 	after := s.store.Calls()
-	g.Expect(after["/-/kv-range"]-before["/-/kv-range"]).To(BeZero(), "listings of the moment")
-	g.Expect(after["/-/kv-range stale"]-before["/-/kv-range stale"]).To(Equal(1), "the guide")
+	g.Expect(after["/-/kv-range"]-before["/-/kv-range"]).To(BeZero(), "current listings")
+	g.Expect(after["/-/kv-range stale"]-before["/-/kv-range stale"]).To(Equal(1), "the active-hosts hint")
 	g.Expect(after["/-/kv-lease"] - before["/-/kv-lease"]).To(Equal(1))
 	g.Eventually(func() []string { return directory(t, s.hosts[0], "a") }, "5s", "10ms").Should(ConsistOf(named))
 }
@@ -620,7 +620,7 @@
 	s.declare(5, "k2")
 	for _, h := range shut {
 		g.Eventually(func() int { return s.call(h, "GET", "/read/1", "k2", "").status }, "4s", "50ms").Should(Equal(http.StatusOK),
-			"learns of changes too")
+			"changes arrive too")
 		g.Expect(s.read(h).status).To(Equal(http.StatusUnauthorized))
 	}
 }
--- a/internal/entryhost/guide.go
+++ b/internal/entryhost/guide.go
@@ -29,8 +29,8 @@
 	// minStrongerHosts is the number of stronger hosts in its region that must exist before a
 	// host leaves the first listing to them.
 	leastGuides = 3
-	// weakFraction is the fraction of the strongest host's capacity below which a host expects
-	// to be a standby.
+	// weakFraction is the fraction of another host's capacity below which a host is weak
+	// compared with it. A host that is weak compared with enough hosts expects to be a standby.
 	weakPart = 0.5
 	// peerStateDelay is how long after its start a host that expects to be a standby requests
 	// the state of the store from peers. It lists the store itself if no peer has sent the
@@ -182,7 +182,7 @@
 func (c *control) writeGuide() {
 	data, err := json.Marshal(newGuide(c.d.directory.Load(), c.d.capacity()))
 	if err != nil {
-		c.d.events.Warn("guide not encoded", "error", err)
+		c.d.events.Warn("active-hosts hint not encoded", "error", err)
 		return
 	}
 	if bytes.Equal(data, c.guide) {
@@ -193,7 +193,7 @@
 		ctx, cancel := context.WithTimeout(ctx, callBound)
 		defer cancel()
 		if err := c.d.store.Put(ctx, platform.GuideKey, data, 0); err != nil {
-			c.d.events.Debug("guide not written", "error", err)
+			c.d.events.Debug("active-hosts hint not written", "error", err)
 			c.send(func(c *control) { c.guide = nil })
 		}
 	})
--- a/internal/entryhost/guide_test.go
+++ b/internal/entryhost/guide_test.go
@@ -32,7 +32,7 @@
 	}{
 		"weak":                  {"a", weak, []string{"p1", "p2", "p3"}},
 		"as strong":             {"a", strong, nil},
-		"too few to rely on":    {"b", weak, nil},
+		"too few stronger hosts":    {"b", weak, nil},
 		"a region with none":    {"c", weak, nil},
 		"capacity not known":    {"a", standby.Capacity{}, nil},
 		"a slow link is enough": {"a", standby.Capacity{Cores: 0.8, LinkMbps: 20}, []string{"p1", "p2", "p3"}},
--- a/internal/entryhost/knowledge.go
+++ b/internal/entryhost/knowledge.go
@@ -27,7 +27,7 @@
 type knowledge struct {
 	digest uint64
 	at     time.Time
-	// hosts and hostsAt are the digest and the time for the registrations of entry hosts.
+	// hostsDigest and hostsConfirmedAt are the same for the registrations of entry hosts.
 	hosts   uint64
 	hostsAt time.Time
 	// revision is the store's revision that both digests describe.
@@ -182,6 +182,6 @@
 	a.AgeUs = uint64(now.Sub(at).Microseconds()) + 1
 	a.HostsAgeUs = uint64(now.Sub(hostsAt).Microseconds()) + 1
 	if err := d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_ConfirmAnswer{ConfirmAnswer: a}}, from); err != nil {
-		d.events.Debug("digest not told", "error", err)
+		d.events.Debug("confirmation response not sent", "error", err)
 	}
 }
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -67,14 +67,14 @@
 		if v.NoLease && t.d.registeredOnce.Load() {
 			return t.spare.Admit(now, c, p.hosts)
 		}
-		// A host that has just started has no lease for one or two store calls, and the request
-		// waits for the registration. The fallback bucket would admit the first request of each
-		// customer and refuse the next.
+		// A host that has just started has no lease until one or two store calls have succeeded,
+		// and awaitBucketHosts has waited for that. The fallback bucket would admit the first
+		// request of each customer and refuse the next.
 		return v
 	}
 	a := t.ask(peer, c.Name, p.answerFor)
 	if a == nil {
-		t.d.events.Info("owner of a bucket silent", "customer", c.Name, "owner", owner)
+		t.d.events.Info("bucket owner did not respond", "customer", c.Name, "owner", owner)
 		return t.spare.Admit(now, c, p.hosts)
 	}
 	return share.Verdict{
@@ -149,7 +149,7 @@
 		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Part), Demand: float32(v.Demand),
 	}
 	if err := t.d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: answer}}, from); err != nil {
-		t.d.events.Debug("token not sent", "error", err)
+		t.d.events.Debug("token response not sent", "error", err)
 	}
 }
 
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -242,7 +242,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), retryCall)
 	defer cancel()
 	if err := r.d.store.End(ctx, r.lease); err != nil {
-		r.d.events.Debug("registration not ended", "error", err)
+		r.d.events.Debug("registration lease not ended", "error", err)
 	}
 }
 
--- a/internal/entryhost/register_test.go
+++ b/internal/entryhost/register_test.go
@@ -20,11 +20,11 @@
 		want         bool
 	}{
 		"never registered":            {registration{}, now, now, false},
-		"registered, knows the rest":  {spender, now, now, true},
-		"registered, knows what was":  {spender, now.Add(-time.Millisecond), now, false},
+		"registered, state is current":  {spender, now, now, true},
+		"registered, state is older":  {spender, now.Add(-time.Millisecond), now, false},
 		"before the end of the lease": {spender, now, now.Add(leaseTime - leaseMargin - 1), true},
-		"lease may have lapsed":       {spender, now, now.Add(leaseTime - leaseMargin), false},
-		"stands by":                   {standing, now, now, false},
+		"lease may have expired":       {spender, now, now.Add(leaseTime - leaseMargin), false},
+		"standby":                   {standing, now, now, false},
 	} {
 		control := &control{registration: c.registration, hostRegistrations: hostKnowledge{at: c.hostsAt}}
 		NewWithT(t).Expect(control.registered(c.at)).To(Equal(c.want), name)
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -172,10 +172,10 @@
 	require(s.Capacity.LinkMbps >= 0, "/capacity/link_mbps", "want zero or more")
 	require(s.Capacity.MemoryMB >= 0, "/capacity/memory_mb", "want zero or more")
 	require(s.Capacity.Descriptors >= 0, "/capacity/descriptors", "want zero or more")
-	require(s.Bounds.RetryWindow.Value() > 0, "/bounds/retry_window", "want more than nothing")
+	require(s.Bounds.RetryWindow.Value() > 0, "/bounds/retry_window", "want more than zero")
 	require(s.Bounds.RetryRatio >= 0, "/bounds/retry_ratio", "want zero or more")
 	require(s.Bounds.RateSlack >= 0, "/bounds/rate_slack", "want zero or more")
-	require(s.Bounds.MaxShift >= 0 && s.Bounds.MaxShift <= 1, "/bounds/max_shift", "want a part, 0 to 1")
+	require(s.Bounds.MaxShift >= 0 && s.Bounds.MaxShift <= 1, "/bounds/max_shift", "want a fraction, 0 to 1")
 	require(s.Bounds.RetrySlack >= 0, "/bounds/retry_slack", "want zero or more")
 	require(settings.IsLevel(s.LogLevel), "/log_level", "want debug, info, warn or error")
 	return faults
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -158,7 +158,7 @@
 func (c *control) hostRegistered(item kv.Item) {
 	var r fleet.Registration
 	if err := json.Unmarshal(item.Value, &r); err != nil || r.Instance == "" {
-		c.d.events.Warn("registration of a host not readable", "key", item.Key, "error", err)
+		c.d.events.Warn("host registration not readable", "key", item.Key, "error", err)
 		return
 	}
 	c.registrations[item.Key] = r
@@ -260,7 +260,7 @@
 		return
 	}
 	if !c.roster.Put(u) {
-		c.d.events.Debug("upstream entry old", "upstream", u.ID, "born", u.Born, "sequence", u.Sequence)
+		c.d.events.Debug("stale upstream entry ignored", "upstream", u.ID, "born", u.Born, "sequence", u.Sequence)
 		return
 	}
 	c.digest.SetUpstream(u)
--- a/internal/entryhost/takeall_test.go
+++ b/internal/entryhost/takeall_test.go
@@ -60,7 +60,7 @@
 	g.Expect(c.zones).To(HaveKey("a1"))
 	storeSink{c}.Listed(kv.Listing{Revision: 60}, now)
 	c.drain()
-	g.Expect(c.zones).NotTo(HaveKey("a1"), "a listing of the moment does")
+	g.Expect(c.zones).NotTo(HaveKey("a1"), "a current listing replaces the state")
 }
 
 // Guards against a peer of an earlier version, which does not know requests for the full state
