--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -18,7 +18,7 @@
 	deactivateAfter = 4 * time.Second
 	// activationInterval is the least time between two activation decisions. Each decision goes
 	// through all hosts of the region.
-	activationEvery = 100 * time.Millisecond
+	activationInterval = 100 * time.Millisecond
 )
 
 // activation is the decision whether this host is an active host, that is, whether callers are
@@ -26,17 +26,17 @@
 type activation struct {
 	// active is the decision in force, and lastSelectedAt is when this host was last selected
 	// as one of the active hosts.
-	active   bool
-	activeAt time.Time
+	active         bool
+	lastSelectedAt time.Time
 	// decidedAt is when the decision was last made, and inputs is what it depended on, apart
 	// from the load of the hosts.
 	decidedAt time.Time
-	basis     basis
+	inputs    activationInputs
 }
 
-type basis struct {
-	members       uint64
-	able, leaving bool
+type activationInputs struct {
+	membersGeneration uint64
+	able, leaving     bool
 }
 
 // canServe reports whether the host could serve callers now.
@@ -46,8 +46,8 @@
 }
 
 // updateReady decides whether callers may be directed to this host.
-func (c *control) setReady(now time.Time, heard []fleet.Member) {
-	c.decideActivation(now, heard)
+func (c *control) updateReady(now time.Time, peers []fleet.Member) {
+	c.decideActivation(now, peers)
 	able := c.canServe(now)
 	// A standby reports itself ready too, because it serves callers that connect to it anyway.
 	c.d.ready.Store(able)
@@ -58,7 +58,7 @@
 	c.ready = ready
 	c.members.SetReady(ready)
 	if ready {
-		c.restoreSnapshotAgain(now)
+		c.rereadSnapshot(now)
 	}
 	// Peers must learn of the change without delay.
 	c.announceToAll(now)
@@ -67,23 +67,23 @@
 }
 
 // decideActivation decides whether this host should be active.
-func (c *control) decideActivation(now time.Time, heard []fleet.Member) {
-	if !c.knowsOthers(now) {
+func (c *control) decideActivation(now time.Time, peers []fleet.Member) {
+	if !c.knowsPeers(now) {
 		return
 	}
 	d := &c.activation
-	next := basis{c.members.Generation(), c.canServe(now), c.leaving}
+	next := activationInputs{c.members.Generation(), c.canServe(now), c.leaving}
 	since := now.Sub(d.decidedAt)
 	// A change of this host's own ability is applied without delay.
-	own := next.able != d.basis.able || next.leaving != d.basis.leaving
-	if !own && (since < activationEvery || next == d.basis && since < reviewEvery) {
+	ownChanged := next.able != d.inputs.able || next.leaving != d.inputs.leaving
+	if !ownChanged && (since < activationInterval || next == d.inputs && since < reviewInterval) {
 		return
 	}
-	d.decidedAt, d.basis = now, next
-	if c.shouldBeActive(now, heard) {
-		d.activeAt = now
+	d.decidedAt, d.inputs = now, next
+	if c.shouldBeActive(now, peers) {
+		d.lastSelectedAt = now
 	}
-	wanted := now.Sub(d.activeAt) < deactivateAfter
+	wanted := now.Sub(d.lastSelectedAt) < deactivateAfter
 	if wanted != d.active {
 		c.d.events.Info("activation", "takes_callers", wanted, "hosts", c.members.Count())
 	}
@@ -93,18 +93,18 @@
 // knowsPeers reports whether the host knows enough peers to decide whether it must be active.
 // Right after its start a host knows only itself, so without this check every host would become
 // active.
-func (c *control) knowsOthers(now time.Time) bool {
-	return c.listed && (c.registration.lease > 0 || now.Sub(c.d.startedAt) >= registerWithin)
+func (c *control) knowsPeers(now time.Time) bool {
+	return c.listed && (c.registration.lease > 0 || now.Sub(c.d.startedAt) >= registrationTimeout)
 }
 
 // shouldBeActive reports whether this host is one of the active hosts, judged by everything
 // known about the region. If no host can serve, as during a store outage, it selects among all
 // hosts as if all could serve, because the selected hosts would be the first to be able to
 // serve again.
-func (c *control) shouldBeActive(now time.Time, heard []fleet.Member) bool {
+func (c *control) shouldBeActive(now time.Time, peers []fleet.Member) bool {
 	self := standby.Host{
 		Instance: c.d.self.Instance, Zone: c.d.self.Zone, Region: c.d.self.Region,
-		Capacity: c.d.capacity(), Load: c.d.meter.last(),
+		Capacity: c.d.capacity(), Load: c.d.meter.latest(),
 	}
 	var able, all []standby.Host
 	if c.canServe(now) {
@@ -113,7 +113,7 @@
 	if !c.leaving {
 		all = append(all, self)
 	}
-	for _, m := range c.others(heard) {
+	for _, m := range c.knownPeers(peers) {
 		if m.Leaving || m.Region != self.Region {
 			continue
 		}
@@ -125,7 +125,7 @@
 	}
 	// A host that would be active if all hosts could serve may hold rate shares, so it
 	// registers as a host that holds them.
-	c.d.spends.Store(c.activation.active || standby.Active(all, self.Region)[self.Instance])
+	c.d.wantsShares.Store(c.activation.active || standby.Active(all, self.Region)[self.Instance])
 	active := standby.Active(able, self.Region)
 	if len(active) == 0 {
 		active = standby.Active(all, self.Region)
@@ -136,11 +136,11 @@
 // knownPeers returns the peers that the activation decision takes into account. A standby
 // receives no heartbeats from other standbys, and assumes that each registered standby can
 // serve.
-func (c *control) others(heard []fleet.Member) []fleet.Member {
+func (c *control) knownPeers(peers []fleet.Member) []fleet.Member {
 	if c.ready {
-		return heard
+		return peers
 	}
-	out := heard[:len(heard):len(heard)]
+	out := peers[:len(peers):len(peers)]
 	for _, m := range c.members.PresumedStandbys(c.d.self.Region) {
 		m.Able = true
 		out = append(out, m)
--- a/internal/entryhost/guide.go
+++ b/internal/entryhost/activehosts.go
@@ -25,73 +25,73 @@
 
 const (
 	// maxHintHosts is the number of hosts of each region in the hint.
-	guided = 16
+	maxHintHosts = 16
 	// minStrongerHosts is the number of stronger hosts in its region that must exist before a
 	// host leaves the first listing to them.
-	leastGuides = 3
+	minStrongerHosts = 3
 	// weakFraction is the fraction of another host's capacity below which a host is weak
 	// compared with it. A host that is weak compared with enough hosts expects to be a standby.
-	weakPart = 0.5
+	weakFraction = 0.5
 	// peerStateDelay is how long after its start a host that expects to be a standby requests
 	// the state of the store from peers. It lists the store itself if no peer has sent the
 	// state by peerStateWindow later.
-	listAfter  = 700 * time.Millisecond
-	listSpread = 1500 * time.Millisecond
+	peerStateDelay  = 700 * time.Millisecond
+	peerStateWindow = 1500 * time.Millisecond
 	// hintDelay is how long a host with one core waits for a hint if the store has none. A host
 	// with less than one core waits longer, up to maxHintDelay, so that the strongest hosts are
 	// ready first and write the hint.
-	guideAfter    = 200 * time.Millisecond
-	mostGuideWait = 1500 * time.Millisecond
+	hintDelay    = 200 * time.Millisecond
+	maxHintDelay = 1500 * time.Millisecond
 	// peerRequestSpread is the interval over which hosts randomly spread their first request to
 	// peers, and peerRequestInterval the time between two requests.
-	askSpread     = 300 * time.Millisecond
-	askPeersEvery = 300 * time.Millisecond
+	peerRequestSpread   = 300 * time.Millisecond
+	peerRequestInterval = 300 * time.Millisecond
 )
 
 // activeHostsHint lists the active hosts by region.
-type guide map[string][]guideHost
+type activeHostsHint map[string][]hintHost
 
-type guideHost struct {
+type hintHost struct {
 	Peers    string  `json:"peers"`
 	Cores    float64 `json:"cores"`
 	LinkMbps float64 `json:"link_mbps"`
 }
 
-func (h guideHost) capacity() standby.Capacity {
+func (h hintHost) capacity() standby.Capacity {
 	return standby.Capacity{Cores: h.Cores, LinkMbps: h.LinkMbps}
 }
 
 // newActiveHostsHint lists the active hosts of a directory.
-func newGuide(d *directory, own standby.Capacity) guide {
-	g := guide{}
+func newActiveHostsHint(d *directory, own standby.Capacity) activeHostsHint {
+	hint := activeHostsHint{}
 	if d.ready {
-		g[d.self.Region] = append(g[d.self.Region], guideHost{d.self.Peers, own.Cores, own.LinkMbps})
+		hint[d.self.Region] = append(hint[d.self.Region], hintHost{d.self.Peers, own.Cores, own.LinkMbps})
 	}
-	for _, m := range d.others {
+	for _, m := range d.peers {
 		if m.Ready && !m.Leaving {
-			g[m.Region] = append(g[m.Region], guideHost{m.Peers, m.Capacity.Cores, m.Capacity.LinkMbps})
+			hint[m.Region] = append(hint[m.Region], hintHost{m.Peers, m.Capacity.Cores, m.Capacity.LinkMbps})
 		}
 	}
-	for region, hosts := range g {
-		slices.SortFunc(hosts, func(a, b guideHost) int { return bytes.Compare([]byte(a.Peers), []byte(b.Peers)) })
-		g[region] = hosts[:min(len(hosts), guided)]
+	for region, hosts := range hint {
+		slices.SortFunc(hosts, func(a, b hintHost) int { return bytes.Compare([]byte(a.Peers), []byte(b.Peers)) })
+		hint[region] = hosts[:min(len(hosts), maxHintHosts)]
 	}
-	return g
+	return hint
 }
 
 // strongerPeers returns the addresses of the hosts of a region compared with which a host is
 // weak. It returns none if there are too few of them to serve the callers.
-func (g guide) stronger(region string, own standby.Capacity) []string {
+func (hint activeHostsHint) strongerPeers(region string, own standby.Capacity) []string {
 	if own == (standby.Capacity{}) {
 		return nil
 	}
 	var out []string
-	for _, h := range g[region] {
-		if own.PartOf(h.capacity()) < weakPart {
+	for _, h := range hint[region] {
+		if own.PartOf(h.capacity()) < weakFraction {
 			out = append(out, h.Peers)
 		}
 	}
-	if len(out) < leastGuides {
+	if len(out) < minStrongerHosts {
 		return nil
 	}
 	return out
@@ -101,33 +101,33 @@
 // compared with the hosts in the hint sends them its heartbeats and requests the state of the
 // store from them. startFromHint returns the revision of that state, or false if the host has
 // to list the store itself.
-func (d *Daemon) startFromGuide(ctx context.Context) (revision uint64, ok bool) {
-	g, known := d.fetchGuide(ctx)
-	if cores := d.capacity().Cores; known && len(g) == 0 && cores > 0 {
+func (d *Daemon) startFromHint(ctx context.Context) (revision uint64, ok bool) {
+	hint, known := d.fetchHint(ctx)
+	if cores := d.capacity().Cores; known && len(hint) == 0 && cores > 0 {
 		// No host has written a hint yet, because the fleet starts for the first time.
-		sleep(ctx, min(time.Duration(float64(guideAfter)/cores), mostGuideWait))
-		g, _ = d.fetchGuide(ctx)
+		sleep(ctx, min(time.Duration(float64(hintDelay)/cores), maxHintDelay))
+		hint, _ = d.fetchHint(ctx)
 	}
-	stronger := g.stronger(d.self.Region, d.capacity())
+	stronger := hint.strongerPeers(d.self.Region, d.capacity())
 	if len(stronger) == 0 {
-		if len(g[d.self.Region]) > 0 {
+		if len(hint[d.self.Region]) > 0 {
 			// This host is one of the strongest, so it can register before it knows its peers.
-			d.spends.Store(true)
-			close(d.needed)
+			d.wantsShares.Store(true)
+			close(d.willBeActive)
 		}
 		return 0, false
 	}
 	d.control.send(func(c *control) {
-		c.guides = stronger
+		c.hintedPeers = stronger
 		c.heartbeatDue = time.Time{}
 	})
-	return d.listFromPeers(ctx, stronger)
+	return d.loadFromPeers(ctx, stronger)
 }
 
 // fetchHint reads the hint, which is empty if the store has none. It returns false if the store
 // does not respond or the hint is not readable.
-func (d *Daemon) fetchGuide(ctx context.Context) (g guide, ok bool) {
-	bounded, cancel := context.WithTimeout(ctx, callBound)
+func (d *Daemon) fetchHint(ctx context.Context) (hint activeHostsHint, ok bool) {
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	l, err := d.store.List(bounded, platform.GuideKey, true)
 	if err != nil {
@@ -136,32 +136,32 @@
 	if len(l.Items) == 0 {
 		return nil, true
 	}
-	if err := json.Unmarshal(l.Items[0].Value, &g); err != nil {
+	if err := json.Unmarshal(l.Items[0].Value, &hint); err != nil {
 		d.events.Warn("guide not readable", "revision", l.Items[0].Revision, "error", err)
 		return nil, false
 	}
-	return g, true
+	return hint, true
 }
 
 // loadFromPeers requests the full state of the store from peers in turn, until one has sent it
 // or it is time to list the store. It returns the revision of the state.
-func (d *Daemon) listFromPeers(ctx context.Context, peers []string) (revision uint64, ok bool) {
-	until := d.now().Add(listAfter + listSpread)
-	sleep(ctx, listAfter+rand.N(askSpread))
-	for i := rand.IntN(len(peers)); ctx.Err() == nil && !isClosed(d.listed) && d.now().Before(until); i++ {
+func (d *Daemon) loadFromPeers(ctx context.Context, peers []string) (revision uint64, ok bool) {
+	deadline := d.now().Add(peerStateDelay + peerStateWindow)
+	sleep(ctx, peerStateDelay+rand.N(peerRequestSpread))
+	for i := rand.IntN(len(peers)); ctx.Err() == nil && !isClosed(d.listed) && d.now().Before(deadline); i++ {
 		d.control.send(func(c *control) {
-			c.askPeer(c.d.now(), peers[i%len(peers)], question{whole: true})
+			c.requestConfirmAt(c.d.now(), peers[i%len(peers)], pendingConfirm{full: true})
 		})
-		await(ctx, d.listed, askPeersEvery)
+		await(ctx, d.listed, peerRequestInterval)
 	}
 	if !isClosed(d.listed) {
 		return 0, false
 	}
-	d.lookWhenRegistered.Store(true)
-	told := make(chan uint64, 1)
-	d.control.send(func(c *control) { told <- c.revision })
+	d.readWhenRegistered.Store(true)
+	revisions := make(chan uint64, 1)
+	d.control.send(func(c *control) { revisions <- c.revision })
 	select {
-	case revision = <-told:
+	case revision = <-revisions:
 		return revision, true
 	case <-ctx.Done():
 		return 0, false
@@ -179,25 +179,25 @@
 
 // writeHint writes the active-hosts hint into the store if it has changed. It is called on the
 // host that writes snapshots.
-func (c *control) writeGuide() {
-	data, err := json.Marshal(newGuide(c.d.directory.Load(), c.d.capacity()))
+func (c *control) writeHint() {
+	data, err := json.Marshal(newActiveHostsHint(c.d.directory.Load(), c.d.capacity()))
 	if err != nil {
 		c.d.events.Warn("active-hosts hint not encoded", "error", err)
 		return
 	}
-	if bytes.Equal(data, c.guide) {
+	if bytes.Equal(data, c.storedHint) {
 		return
 	}
-	c.guide = data
+	c.storedHint = data
 	c.d.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, callBound)
+		ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		defer cancel()
 		if err := c.d.store.Put(ctx, platform.GuideKey, data, 0); err != nil {
 			c.d.events.Debug("active-hosts hint not written", "error", err)
-			c.send(func(c *control) { c.guide = nil })
+			c.send(func(c *control) { c.storedHint = nil })
 		}
 	})
 }
 
 // noteStoredHint records the hint that is in the store.
-func (c *control) readGuide(item kv.Item) { c.guide = item.Value }
+func (c *control) noteStoredHint(item kv.Item) { c.storedHint = item.Value }
--- a/internal/entryhost/callerconns.go
+++ b/internal/entryhost/callerconns.go
@@ -21,9 +21,9 @@
 	// callerDescriptorFraction is the fraction of the file descriptors that callers'
 	// connections may use before responses close their connections. The rest is for connections
 	// to upstreams and peers, of which there are as many as running requests.
-	crowdedPart = 0.5
+	callerDescriptorFraction = 0.5
 	// idleCheckInterval is the time between two checks for idle connections.
-	sweepEvery = time.Second
+	idleCheckInterval = time.Second
 )
 
 // callerConns tracks the connections of callers. It is safe for concurrent use.
@@ -31,10 +31,10 @@
 	mu sync.Mutex
 	// idleSince holds, for each open connection, since when it has been idle. The zero time
 	// means that the connection is not idle.
-	idle map[net.Conn]time.Time
+	idleSince map[net.Conn]time.Time
 }
 
-func newCallerConns() *callerConns { return &callerConns{idle: map[net.Conn]time.Time{}} }
+func newCallerConns() *callerConns { return &callerConns{idleSince: map[net.Conn]time.Time{}} }
 
 // track is a ConnState hook of http.Server.
 func (c *callerConns) track(conn net.Conn, state http.ConnState) {
@@ -42,11 +42,11 @@
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateNew, http.StateActive:
-		c.idle[conn] = time.Time{}
+		c.idleSince[conn] = time.Time{}
 	case http.StateIdle:
-		c.idle[conn] = clock.Now()
+		c.idleSince[conn] = clock.Now()
 	case http.StateClosed, http.StateHijacked:
-		delete(c.idle, conn)
+		delete(c.idleSince, conn)
 	}
 }
 
@@ -54,15 +54,15 @@
 func (c *callerConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.idle)
+	return len(c.idleSince)
 }
 
 // closeIdle closes the connections that have been idle for longer than maxIdle.
-func (c *callerConns) sweep(now time.Time, most time.Duration) {
+func (c *callerConns) closeIdle(now time.Time, maxIdle time.Duration) {
 	c.mu.Lock()
 	var expired []net.Conn
-	for conn, since := range c.idle {
-		if !since.IsZero() && now.Sub(since) > most {
+	for conn, since := range c.idleSince {
+		if !since.IsZero() && now.Sub(since) > maxIdle {
 			expired = append(expired, conn)
 		}
 	}
@@ -74,8 +74,8 @@
 }
 
 // closeIdleCallers closes callers' idle connections periodically until ctx ends.
-func (d *Daemon) sweepCallers(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+func (d *Daemon) closeIdleCallers(ctx context.Context) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -84,14 +84,14 @@
 		case <-tick.C:
 		}
 		if c := d.state.Load().Catalog; c != nil && c.Limits.IdleTimeout > 0 {
-			d.callerConns.sweep(d.now(), c.Limits.IdleTimeout)
+			d.callerConns.closeIdle(d.now(), c.Limits.IdleTimeout)
 		}
 	}
 }
 
 // nearDescriptorLimit reports whether callers have so many connections open that responses
 // should close theirs.
-func (d *Daemon) crowded() bool {
-	most := d.settings.Load().Capacity.Descriptors
-	return most > 0 && float64(d.callerConns.count()) > crowdedPart*float64(most)
+func (d *Daemon) nearDescriptorLimit() bool {
+	descriptors := d.settings.Load().Capacity.Descriptors
+	return descriptors > 0 && float64(d.callerConns.count()) > callerDescriptorFraction*float64(descriptors)
 }
--- a/internal/entryhost/callerconns_test.go
+++ b/internal/entryhost/callerconns_test.go
@@ -17,22 +17,22 @@
 // for ten seconds, each time on a new connection, leaves the connections of its refused
 // requests open and idle. The host could then accept no callers and reach no upstream for the
 // rest of the day, so connections that exceed the idle timeout must be closed.
-func TestIdleConnectionsOfCallersAreClosed(t *testing.T) {
+func TestIdleCallerConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
 	c := newCallerConns()
-	idle, idleThere := net.Pipe()
-	busy, busyThere := net.Pipe()
+	idle, idlePeer := net.Pipe()
+	busy, busyPeer := net.Pipe()
 	for _, conn := range []net.Conn{idle, busy} {
 		c.track(conn, http.StateNew)
 		c.track(conn, http.StateActive)
 	}
 	c.track(idle, http.StateIdle)
 	g.Expect(c.count()).To(Equal(2))
-	c.sweep(clock.Now().Add(time.Second), 2*time.Second)
-	g.Expect(closed(idleThere)).To(BeFalse(), "idle for less than the timeout")
-	c.sweep(clock.Now().Add(3*time.Second), 2*time.Second)
-	g.Expect(closed(idleThere)).To(BeTrue())
-	g.Expect(closed(busyThere)).To(BeFalse(), "a request runs on it")
+	c.closeIdle(clock.Now().Add(time.Second), 2*time.Second)
+	g.Expect(closed(idlePeer)).To(BeFalse(), "idle for less than the timeout")
+	c.closeIdle(clock.Now().Add(3*time.Second), 2*time.Second)
+	g.Expect(closed(idlePeer)).To(BeTrue())
+	g.Expect(closed(busyPeer)).To(BeFalse(), "a request runs on it")
 	c.track(idle, http.StateClosed)
 	g.Expect(c.count()).To(Equal(1))
 }
@@ -45,7 +45,7 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func TestManyConnectionsCrowdAHost(t *testing.T) {
+func TestNearDescriptorLimit(t *testing.T) {
 	g := NewWithT(t)
 	d := &Daemon{callerConns: newCallerConns()}
 	d.settings.Store(&Settings{Capacity: Capacity{Descriptors: 4}})
@@ -55,9 +55,9 @@
 	}
 	open()
 	open()
-	g.Expect(d.crowded()).To(BeFalse())
+	g.Expect(d.nearDescriptorLimit()).To(BeFalse())
 	open()
-	g.Expect(d.crowded()).To(BeTrue())
+	g.Expect(d.nearDescriptorLimit()).To(BeTrue())
 	d.settings.Store(&Settings{})
-	g.Expect(d.crowded()).To(BeFalse(), "the limit is unknown")
+	g.Expect(d.nearDescriptorLimit()).To(BeFalse(), "the limit is unknown")
 }
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -21,61 +21,63 @@
 // sent. A host that the store rejects therefore stays confirmed.
 const (
 	// confirmInterval is the time between two confirmation requests.
-	askEvery = 500 * time.Millisecond
+	confirmInterval = 500 * time.Millisecond
 	// standbyConfirmInterval is the time between two confirmation requests of a standby.
-	askStandby = time.Second
+	standbyConfirmInterval = time.Second
 	// secondPeerAge is the age of the confirmed state from which a second host is queried as
 	// well as the watcher, preferably one of another region. The store may reject a whole
 	// region, and each host of the region takes one or two seconds to find that out and to pass
 	// the watch on to the next.
-	secondPeerAfter = 1200 * time.Millisecond
+	secondPeerAge = 1200 * time.Millisecond
 	// refreshTimeout is how long the watcher may take to respond if a request is waiting for
 	// the confirmation: a few milliseconds of network delay, and scheduling delays on two small
 	// processors.
-	refreshAnswer = 100 * time.Millisecond
+	refreshTimeout = 100 * time.Millisecond
 	// readStoreAge is the age of the confirmed state from which a host reads the store itself.
 	// By then two confirmation requests have failed.
-	lookAfter = 2100 * time.Millisecond
+	readStoreAge = 2100 * time.Millisecond
 	// standbyExtraAge is added to secondPeerAge and readStoreAge on a standby. A standby sends
 	// confirmation requests less often, and reads the store when a caller arrives.
-	standbyLater = 900 * time.Millisecond
+	standbyExtraAge = 900 * time.Millisecond
 	// hostsReadStoreAge is the age of the confirmed registrations of entry hosts from which a
 	// host reads the store itself, and the least time between two such reads.
-	hostsLookAfter = 8 * time.Second
+	hostsReadStoreAge = 8 * time.Second
 	// deferredRetryDelay is the delay before the next confirmation request if the peer deferred
 	// the changes because it had used up its link's send allowance.
-	askAgain = 150 * time.Millisecond
+	deferredRetryDelay = 150 * time.Millisecond
 	// maxPendingConfirms bounds the number of confirmation requests without a response that are
 	// remembered.
-	confirmsKept = 8
+	maxPendingConfirms = 8
 	// watcherKey is the rendezvous key by which the watcher is selected.
-	storeKey = "store"
+	watcherKey = "store"
 )
 
 // confirmRequests holds the confirmation requests that this process has sent.
-type confirms struct {
-	last   uint64
-	askDue time.Time
-	asked  map[uint64]question
+type confirmRequests struct {
+	lastID  uint64
+	due     time.Time
+	pending map[uint64]pendingConfirm
 	// refreshedAt is when the last request was sent on behalf of a waiting caller's request.
-	refreshed time.Time
+	refreshedAt time.Time
 }
 
 // pendingConfirm is a confirmation request that was sent to a peer.
-type question struct {
-	at time.Time
+type pendingConfirm struct {
+	sentAt time.Time
 	// referred is set if another peer referred this host to the peer that was queried, and full
 	// if the request is for the full state of the store.
-	referred, whole bool
+	referred, full bool
 }
 
 // newConfirmRequests starts at a random id (see randomID).
-func newConfirms() confirms { return confirms{last: randomID(), asked: map[uint64]question{}} }
+func newConfirmRequests() confirmRequests {
+	return confirmRequests{lastID: randomID(), pending: map[uint64]pendingConfirm{}}
+}
 
 // nextID returns the id of the next request.
-func (q *confirms) next() uint64 {
-	q.last++
-	return q.last
+func (r *confirmRequests) nextID() uint64 {
+	r.lastID++
+	return r.lastID
 }
 
 // randomID returns the id from which a process numbers its requests. It is random because a
@@ -86,101 +88,101 @@
 // watcher returns the instance that watches the store for this region, selected by rendezvous
 // hash among the active hosts that reach the store. It is "" if this host knows of none.
 func (c *control) watcher() string {
-	if d := c.d.directory.Load(); d != c.watchers.of {
-		c.watchers = watchers{of: d, own: rendezvous.Pick(storeKey, d.storeReaders(c.ownRegion))}
+	if d := c.d.directory.Load(); d != c.watcherCache.directory {
+		c.watcherCache = watcherCache{directory: d, instance: rendezvous.Pick(watcherKey, d.storeReaders(c.isOwnRegion))}
 	}
-	return c.watchers.own
+	return c.watcherCache.instance
 }
 
 // watcherCache holds the watcher that was selected from a directory.
-type watchers struct {
-	of  *directory
-	own string
+type watcherCache struct {
+	directory *directory
+	instance  string
 }
 
 // isOwnRegion reports whether a region is the region of this host.
-func (c *control) ownRegion(region string) bool { return region == c.d.self.Region }
+func (c *control) isOwnRegion(region string) bool { return region == c.d.self.Region }
 
 // secondPeer returns an active host other than the watcher that reaches the store, as far as
 // this host knows. Hosts of other regions are preferred, since they are less likely to share a
 // failure with the watcher. It is "" if there is none.
-func (c *control) second(watcher string) string {
+func (c *control) secondPeer(watcher string) string {
 	d := c.d.directory.Load()
-	if far := rendezvous.Pick(storeKey, d.storeReaders(func(region string) bool { return !c.ownRegion(region) })); far != "" {
+	if far := rendezvous.Pick(watcherKey, d.storeReaders(func(region string) bool { return !c.isOwnRegion(region) })); far != "" {
 		return far
 	}
-	near := slices.DeleteFunc(d.storeReaders(c.ownRegion), func(instance string) bool {
+	near := slices.DeleteFunc(d.storeReaders(c.isOwnRegion), func(instance string) bool {
 		return instance == watcher || instance == c.d.self.Instance
 	})
-	return rendezvous.Pick(storeKey, near)
+	return rendezvous.Pick(watcherKey, near)
 }
 
 // confirmState has the copy of the store's state confirmed, by the watcher or by a read of the
 // store.
-func (c *control) confirmKnowledge(now time.Time) {
+func (c *control) confirmState(now time.Time) {
 	watcher := c.watcher()
-	watches := watcher == c.d.self.Instance || watcher == "" && c.watchesAlone()
+	watches := watcher == c.d.self.Instance || watcher == "" && c.watchesAsFallback()
 	if c.d.watches.Swap(watches) != watches {
 		c.d.events.Info("store watch", "watches", watches, "watcher", watcher)
 		if watches && !c.confirmedAt.IsZero() {
-			c.d.lookNow("watches from now on")
+			c.d.readStoreNow("watches from now on")
 		}
 	}
-	c.publishKnowledge(now, watches)
-	every, later := askEvery, time.Duration(0)
+	c.publishSummary(now, watches)
+	interval, extraAge := confirmInterval, time.Duration(0)
 	if !c.ready {
-		every, later = askStandby, standbyLater
+		interval, extraAge = standbyConfirmInterval, standbyExtraAge
 	}
-	if !watches && !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) > lookAfter+later && c.looksAlone() {
-		c.d.lookNow("not confirmed")
+	if !watches && !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) > readStoreAge+extraAge && c.readsAsFallback() {
+		c.d.readStoreNow("not confirmed")
 	}
-	c.lookForHosts(now)
-	if !c.listed || now.Before(c.confirms.askDue) {
+	c.refreshHostRegistrations(now)
+	if !c.listed || now.Before(c.confirmRequests.due) {
 		// Before the first listing there is no state to confirm.
 		return
 	}
-	c.confirms.askDue = now.Add(every)
+	c.confirmRequests.due = now.Add(interval)
 	if !watches {
-		c.ask(now, watcher)
+		c.requestConfirm(now, watcher)
 	}
-	if now.Sub(c.confirmedAt) > secondPeerAfter+later {
-		c.ask(now, c.second(watcher))
+	if now.Sub(c.confirmedAt) > secondPeerAge+extraAge {
+		c.requestConfirm(now, c.secondPeer(watcher))
 	}
 }
 
 // watchesAsFallback reports whether this host watches the store if it knows of no active host
 // that reaches the store. A standby leaves the watch to active hosts if it knows of any: during
 // a store outage each call of each host costs money and achieves nothing.
-func (c *control) watchesAlone() bool {
+func (c *control) watchesAsFallback() bool {
 	return c.ready || !c.d.directory.Load().anyReady()
 }
 
 // readsAsFallback reports whether this host reads the store if no peer confirms its state. A
 // standby leaves that to the active hosts while none of them reaches the store: otherwise all
 // hosts would read the store at the same moment when an outage ends.
-func (c *control) looksAlone() bool {
+func (c *control) readsAsFallback() bool {
 	d := c.d.directory.Load()
-	return c.watchesAlone() || len(d.storeReaders(func(string) bool { return true })) > 0
+	return c.watchesAsFallback() || len(d.storeReaders(func(string) bool { return true })) > 0
 }
 
 // requestConfirm sends a confirmation request to a host.
-func (c *control) ask(now time.Time, host string) {
+func (c *control) requestConfirm(now time.Time, host string) {
 	if host != "" {
-		c.askPeer(now, c.members.Address(host), question{})
+		c.requestConfirmAt(now, c.members.Address(host), pendingConfirm{})
 	}
 }
 
 // requestConfirmAt sends a confirmation request to an address.
-func (c *control) askPeer(now time.Time, address string, asked question) {
-	q := &c.confirms
-	asked.at = now
-	if len(q.asked) >= confirmsKept {
-		clear(q.asked)
+func (c *control) requestConfirmAt(now time.Time, address string, request pendingConfirm) {
+	requests := &c.confirmRequests
+	request.sentAt = now
+	if len(requests.pending) >= maxPendingConfirms {
+		clear(requests.pending)
 	}
-	id := q.next()
-	q.asked[id] = asked
+	id := requests.nextID()
+	requests.pending[id] = request
 	p := &fleet.Packet{Content: &fleet.Packet_ConfirmRequest{ConfirmRequest: &fleet.ConfirmRequest{
-		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Whole: asked.whole,
+		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Whole: request.full,
 	}}}
 	if err := c.d.wire.SendPacket(p, address); err != nil {
 		c.d.events.Debug("confirmation request not sent", "peer", address, "error", err)
@@ -190,87 +192,87 @@
 // handleConfirmAnswer applies the response to a confirmation request. The peer built the
 // response after the request was sent. The peer's state was therefore current at the time of
 // the request minus the reported age, whatever delays the network or a suspended process added.
-func (c *control) handleConfirmation(a *fleet.ConfirmAnswer) {
-	asked, ok := c.confirms.asked[a.Id]
+func (c *control) handleConfirmAnswer(a *fleet.ConfirmAnswer) {
+	request, ok := c.confirmRequests.pending[a.Id]
 	if !ok {
 		return
 	}
-	delete(c.confirms.asked, a.Id)
+	delete(c.confirmRequests.pending, a.Id)
 	now := c.d.now()
-	if asked.whole {
-		c.takeAll(now, a, asked)
+	if request.full {
+		c.applyFullState(now, a, request)
 		return
 	}
 	c.applyPeerChanges(now, a.HostChanges)
 	if c.hostRegistrations.digest.Sum() == a.Hosts {
-		c.hostRegistrations.confirmedAsOf(asked.at.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
+		c.hostRegistrations.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
 	}
 	before := c.digest.Sum()
 	c.applyPeerChanges(now, a.Changes)
 	switch c.digest.Sum() {
 	case a.Digest:
-		c.confirmedAsOf(asked.at.Add(-time.Duration(a.AgeUs) * time.Microsecond))
+		c.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.AgeUs) * time.Microsecond))
 		c.revision = max(c.revision, a.Revision)
 	case before:
-		c.lackChanges(now, a, asked)
+		c.handleMissingChanges(now, a, request)
 	default:
 		// More changes are missing than fit into one response, so the next request is sent at
 		// once.
-		c.confirms.askDue = time.Time{}
+		c.confirmRequests.due = time.Time{}
 	}
 }
 
 // handleMissingChanges handles a response whose digest differs but which carried no usable
 // changes.
-func (c *control) lackChanges(now time.Time, a *fleet.ConfirmAnswer, asked question) {
+func (c *control) handleMissingChanges(now time.Time, a *fleet.ConfirmAnswer, request pendingConfirm) {
 	switch {
 	case a.Later:
-		c.confirms.askDue = now.Add(askAgain)
-		c.askHolders(now, a, asked)
-	case asked.referred:
+		c.confirmRequests.due = now.Add(deferredRetryDelay)
+		c.requestFromSources(now, a, request)
+	case request.referred:
 	case a.Revision > 0 && a.Revision < c.revision:
 		// The peer is behind and catches up with its next read of the store.
 	default:
-		c.d.lookNow("changes not known to the peer")
+		c.d.readStoreNow("changes not known to the peer")
 	}
 }
 
 // requestFromSources sends the request to the patch sources that a response named instead of
 // carrying the changes.
-func (c *control) askHolders(now time.Time, a *fleet.ConfirmAnswer, asked question) {
-	if asked.referred {
+func (c *control) requestFromSources(now time.Time, a *fleet.ConfirmAnswer, request pendingConfirm) {
+	if request.referred {
 		return
 	}
-	asked.referred = true
-	for _, holder := range a.Holders {
-		c.askPeer(now, holder, asked)
+	request.referred = true
+	for _, source := range a.Holders {
+		c.requestConfirmAt(now, source, request)
 	}
 }
 
 // applyFullState applies a peer's full copy of the store's state, unless this host has already
 // listed the store.
-func (c *control) takeAll(now time.Time, a *fleet.ConfirmAnswer, asked question) {
+func (c *control) applyFullState(now time.Time, a *fleet.ConfirmAnswer, request pendingConfirm) {
 	if c.listed || !a.Whole {
 		return
 	}
 	if a.Later {
-		c.askHolders(now, a, asked)
+		c.requestFromSources(now, a, request)
 		return
 	}
 	items := make([]kv.Item, 0, len(a.Changes))
 	for _, x := range a.Changes {
 		items = append(items, itemOf(x))
 	}
-	c.replaceAll(now, items)
+	c.replaceState(now, items)
 	c.revision = a.Revision
 	// This host is weak compared with the peer, and registers as a standby.
 	close(c.d.listed)
 	if c.digest.Sum() != a.Digest || c.hostRegistrations.digest.Sum() != a.Hosts {
-		c.d.lookNow("peer's items differ from its digest")
+		c.d.readStoreNow("peer's items differ from its digest")
 		return
 	}
-	c.confirmedAsOf(asked.at.Add(-time.Duration(a.AgeUs) * time.Microsecond))
-	c.hostRegistrations.confirmedAsOf(asked.at.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
+	c.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.AgeUs) * time.Microsecond))
+	c.hostRegistrations.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
 	c.d.events.Info("store taken over from a peer", "items", len(items), "revision", a.Revision, "version", c.version(),
 		"age_us", a.AgeUs)
 }
@@ -289,19 +291,19 @@
 func (c *control) refresh(now time.Time) {
 	watcher := c.watcher()
 	if c.d.watches.Load() || watcher == "" {
-		c.d.lookNow("a request waits")
+		c.d.readStoreNow("a request waits")
 		return
 	}
-	if now.Sub(c.confirms.refreshed) < refreshAnswer {
+	if now.Sub(c.confirmRequests.refreshedAt) < refreshTimeout {
 		return
 	}
-	c.confirms.refreshed = now
-	c.ask(now, watcher)
+	c.confirmRequests.refreshedAt = now
+	c.requestConfirm(now, watcher)
 	since := c.confirmedAt
-	time.AfterFunc(refreshAnswer, func() {
+	time.AfterFunc(refreshTimeout, func() {
 		c.send(func(c *control) {
 			if c.confirmedAt.Equal(since) {
-				c.d.lookNow("a request waits")
+				c.d.readStoreNow("a request waits")
 			}
 		})
 	})
@@ -309,19 +311,19 @@
 
 // refreshHostRegistrations triggers a read of the store if the registrations of entry hosts
 // have not been confirmed for a long time.
-func (c *control) lookForHosts(now time.Time) {
+func (c *control) refreshHostRegistrations(now time.Time) {
 	h := &c.hostRegistrations
-	if h.at.IsZero() || now.Sub(h.at) < hostsLookAfter || now.Before(h.lookDue) {
+	if h.confirmedAt.IsZero() || now.Sub(h.confirmedAt) < hostsReadStoreAge || now.Before(h.readDue) {
 		return
 	}
-	h.lookDue = now.Add(hostsLookAfter)
-	c.d.lookNow("hosts not confirmed")
+	h.readDue = now.Add(hostsReadStoreAge)
+	c.d.readStoreNow("hosts not confirmed")
 }
 
 // handleDigest triggers a confirmation request at once if the digest in the watcher's heartbeat
 // differs from this host's digest.
 func (c *control) handleDigest(from string, digest uint64) {
 	if digest != 0 && digest != c.digest.Sum() && from == c.watcher() {
-		c.confirms.askDue = time.Time{}
+		c.confirmRequests.due = time.Time{}
 	}
 }
--- a/internal/entryhost/confirm_test.go
+++ b/internal/entryhost/confirm_test.go
@@ -13,17 +13,17 @@
 // has sent its first request. If it matched that request, it would confirm a version for a time
 // after the response was sent, and a withdrawn API key would go on working; a token granted to
 // one caller would admit another.
-func TestAnswersToAnEarlierProcessAreStrangers(t *testing.T) {
+func TestResponsesToPreviousProcessAreIgnored(t *testing.T) {
 	g := NewWithT(t)
-	before, after := newConfirms(), newConfirms()
-	first, second := before.next(), after.next()
+	before, after := newConfirmRequests(), newConfirmRequests()
+	first, second := before.nextID(), after.nextID()
 	g.Expect(first).NotTo(Equal(second))
-	g.Expect(before.next()).NotTo(Equal(first))
+	g.Expect(before.nextID()).NotTo(Equal(first))
 
 	old, tokens := newTokens(nil), newTokens(nil)
-	id, answer := tokens.expect()
-	tokens.receive(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: &fleet.TokenAnswer{Id: old.last + 1, Granted: true}}}, "")
+	id, answer := tokens.newRequest()
+	tokens.handlePacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: &fleet.TokenAnswer{Id: old.lastID + 1, Granted: true}}}, "")
 	g.Expect(answer).To(BeEmpty())
-	tokens.receive(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: &fleet.TokenAnswer{Id: id, Granted: true}}}, "")
+	tokens.handlePacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: &fleet.TokenAnswer{Id: id, Granted: true}}}, "")
 	g.Expect(answer).To(Receive())
 }
--- a/internal/entryhost/knowledge.go
+++ b/internal/entryhost/confirmserver.go
@@ -19,17 +19,17 @@
 	maxHostChangeBytes = 24 << 10
 	// maxFullStateAge is the highest age of the confirmed state at which a host sends it in
 	// full to a peer.
-	wholeMaxAge = 1500 * time.Millisecond
+	maxFullStateAge = 1500 * time.Millisecond
 )
 
 // storeSummary is the digest of the store's state, and when it was confirmed. It is never
 // modified.
-type knowledge struct {
-	digest uint64
-	at     time.Time
+type storeSummary struct {
+	digest      uint64
+	confirmedAt time.Time
 	// hostsDigest and hostsConfirmedAt are the same for the registrations of entry hosts.
-	hosts   uint64
-	hostsAt time.Time
+	hostsDigest      uint64
+	hostsConfirmedAt time.Time
 	// revision is the store's revision that both digests describe.
 	revision uint64
 }
@@ -37,18 +37,18 @@
 // hostState is the state of the entry hosts' registrations. It is confirmed separately: two
 // hosts that were partitioned from the store at different times may never agree on the
 // registrations, and must still be able to confirm each other's API keys.
-type hostKnowledge struct {
-	digest  follow.Digest
-	journal follow.Journal
-	at      time.Time
+type hostState struct {
+	digest      follow.Digest
+	journal     follow.Journal
+	confirmedAt time.Time
 	// readDue is the earliest time of the next read of the store for these registrations.
-	lookDue time.Time
+	readDue time.Time
 }
 
 // advanceConfirmedAt records that the registrations matched the store at a time.
-func (h *hostKnowledge) confirmedAsOf(asOf time.Time) {
-	if asOf.After(h.at) {
-		h.at = asOf
+func (h *hostState) advanceConfirmedAt(asOf time.Time) {
+	if asOf.After(h.confirmedAt) {
+		h.confirmedAt = asOf
 	}
 }
 
@@ -63,53 +63,53 @@
 
 // publishSummary publishes the summary that answers confirmation requests. If the watcher's
 // digest has changed, it sends a heartbeat at once so that its peers request the change.
-func (c *control) publishKnowledge(now time.Time, watches bool) {
-	before := c.d.known.Load()
-	known := knowledge{c.digest.Sum(), c.confirmedAt, c.hostRegistrations.digest.Sum(), c.hostRegistrations.at, c.revision}
-	if before != nil && *before == known {
+func (c *control) publishSummary(now time.Time, watches bool) {
+	before := c.d.summary.Load()
+	next := storeSummary{c.digest.Sum(), c.confirmedAt, c.hostRegistrations.digest.Sum(), c.hostRegistrations.confirmedAt, c.revision}
+	if before != nil && *before == next {
 		return
 	}
-	c.d.known.Store(&known)
-	if watches && before != nil && before.digest != known.digest {
+	c.d.summary.Store(&next)
+	if watches && before != nil && before.digest != next.digest {
 		c.announce(now)
 	}
 }
 
 // handleConfirmRequest responds to a peer's confirmation request.
-func (d *Daemon) answerConfirmRequest(q *fleet.ConfirmRequest, from string) {
-	k := d.known.Load()
+func (d *Daemon) handleConfirmRequest(q *fleet.ConfirmRequest, from string) {
+	k := d.summary.Load()
 	if k == nil || k.digest == 0 {
 		return
 	}
-	if q.Whole || q.Digest != k.digest || q.Hosts != k.hosts {
-		d.control.send(func(c *control) { c.answerWithChanges(q, from) })
+	if q.Whole || q.Digest != k.digest || q.Hosts != k.hostsDigest {
+		d.control.send(func(c *control) { c.respondWithChanges(q, from) })
 		return
 	}
-	d.answerConfirm(&fleet.ConfirmAnswer{Id: q.Id, Digest: k.digest, Hosts: k.hosts, Revision: k.revision}, k.at, k.hostsAt, from)
+	d.sendConfirmAnswer(&fleet.ConfirmAnswer{Id: q.Id, Digest: k.digest, Hosts: k.hostsDigest, Revision: k.revision}, k.confirmedAt, k.hostsConfirmedAt, from)
 }
 
 // respondWithChanges responds to a peer whose state differs from this host's. The response
 // carries the changes that the peer lacks, if they are known and fit into it, or the patch
 // sources, if this host has used up its link's send allowance.
-func (c *control) answerWithChanges(q *fleet.ConfirmRequest, from string) {
+func (c *control) respondWithChanges(q *fleet.ConfirmRequest, from string) {
 	a := &fleet.ConfirmAnswer{
 		Id: q.Id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Revision: c.revision,
 	}
 	if q.Whole {
-		c.answerWithAll(a, from)
+		c.respondWithFullState(a, from)
 		return
 	}
 	a.HostChanges = changesSince(&c.hostRegistrations.journal, q.Hosts, maxHostChangeBytes)
 	if changes := changesSince(&c.journal, q.Digest, maxChangeBytes); len(changes) > 0 {
 		c.addChanges(a, changes, from)
 	}
-	c.d.answerConfirm(a, c.confirmedAt, c.hostRegistrations.at, from)
+	c.d.sendConfirmAnswer(a, c.confirmedAt, c.hostRegistrations.confirmedAt, from)
 }
 
 // respondWithFullState responds to a host that has just started. The response carries the full
 // state of the store as known here, or the addresses of other hosts that may have it.
-func (c *control) answerWithAll(a *fleet.ConfirmAnswer, from string) {
-	if !c.listed || c.d.now().Sub(c.confirmedAt) > wholeMaxAge {
+func (c *control) respondWithFullState(a *fleet.ConfirmAnswer, from string) {
+	if !c.listed || c.d.now().Sub(c.confirmedAt) > maxFullStateAge {
 		return
 	}
 	a.Whole = true
@@ -118,23 +118,23 @@
 		all = append(all, &fleet.Change{Key: item.Key, Value: item.Value, Revision: item.Revision})
 	}
 	c.addChanges(a, all, from)
-	c.d.answerConfirm(a, c.confirmedAt, c.hostRegistrations.at, from)
+	c.d.sendConfirmAnswer(a, c.confirmedAt, c.hostRegistrations.confirmedAt, from)
 }
 
 // addChanges adds changes to a response if the link's send allowance permits it, and the patch
 // sources otherwise.
 func (c *control) addChanges(a *fleet.ConfirmAnswer, changes []*fleet.Change, from string) {
 	size := proto.Size(&fleet.ConfirmAnswer{Changes: changes})
-	ok, holders := c.fanout.Send(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
+	ok, sources := c.fanout.Send(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
 	if ok {
 		a.Changes = changes
 	}
-	a.Later, a.Holders = !ok, holders
+	a.Later, a.Holders = !ok, sources
 }
 
-func changesSince(j *follow.Journal, digest uint64, most int) []*fleet.Change {
+func changesSince(j *follow.Journal, digest uint64, maxBytes int) []*fleet.Change {
 	var out []*fleet.Change
-	changes, _ := j.Since(digest, most)
+	changes, _ := j.Since(digest, maxBytes)
 	for _, x := range changes {
 		change := &fleet.Change{Key: x.Key, Value: x.Value, Revision: x.Revision, Deleted: x.Deleted}
 		if p := x.Patch; p != nil {
@@ -154,7 +154,7 @@
 // package delta.
 func (c *control) eventsOf(changes []*fleet.Change) ([]kv.Event, error) {
 	var out []kv.Event
-	known := c.configuration
+	configuration := c.configuration
 	for _, x := range changes {
 		if !c.seen.IsNews(x.Key, x.Revision) {
 			// The change was already applied, for example because the same request was sent
@@ -164,11 +164,11 @@
 		e := kv.Event{Item: itemOf(x), Deleted: x.Deleted}
 		if x.Patch != nil {
 			p := delta.Patch{Base: x.Patch.Base, Result: x.Patch.Result, Data: x.Patch.Data}
-			value, err := p.Apply(known, kv.MaxValueBytes)
+			value, err := p.Apply(configuration, kv.MaxValueBytes)
 			if err != nil {
 				return out, err
 			}
-			e.Value, known = value, value
+			e.Value, configuration = value, value
 		}
 		out = append(out, e)
 	}
@@ -177,7 +177,7 @@
 
 // sendConfirmAnswer sends a response. at is the time as of which the state is confirmed, and
 // hostsAt the same for the entry hosts' registrations.
-func (d *Daemon) answerConfirm(a *fleet.ConfirmAnswer, at, hostsAt time.Time, from string) {
+func (d *Daemon) sendConfirmAnswer(a *fleet.ConfirmAnswer, at, hostsAt time.Time, from string) {
 	now := d.now()
 	a.AgeUs = uint64(now.Sub(at).Microseconds()) + 1
 	a.HostsAgeUs = uint64(now.Sub(hostsAt).Microseconds()) + 1
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -17,21 +17,21 @@
 	// expiryInterval is the time between two checks for unresponsive hosts, and demandInterval
 	// the least time between two computations of the total demand that peers have reported.
 	// demandInterval is well below the delay that is assumed for heartbeats.
-	surveyEvery = 100 * time.Millisecond
-	demandEvery = 50 * time.Millisecond
+	expiryInterval = 100 * time.Millisecond
+	demandInterval = 50 * time.Millisecond
 	// reviewInterval is how often settings and loads, which change without notification, are
 	// taken into account.
-	reviewEvery = time.Second
+	reviewInterval = time.Second
 	// tickInterval is how often the control goroutine handles what depends on time alone. It is
 	// a tenth of the shortest bound that the control goroutine enforces.
-	tickEvery = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// standbyTickInterval is the tickInterval of a standby.
-	standbyTick = 250 * time.Millisecond
+	standbyTickInterval = 250 * time.Millisecond
 	// watchLossDelay is how long a broken watch may go undetected.
-	watchSilence = time.Second
+	watchLossDelay = time.Second
 	// keyCheckMargin allows for the network delay from the caller and for the processing time
 	// between the check of an API key and the next reading of the clock.
-	keyMargin = 400 * time.Millisecond
+	keyCheckMargin = 400 * time.Millisecond
 )
 
 // message is a function that the control goroutine runs.
@@ -52,27 +52,27 @@
 	items    map[string]kv.Item
 	revision uint64
 	// configuration is the encoded value of catalog.
-	configuration []byte
-	zones         map[string]bool
-	confirmedAt   time.Time
-	listed        bool
-	leaving       bool
-	storeOut      bool
-	registration  registration
+	configuration    []byte
+	evacuatedZones   map[string]bool
+	confirmedAt      time.Time
+	listed           bool
+	leaving          bool
+	storeUnreachable bool
+	registration     registration
 	// hostsApplied is set once registrations have been passed on to members, and hostsChanged
 	// if some have changed since.
-	hostsListed, hostsChanged bool
+	hostsApplied, hostsChanged bool
 	// holdsShares is set while the registration entitles this host to hold rate shares.
-	held     bool
-	sequence uint64
+	holdsShares bool
+	sequence    uint64
 	// heartbeatDue is when the next full heartbeat to active hosts is due, and
 	// compactHeartbeatDue when the next compact heartbeat to standbys is due.
-	heartbeatDue, briefHeartbeatDue time.Time
+	heartbeatDue, compactHeartbeatDue time.Time
 	// heartbeatToAll is set if the next compact heartbeat goes to all standbys, whether this
 	// host is active or not.
-	toAllHosts bool
+	heartbeatToAll bool
 	// compactRounds counts the rounds of compact heartbeats to standbys.
-	rounds            int
+	compactRounds     int
 	ready             bool
 	activation        activation
 	published         published
@@ -80,24 +80,24 @@
 	journal           follow.Journal
 	fanout            fanout.Limiter
 	seen              follow.Seen
-	hostRegistrations hostKnowledge
-	confirms          confirms
-	watchers          watchers
+	hostRegistrations hostState
+	confirmRequests   confirmRequests
+	watcherCache      watcherCache
 	// snapshotReadAt is when the snapshot of the fleet's learned state was last read.
 	snapshotReadAt time.Time
 	// storedHint is the active-hosts hint in the store, as far as this host knows. hintedPeers
 	// are the addresses to which it sends heartbeats until it receives a heartbeat from an
 	// active host.
-	guide  []byte
-	guides []string
+	storedHint  []byte
+	hintedPeers []string
 	// snapshotWriter paces the snapshots that this host writes.
-	snapshots snapshot.Writer
+	snapshotWriter snapshot.Writer
 }
 
 func newControl(d *Daemon) *control {
 	return &control{
-		d: d, inbox: make(chan message, 256), zones: map[string]bool{}, items: map[string]kv.Item{},
-		registrations: map[string]fleet.Registration{}, confirms: newConfirms(),
+		d: d, inbox: make(chan message, 256), evacuatedZones: map[string]bool{}, items: map[string]kv.Item{},
+		registrations: map[string]fleet.Registration{}, confirmRequests: newConfirmRequests(),
 		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewRoster(),
 	}
 }
@@ -111,22 +111,22 @@
 }
 
 func (c *control) run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	ready := true
 	for {
 		if c.ready != ready {
 			ready = c.ready
-			tick.Reset(c.tickInterval())
+			tick.Reset(c.tickPeriod())
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-c.inbox:
 			m(c)
-			c.drain()
+			c.handleQueued()
 		case <-tick.C:
-			c.snapshot(c.d.now())
+			c.writeSnapshotIfDue(c.d.now())
 		}
 		c.tick(c.d.now())
 	}
@@ -134,15 +134,15 @@
 
 // tickPeriod returns the time between two ticks. A standby has no duties that need the shorter
 // period.
-func (c *control) tickInterval() time.Duration {
+func (c *control) tickPeriod() time.Duration {
 	if c.ready {
-		return tickEvery
+		return tickInterval
 	}
-	return standbyTick
+	return standbyTickInterval
 }
 
 // handleQueued runs the messages that are already queued, so that a burst is published once.
-func (c *control) drain() {
+func (c *control) handleQueued() {
 	for {
 		select {
 		case m := <-c.inbox:
@@ -157,22 +157,22 @@
 	for _, id := range c.roster.Expired(now) {
 		c.removeUpstream(id, "missing since the store is back")
 	}
-	if held := c.registered(now); held != c.held {
+	if holds := c.mayHoldShares(now); holds != c.holdsShares {
 		// Peers must send token requests for customers to another host, or to this one again.
-		c.held = held
+		c.holdsShares = holds
 		c.announce(now)
-		c.d.registeredOnce.Store(true)
-		c.d.shares.SetLease(now, held)
+		c.d.fallbackAllowed.Store(true)
+		c.d.shares.SetLease(now, holds)
 	}
 	c.publish(now)
-	c.confirmKnowledge(now)
+	c.confirmState(now)
 	c.sendHeartbeats(now)
 }
 
 // bucketCount returns the number of buckets among which a customer's rate is split: one for
 // each region that has hosts, whether their heartbeats arrive or they are only registered. A
 // region whose heartbeats do not arrive may only be partitioned.
-func (c *control) buckets() int {
+func (c *control) bucketCount() int {
 	regions := c.members.Regions()
 	if slices.Contains(regions, c.d.self.Region) {
 		return len(regions)
@@ -187,7 +187,7 @@
 	return c.catalog.Version
 }
 
-func (c *control) log(changes []fleet.MemberChange) {
+func (c *control) logMemberChanges(changes []fleet.MemberChange) {
 	for _, change := range changes {
 		c.d.events.Info("peer "+change.What, "peer", change.Member.Host, "instance", change.Member.Instance,
 			"zone", change.Member.Zone)
@@ -197,8 +197,8 @@
 func (c *control) handleHeartbeat(b *fleet.Heartbeat) {
 	now := c.d.now()
 	changes := c.members.ApplyHeartbeat(now, b)
-	c.log(changes)
-	c.answerStandby(now, b, changes)
+	c.logMemberChanges(changes)
+	c.replyToStandby(now, b, changes)
 	c.d.table.ApplyWarmReports(now, b.Warm)
 	c.handleDigest(b.Instance, b.Digest)
 }
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -27,16 +27,16 @@
 const (
 	// upstreamDialTimeout bounds the time to connect to an upstream. It covers three round
 	// trips to the farthest region and one lost packet.
-	upstreamDialBound = 600 * time.Millisecond
+	upstreamDialTimeout = 600 * time.Millisecond
 	// storeDialTimeout bounds the time to connect to the store. A connection attempt made
 	// during a network partition hangs for that long after the partition has healed.
-	storeDialBound = 600 * time.Millisecond
+	storeDialTimeout = 600 * time.Millisecond
 	// headerTimeout and callerIdleTimeout bound slow and idle callers. They exceed the limits
 	// that operators set for callers.
-	headerBound = 10 * time.Second
-	idleBound   = 60 * time.Second
+	headerTimeout     = 10 * time.Second
+	callerIdleTimeout = 60 * time.Second
 	// directoryTTL is how long callers may cache a response of the directory.
-	directionsFor = 2 * time.Second
+	directoryTTL = 2 * time.Second
 )
 
 // Daemon is a running entry host.
@@ -55,37 +55,37 @@
 	retries  *retry.Window
 	control  *control
 
-	state     atomic.Pointer[front.State]
-	directory atomic.Pointer[directory]
-	pool      atomic.Pointer[pool]
-	ready     atomic.Bool
+	state       atomic.Pointer[front.State]
+	directory   atomic.Pointer[directory]
+	bucketHosts atomic.Pointer[bucketHosts]
+	ready       atomic.Bool
 	// fallbackAllowed is set once this host has held rate shares, or is a standby and will not
 	// hold any. Only then does it use its fallback bucket when no owner of a bucket responds.
-	registeredOnce atomic.Bool
+	fallbackAllowed atomic.Bool
 	// listed is closed after the first listing of the store. hasPeers is set if that listing
 	// contained other entry hosts.
-	listed     chan struct{}
-	peersKnown atomic.Bool
+	listed   chan struct{}
+	hasPeers atomic.Bool
 	// willBeActive is closed if the host knows before its first listing that it will be active.
-	needed chan struct{}
+	willBeActive chan struct{}
 	// readWhenRegistered is set if no read of the store follows the first registration by
 	// itself.
-	lookWhenRegistered atomic.Bool
+	readWhenRegistered atomic.Bool
 	// wantsShares is set if this host should hold rate shares.
-	spends atomic.Bool
+	wantsShares atomic.Bool
 	// watches is set while this host watches the store for its region.
 	watches atomic.Bool
 	// summary describes the state of the store that this host knows, for peers that send
 	// confirmation requests.
-	known atomic.Pointer[knowledge]
+	summary atomic.Pointer[storeSummary]
 	// wakeReader ends the pause before the next read of the store.
-	hurry chan struct{}
+	wakeReader chan struct{}
 	// stateUpdated fires at each new state, and hostsUpdated at each change of the known hosts.
-	fresh, newHosts signal
+	stateUpdated, hostsUpdated signal
 	// startedAt is when the daemon started, and startedWall the wall-clock time of the start.
 	startedAt, startedWall time.Time
 	// startupWait bounds how long a caller may wait for a host that has just started.
-	startingFor time.Duration
+	startupWait time.Duration
 	meter       meter
 
 	callerConns *callerConns
@@ -123,15 +123,15 @@
 			Name: s.Host, Callers: addresses.Callers, Peers: addresses.Peers,
 		},
 		events: events, metrics: metrics, tracing: tracing, wire: wire, addresses: addresses, listeners: listeners,
-		conns:   h1.NewPool(h1.Dialer(upstreamDialBound), clock.Now),
-		shares:  share.New(),
-		retries: retry.NewWindow(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
-		errs:    make(chan error, 4),
-		hurry:   make(chan struct{}, 1),
-		listed:  make(chan struct{}),
-		needed:  make(chan struct{}),
+		conns:        h1.NewPool(h1.Dialer(upstreamDialTimeout), clock.Now),
+		shares:       share.New(),
+		retries:      retry.NewWindow(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
+		errs:         make(chan error, 4),
+		wakeReader:   make(chan struct{}, 1),
+		listed:       make(chan struct{}),
+		willBeActive: make(chan struct{}),
 
-		startingFor: startGrace,
+		startupWait: defaultStartupWait,
 
 		callerConns: newCallerConns(),
 	}
@@ -140,11 +140,11 @@
 	d.state.Store(&front.State{})
 	d.directory.Store(&directory{self: d.self})
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	ahead := h1.DialAhead(d.ctx, h1.Dialer(storeDialBound), s.Store)
-	d.store = platform.NewStore("http://"+s.Store, ahead.Dial, metrics.StoreCall)
+	storeDialer := h1.DialAhead(d.ctx, h1.Dialer(storeDialTimeout), s.Store)
+	d.store = platform.NewStore("http://"+s.Store, storeDialer.Dial, metrics.StoreCall)
 	d.control = newControl(d)
 	d.tokens = newTokens(d)
-	d.pool.Store(&pool{})
+	d.bucketHosts.Store(&bucketHosts{})
 	return d, nil
 }
 
@@ -156,7 +156,7 @@
 	deps := front.Deps{
 		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, Shares: d.tokens,
 		Retries: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
-		Refresh: d.refresh, Updates: d.fresh.next, Starting: d.starting, Overcrowded: d.crowded,
+		Refresh: d.refresh, Updates: d.stateUpdated.next, Starting: d.remainingStartupWait, Overcrowded: d.nearDescriptorLimit,
 	}
 	if d.settings.Load().TraceFile != "" {
 		deps.Tracer = d.tracing.Tracer
@@ -174,40 +174,40 @@
 	}
 	d.spawn(d.control.run)
 	d.spawn(func(ctx context.Context) {
-		d.wire.Receive(ctx, d.received, func(err error) { d.events.Debug("packet not readable", "error", err) })
+		d.wire.Receive(ctx, d.handlePacket, func(err error) { d.events.Debug("packet not readable", "error", err) })
 	})
 	registrar := newRegistrar(d)
 	follower := &follow.Follower{
-		Store: d.store, Prefix: platform.AllKeys, Pace: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.hurry,
-		Before: d.startFromGuide,
+		Store: d.store, Prefix: platform.AllKeys, Pace: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.wakeReader,
+		Before: d.startFromHint,
 		Listed: func(ctx context.Context) {
-			await(ctx, registrar.done, registerWithin)
-			d.lookWhenRegistered.Store(!isClosed(registrar.done))
+			await(ctx, registrar.registered, registrationTimeout)
+			d.readWhenRegistered.Store(!isClosed(registrar.registered))
 		},
 	}
 	d.spawn(follower.Run)
 	d.spawn(registrar.run)
 	d.spawn(d.conns.Run)
-	d.spawn(d.sweepCallers)
+	d.spawn(d.closeIdleCallers)
 	d.events.Info("started", "instance", d.self.Instance, "zone", d.self.Zone, "region", d.self.Region,
 		"callers", d.self.Callers, "peers", d.self.Peers, "store", d.settings.Load().Store)
 }
 
 // handlePacket dispatches a packet from a peer.
-func (d *Daemon) received(p *fleet.Packet, from string) {
+func (d *Daemon) handlePacket(p *fleet.Packet, from string) {
 	if b := p.GetHeartbeat(); b != nil {
 		d.control.send(func(c *control) { c.handleHeartbeat(b) })
 		return
 	}
 	if q := p.GetConfirmRequest(); q != nil {
-		d.answerConfirmRequest(q, from)
+		d.handleConfirmRequest(q, from)
 		return
 	}
 	if a := p.GetConfirmAnswer(); a != nil {
-		d.control.send(func(c *control) { c.handleConfirmation(a) })
+		d.control.send(func(c *control) { c.handleConfirmAnswer(a) })
 		return
 	}
-	d.tokens.receive(p, from)
+	d.tokens.handlePacket(p, from)
 }
 
 // listen opens the listeners and returns their addresses.
@@ -229,7 +229,7 @@
 
 func (d *Daemon) serve(l net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout,
 		DisableGeneralOptionsHandler: true, ErrorLog: d.events.Standard(),
 	}
 	if l == d.listeners[d.addresses.Callers] {
@@ -253,11 +253,11 @@
 	if !b.StrictRevocation || b.Revoke.Value() == 0 {
 		return front.Bounds{}
 	}
-	return front.Bounds{KeysFor: max(b.Revoke.Value()-watchSilence-keyMargin, tickEvery)}
+	return front.Bounds{KeysFor: max(b.Revoke.Value()-watchLossDelay-keyCheckMargin, tickInterval)}
 }
 
 func (d *Daemon) resolve(region, _ string) platform.Directions {
-	return platform.Directions{Addresses: d.awaitDirectory().resolve(region), For: directionsFor}
+	return platform.Directions{Addresses: d.awaitDirectory().resolve(region), For: directoryTTL}
 }
 
 func (d *Daemon) spawn(task func(context.Context)) {
--- a/internal/entryhost/directory.go
+++ b/internal/entryhost/directory.go
@@ -21,26 +21,26 @@
 	ready   bool
 	leaving bool
 	// reachesStore is set if this host's last call to the store succeeded.
-	seesStore bool
-	others    []fleet.Member
+	reachesStore bool
+	peers        []fleet.Member
 }
 
 // maxAddresses is the number of addresses that callers accept in one response.
-const mostNamed = 64
+const maxAddresses = 64
 
 // resolve returns the addresses of the ready hosts of a region, or of all regions if the region
 // has none. Request bodies must stay within the caller's region and the regions that may serve
 // it, so hosts elsewhere are the last choice.
 func (d *directory) resolve(region string) []string {
-	type test func(region string, ready bool) bool
-	for _, wanted := range []test{
+	type filter func(region string, ready bool) bool
+	for _, accept := range []filter{
 		func(r string, ready bool) bool { return r == region && ready },
 		func(_ string, ready bool) bool { return ready },
 		func(r string, _ bool) bool { return r == region },
 		func(string, bool) bool { return true },
 	} {
-		if named := d.named(wanted); len(named) > 0 {
-			return named
+		if addresses := d.addresses(accept); len(addresses) > 0 {
+			return addresses
 		}
 	}
 	return nil
@@ -49,10 +49,10 @@
 // storeReaders lists the active instances of some regions that reach the store.
 func (d *directory) storeReaders(in func(region string) bool) []string {
 	var out []string
-	if d.ready && d.seesStore && in(d.self.Region) {
+	if d.ready && d.reachesStore && in(d.self.Region) {
 		out = append(out, d.self.Instance)
 	}
-	for _, m := range d.others {
+	for _, m := range d.peers {
 		if m.Ready && m.SeesStore && !m.Leaving && in(m.Region) {
 			out = append(out, m.Instance)
 		}
@@ -60,13 +60,13 @@
 	return out
 }
 
-func (d *directory) named(wanted func(region string, ready bool) bool) []string {
+func (d *directory) addresses(accept func(region string, ready bool) bool) []string {
 	var out []string
-	if !d.leaving && wanted(d.self.Region, d.ready) {
+	if !d.leaving && accept(d.self.Region, d.ready) {
 		out = append(out, d.self.Callers)
 	}
-	for _, m := range d.others {
-		if !m.Leaving && wanted(m.Region, m.Ready) && len(out) < mostNamed {
+	for _, m := range d.peers {
+		if !m.Leaving && accept(m.Region, m.Ready) && len(out) < maxAddresses {
 			out = append(out, m.Callers)
 		}
 	}
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -21,7 +21,7 @@
 	"balsambarrow/internal/standin"
 )
 
-func TestServesThroughTheWholePath(t *testing.T) {
+func TestServesRequestsEndToEnd(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
@@ -73,7 +73,7 @@
 
 // Guards against a withdrawn API key that still works: it must be refused, other keys must go
 // on working, and a later write of an older version must not restore it.
-func TestConfigurationOnlyGoesForward(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -97,7 +97,7 @@
 // the store, for each way in which the store can fail. The host must refuse all keys in time,
 // respond that the request has not run, and leave the directory. When the store is back, the
 // host must serve again.
-func TestHostThatLostTheStoreRefusesKeys(t *testing.T) {
+func TestHostWithoutStoreRefusesKeys(t *testing.T) {
 	for name, fault := range map[string]standin.StoreFault{
 		"silent": standin.StoreSilent, "busy": standin.StoreBusy, "many": standin.StoreMany, "reset": standin.StoreReset,
 	} {
@@ -128,7 +128,7 @@
 
 // Guards against requests to an upstream that is leaving, for each way in which an upstream can
 // leave. The other upstream must serve meanwhile.
-func TestLeavingUpstreamsGetNothingNew(t *testing.T) {
+func TestLeavingUpstreamsReceiveNoNewRequests(t *testing.T) {
 	for name, leave := range map[string]func(*site, *standin.Worker){
 		"draining": func(s *site, k *standin.Worker) { s.register(k, "s", "127.0.0.1:1", "a1", "draining", 2) },
 		"removed":  func(s *site, k *standin.Worker) { s.store.Delete("servers/" + k.ID) },
@@ -141,13 +141,13 @@
 			t.Parallel()
 			g := NewWithT(t)
 			s := newSite(t)
-			leaving, staying := s.worker("i-1", "s", "a1", 0), s.worker("i-2", "s", "b1", 0)
+			leaving, remaining := s.worker("i-1", "s", "a1", 0), s.worker("i-2", "s", "b1", 0)
 			s.declare(4, "k1")
 			h := s.host("h1", "a1")
 			s.awaitServing()
 			leave(s, leaving)
 			seen := func() int { return len(leaving.Runs()) }
-			quiet := func() bool {
+			noNewRequests := func() bool {
 				before := seen()
 				for range 10 {
 					if s.read(h).status != http.StatusOK {
@@ -156,17 +156,17 @@
 				}
 				return seen() == before
 			}
-			g.Eventually(quiet, "6s", "100ms").Should(BeTrue())
-			g.Expect(quiet()).To(BeTrue())
-			g.Expect(staying.Runs()).NotTo(BeEmpty())
+			g.Eventually(noNewRequests, "6s", "100ms").Should(BeTrue())
+			g.Expect(noNewRequests()).To(BeTrue())
+			g.Expect(remaining.Runs()).NotTo(BeEmpty())
 		})
 	}
 }
 
 // Checks the response to the caller, and how often the request has run, for each way in which
 // an attempt can fail. A posting must never run twice, and "not run" must be true.
-func TestOutcomes(t *testing.T) {
-	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func TestOutcomesOfFailedAttempts(t *testing.T) {
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	shed := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -194,8 +194,8 @@
 		// arrivals is the number of arrivals at both upstreams together.
 		arrivals int
 	}{
-		{"read, aborted", cut, false, http.StatusBadGateway, 2},
-		{"post, aborted", cut, true, http.StatusBadGateway, 1},
+		{"read, aborted", abort, false, http.StatusBadGateway, 2},
+		{"post, aborted", abort, true, http.StatusBadGateway, 1},
 		{"read, shed", shed, false, http.StatusServiceUnavailable, 2},
 		{"post, shed", shed, true, http.StatusServiceUnavailable, 2},
 		{"read, unsigned", unsigned, false, http.StatusBadGateway, 2},
@@ -238,18 +238,18 @@
 
 // Guards against failures of one upstream that reach the caller: a read must be served by the
 // other upstream.
-func TestReadIsServedByAnotherUpstream(t *testing.T) {
+func TestReadIsRetriedAtAnotherUpstream(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	one, two := s.worker("i-1", "s", "a1", 0), s.worker("i-2", "s", "a1", 0)
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	s.awaitServing()
-	sick := one
+	failing := one
 	if len(two.Runs()) > 0 {
-		sick = two
+		failing = two
 	}
-	sick.SetAnswer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	failing.SetAnswer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for range 20 {
 		g.Expect(s.read(h).status).To(Equal(http.StatusOK))
 	}
@@ -258,7 +258,7 @@
 // Guards against a wrong outcome when an upstream's address passes to another upstream while
 // the old entry is still in use. The other upstream refuses the request, and the response must
 // say that the request has not run.
-func TestAddressGivenToAnotherUpstream(t *testing.T) {
+func TestAddressReusedByAnotherUpstream(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
@@ -274,7 +274,7 @@
 // Guards against requests that are lost when a host is stopped while it serves requests and
 // receives more. Each must get its complete response, and the directory must no longer name the
 // host.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestStopCompletesRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 300*time.Millisecond)
@@ -285,7 +285,7 @@
 	g.Eventually(func() []string { return directory(t, other, "a") }, "5s", "50ms").Should(HaveLen(2))
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	bad := []string{}
+	failures := []string{}
 	for i := range 8 {
 		wait.Add(1)
 		go func() {
@@ -294,7 +294,7 @@
 			if a := s.post(stopping); a.err != nil || a.status != http.StatusOK {
 				mu.Lock()
 				defer mu.Unlock()
-				bad = append(bad, fmt.Sprint(a.status, a.err, a.body))
+				failures = append(failures, fmt.Sprint(a.status, a.err, a.body))
 			}
 		}()
 	}
@@ -302,23 +302,23 @@
 	stopping.stopped.Store(true)
 	stopping.daemon.Stop()
 	wait.Wait()
-	g.Expect(bad).To(BeEmpty())
+	g.Expect(failures).To(BeEmpty())
 	g.Expect(directory(t, other, "a")).To(ConsistOf(other.listen.Callers))
 	g.Expect(s.store.Keys("balsambarrow/hosts/")).To(HaveLen(1), "its registration is removed")
 }
 
 // Guards against a request that goes on at the upstream after its caller has disconnected.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	s.awaitServing()
-	gone := make(chan struct{})
+	canceled := make(chan struct{})
 	k.SetAnswer(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(gone)
+		close(canceled)
 	})
 	client := &http.Client{Timeout: 200 * time.Millisecond}
 	r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/read/1", nil)
@@ -327,7 +327,7 @@
 	r.Header = http.Header{"X-Request-Id": {"leaves"}, "Authorization": {"Bearer k1"}}
 	_, err = client.Do(r)
 	g.Expect(err).To(HaveOccurred())
-	g.Eventually(gone, "2s").Should(BeClosed())
+	g.Eventually(canceled, "2s").Should(BeClosed())
 }
 
 // Guards against hosts that start together and do not find each other because stale reads of
@@ -356,7 +356,7 @@
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	client := &http.Client{Transport: &http.Transport{}}
-	ask := func() (status int, closes bool) {
+	request := func() (status int, closes bool) {
 		r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/open/1", nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		r.Host = "x.example"
@@ -368,18 +368,18 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode, resp.Close
 	}
-	status, closes := ask()
+	status, closes := request()
 	g.Expect(status).To(Equal(http.StatusServiceUnavailable), "no upstream")
 	g.Expect(closes).To(BeTrue())
 	s.worker("i-1", "s", "a1", 0)
-	g.Eventually(func() int { status, closes = ask(); return status }, "10s", "50ms").Should(Equal(http.StatusOK))
+	g.Eventually(func() int { status, closes = request(); return status }, "10s", "50ms").Should(Equal(http.StatusOK))
 	g.Expect(closes).To(BeFalse())
 }
 
 // Guards against a request that is sent to an upstream after its caller has left. On a busy
 // host, the caller gives up and closes its connection before the host has read the request.
 // TCP_CORK holds the request back here until the connection is closed.
-func TestRequestOfACallerThatHasLeftIsNotSent(t *testing.T) {
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
@@ -409,7 +409,7 @@
 // reports. In a fleet with three fast hosts, the directory of every host must name only those.
 // The slow host must be ready, and serve a caller that uses an old address by the current
 // configuration; when the fast hosts have died, it must become active.
-func TestWeakHostStandsBy(t *testing.T) {
+func TestWeakHostIsStandby(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -443,14 +443,14 @@
 // Guards against refusals after the loss of all hosts: they start together, and callers arrive
 // before any host knows the configuration, the active hosts or the holder of the customer's
 // bucket. Most callers retry only once.
-func TestCallersThatComeWithTheStartAreServed(t *testing.T) {
+func TestCallersDuringStartupAreServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
 	s.store.SetFault(func(string) standin.StoreFault { return standin.StoreBusy })
-	patient := hostOptions{starting: time.Minute}
-	hosts := []*host{s.hostWith("h1", "a1", patient), s.hostWith("h2", "a2", patient)}
+	longWait := hostOptions{startupWait: time.Minute}
+	hosts := []*host{s.hostWith("h1", "a1", longWait), s.hostWith("h2", "a2", longWait)}
 	var callers sync.WaitGroup
 	statuses, named := make([]int, len(hosts)), make([][]string, len(hosts))
 	for i, h := range hosts {
@@ -468,7 +468,7 @@
 // Guards against a start that costs several store calls per host. A host that joins stronger
 // hosts must read the active-hosts hint, get the rest of the state from one of them, register
 // once, as a standby, and never become active.
-func TestHostThatJoinsStrongerOnesCostsTheStoreLittle(t *testing.T) {
+func TestWeakHostStartsWithFewStoreCalls(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -478,7 +478,7 @@
 		named = append(named, s.hostWith(fmt.Sprint("strong-", i), "a1", hostOptions{mbps: 200}).listen.Callers)
 	}
 	s.awaitServing()
-	g.Eventually(s.guided, "10s", "10ms").Should(Equal(3))
+	g.Eventually(s.hintHosts, "10s", "10ms").Should(Equal(3))
 	before := s.store.Calls()
 	weak := s.hostWith("weak", "a1", hostOptions{mbps: 10})
 	g.Eventually(weak.ready, "5s", "10ms").Should(BeTrue())
@@ -493,7 +493,7 @@
 // Guards against a host whose first registration takes longer than its first watch waits for
 // it, as with a slow store: it would be active and refuse all requests as over their rate until
 // its next read of the store.
-func TestALateFirstRegistrationIsFollowedByALook(t *testing.T) {
+func TestLateFirstRegistrationTriggersStoreRead(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	logs := &syncBuffer{}
@@ -516,7 +516,7 @@
 // Guards against a read of the store, or a refusal, for each caller that connects to a standby:
 // the watcher must confirm the standby's state. In this test the store does not respond to the
 // standby at all.
-func TestHostThatStandsByIsConfirmedForItsCallers(t *testing.T) {
+func TestStandbyIsConfirmedByWatcher(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -539,7 +539,7 @@
 // confirms that nothing has changed, so callers of that host must still be served. A withdrawn
 // API key must not be accepted longer than promised, although the host cannot read the new
 // configuration from the store.
-func TestHostTurnedAwayByTheStoreIsConfirmedByAnother(t *testing.T) {
+func TestHostRejectedByStoreIsConfirmedByPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -570,21 +570,21 @@
 // Guards against a large configuration that peers cannot pass on: each host would have to read
 // it from the store, and a host that the store rejects would refuse requests to new routes, or
 // serve dropped ones, for as long as it is rejected.
-func TestALargeConfigurationReachesAHostThroughItsPeer(t *testing.T) {
+func TestLargeConfigurationReachesHostThroughPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
-	s.added = 2000
+	s.extraRoutes = 2000
 	s.declare(4, "k1")
 	s.host("h1", "a1")
 	gate, address := s.gate()
 	h := s.hostWith("h2", "a1", hostOptions{store: address})
 	s.awaitServing()
-	added := func() int { return s.call(h, "GET", fmt.Sprintf("/added-%d/", s.added-1), "", "").status }
+	added := func() int { return s.call(h, "GET", fmt.Sprintf("/added-%d/", s.extraRoutes-1), "", "").status }
 	g.Expect(added()).To(Equal(http.StatusOK))
 	gate.shut.Store(true)
 	for i, routes := range []int{2001, 4000} {
-		s.added = routes
+		s.extraRoutes = routes
 		s.declare(5+i, "k1")
 		g.Eventually(added, "10s", "50ms").Should(Equal(http.StatusOK))
 	}
@@ -594,7 +594,7 @@
 // the other region. One host after the other finds out and passes the watch on to the next,
 // which does not reach the store either. Their callers must still be served by the state of the
 // other region.
-func TestRegionTurnedAwayByTheStoreIsConfirmedByAnother(t *testing.T) {
+func TestRegionRejectedByStoreIsConfirmedByOtherRegion(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -682,9 +682,9 @@
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	s.awaitServing()
-	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	one.SetAnswer(cut)
-	two.SetAnswer(cut)
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	one.SetAnswer(abort)
+	two.SetAnswer(abort)
 	r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/read/1", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	r.Host = "x.example"
--- a/internal/entryhost/export_test.go
+++ b/internal/entryhost/export_test.go
@@ -3,4 +3,4 @@
 import "time"
 
 // SetStartupWait sets how long callers may wait for a daemon that has just started.
-func (d *Daemon) SetStarting(most time.Duration) { d.startingFor = most }
+func (d *Daemon) SetStartupWait(wait time.Duration) { d.startupWait = wait }
--- a/internal/entryhost/takeall_test.go
+++ b/internal/entryhost/fullstate_test.go
@@ -16,7 +16,7 @@
 
 // newTestControl returns the control of a daemon that was not started. Tests run the queued
 // messages themselves.
-func startingControl(t *testing.T) *control {
+func newTestControl(t *testing.T) *control {
 	g := NewWithT(t)
 	settings, err := ParseSettings("test", []byte(`{
 		"host": "h", "zone": "a1", "zones": {"a1": "a"},
@@ -39,7 +39,7 @@
 }
 
 // fullAnswer is a peer's response with the full state of the store.
-func allOf(zones ...string) *fleet.ConfirmAnswer {
+func fullAnswer(zones ...string) *fleet.ConfirmAnswer {
 	a := &fleet.ConfirmAnswer{Whole: true, Revision: 50, AgeUs: 1}
 	for i, zone := range zones {
 		a.Changes = append(a.Changes, &fleet.Change{Key: "op/evacuate/" + zone, Value: []byte("{}"), Revision: uint64(40 + i)})
@@ -49,29 +49,29 @@
 
 // Guards against a stale first listing that arrives after a peer has sent the state of the
 // store: the host would send requests to an evacuated zone, and consider its state confirmed.
-func TestAnOldListingDoesNotReplaceWhatAPeerHasTold(t *testing.T) {
+func TestStaleListingDoesNotReplacePeerState(t *testing.T) {
 	g := NewWithT(t)
-	c := startingControl(t)
+	c := newTestControl(t)
 	now := c.d.now()
-	c.takeAll(now, allOf("a1"), question{at: now, whole: true})
-	g.Expect(c.zones).To(HaveKey("a1"))
+	c.applyFullState(now, fullAnswer("a1"), pendingConfirm{sentAt: now, full: true})
+	g.Expect(c.evacuatedZones).To(HaveKey("a1"))
 	storeSink{c}.Listed(kv.Listing{Revision: 30}, time.Time{})
-	c.drain()
-	g.Expect(c.zones).To(HaveKey("a1"))
+	c.handleQueued()
+	g.Expect(c.evacuatedZones).To(HaveKey("a1"))
 	storeSink{c}.Listed(kv.Listing{Revision: 60}, now)
-	c.drain()
-	g.Expect(c.zones).NotTo(HaveKey("a1"), "a current listing replaces the state")
+	c.handleQueued()
+	g.Expect(c.evacuatedZones).NotTo(HaveKey("a1"), "a current listing replaces the state")
 }
 
 // Guards against a peer of an earlier version, which does not know requests for the full state
 // and responds with the changes since the given digest, of which there are none.
-func TestAnAnswerThatIsNotWholeIsNotTakenForAll(t *testing.T) {
-	for i, a := range []*fleet.ConfirmAnswer{{Digest: 7, Hosts: 8}, {Digest: 7, Changes: allOf("a1").Changes}} {
+func TestPartialResponseIsNotAppliedAsFullState(t *testing.T) {
+	for i, a := range []*fleet.ConfirmAnswer{{Digest: 7, Hosts: 8}, {Digest: 7, Changes: fullAnswer("a1").Changes}} {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			g := NewWithT(t)
-			c := startingControl(t)
+			c := newTestControl(t)
 			now := c.d.now()
-			c.takeAll(now, a, question{at: now, whole: true})
+			c.applyFullState(now, a, pendingConfirm{sentAt: now, full: true})
 			g.Expect(c.listed).To(BeFalse())
 			g.Expect(isClosed(c.d.listed)).To(BeFalse())
 		})
--- a/internal/entryhost/heartbeat.go
+++ b/internal/entryhost/heartbeat.go
@@ -10,13 +10,13 @@
 func (c *control) announce(now time.Time) {
 	c.heartbeatDue = now
 	if c.ready {
-		c.briefHeartbeatDue = now
+		c.compactHeartbeatDue = now
 	}
 }
 
 // announceToAll makes heartbeats to every host due at once.
 func (c *control) announceToAll(now time.Time) {
-	c.heartbeatDue, c.briefHeartbeatDue, c.toAllHosts = now, now, true
+	c.heartbeatDue, c.compactHeartbeatDue, c.heartbeatToAll = now, now, true
 }
 
 // sendHeartbeats sends the heartbeats that are due: full ones to active hosts and compact ones
@@ -26,17 +26,17 @@
 		c.heartbeatDue = now.Add(c.members.Interval(c.ready))
 		b := c.heartbeat(now)
 		c.addLearned(now, b)
-		c.sendHeartbeat(b, c.readyPeers())
+		c.sendHeartbeat(b, c.activePeers())
 	}
-	if now.Before(c.briefHeartbeatDue) {
+	if now.Before(c.compactHeartbeatDue) {
 		return
 	}
-	c.briefHeartbeatDue = now.Add(c.members.IntervalToStandby())
-	c.rounds++
-	all := c.toAllHosts || c.rounds%fleet.FarRounds == 0
-	tells := c.ready || c.toAllHosts
-	c.toAllHosts = false
-	if peers := c.members.StandbyPeers(all); tells && len(peers) > 0 {
+	c.compactHeartbeatDue = now.Add(c.members.IntervalToStandby())
+	c.compactRounds++
+	all := c.heartbeatToAll || c.compactRounds%fleet.FarRounds == 0
+	sendsCompact := c.ready || c.heartbeatToAll
+	c.heartbeatToAll = false
+	if peers := c.members.StandbyPeers(all); sendsCompact && len(peers) > 0 {
 		b := c.heartbeat(now)
 		b.Brief = true
 		c.sendHeartbeat(b, peers)
@@ -45,16 +45,16 @@
 
 // activePeers returns the addresses to which full heartbeats are sent: the known active hosts,
 // or the hosts of the active-hosts hint if none is known.
-func (c *control) readyPeers() []string {
+func (c *control) activePeers() []string {
 	if peers := c.members.ReadyPeers(); len(peers) > 0 {
 		return peers
 	}
-	return c.guides
+	return c.hintedPeers
 }
 
 // replyToStandby sends a heartbeat to a standby of this region that was not known before. Until
 // a standby receives a heartbeat from an active host, it reads the store itself.
-func (c *control) answerStandby(now time.Time, b *fleet.Heartbeat, changes []fleet.MemberChange) {
+func (c *control) replyToStandby(now time.Time, b *fleet.Heartbeat, changes []fleet.MemberChange) {
 	if !c.ready || b.Ready || b.Leaving || b.Region != c.d.self.Region || len(changes) == 0 {
 		return
 	}
@@ -72,11 +72,11 @@
 // heartbeat returns the heartbeat of this host.
 func (c *control) heartbeat(now time.Time) *fleet.Heartbeat {
 	c.sequence++
-	s, load, capacity := c.d.self, c.d.meter.read(now), c.d.capacity()
+	s, load, capacity := c.d.self, c.d.meter.update(now), c.d.capacity()
 	return &fleet.Heartbeat{
 		Instance: s.Instance, Host: s.Name, Zone: s.Zone, Region: s.Region, Callers: s.Callers, Peers: s.Peers,
 		Sequence: c.sequence, Ready: c.ready, Leaving: c.leaving, Version: c.version(),
-		Able: c.canServe(now), Registered: c.held, SeesStore: !c.storeOut, Digest: c.announcedDigest(),
+		Able: c.canServe(now), Registered: c.holdsShares, SeesStore: !c.storeUnreachable, Digest: c.announcedDigest(),
 		Cores: float32(capacity.Cores), LinkMbps: float32(capacity.LinkMbps),
 		RequestsPerSecond: float32(load.Requests), AnswerMbps: float32(load.AnswerMbps),
 	}
--- a/internal/entryhost/helper_test.go
+++ b/internal/entryhost/helper_test.go
@@ -34,7 +34,7 @@
 	// rate is both the rate and the burst of the declared customer.
 	rate int
 	// extraRoutes is the number of declared routes besides the usual ones.
-	added int
+	extraRoutes int
 	// traces is the file for spans; "" writes none.
 	traces string
 }
@@ -69,7 +69,7 @@
 	// mbps is the rate of the host's link; 0 leaves it unknown.
 	mbps float64
 	// startupWait is how long callers may wait after the host's start; 0 means the default.
-	starting time.Duration
+	startupWait time.Duration
 	// store is the address at which the host reaches the store; "" means the address that all
 	// hosts use.
 	store string
@@ -94,8 +94,8 @@
 	s.t.Cleanup(func() { close(stop) })
 	d, err := entryhost.New(settings, events, telemetry.NewMetrics())
 	g.Expect(err).NotTo(HaveOccurred())
-	if o.starting > 0 {
-		d.SetStarting(o.starting)
+	if o.startupWait > 0 {
+		d.SetStartupWait(o.startupWait)
 	}
 	d.Start()
 	h := &host{daemon: d, listen: d.Addresses()}
@@ -104,7 +104,7 @@
 }
 
 // hintHosts returns the number of hosts in the store's active-hosts hint.
-func (s *site) guided() int {
+func (s *site) hintHosts() int {
 	store := platform.NewStore(s.server.URL, (&net.Dialer{}).DialContext, func(string, error) {})
 	defer store.Close()
 	item, err := store.Get(context.Background(), platform.GuideKey)
@@ -172,7 +172,7 @@
 		{"post", "x.example", "/post/", "unsafe", "3000ms", "500ms", 2, false, true, "s"},
 		{"open", "x.example", "/open/", "safe", "3000ms", "500ms", 2, true, true, "s"},
 	}
-	for i := range s.added {
+	for i := range s.extraRoutes {
 		name := fmt.Sprint("added-", i)
 		routes = append(routes, []any{name, "x.example", "/" + name + "/", "safe", "3000ms", "500ms", 2, true, true, "s"})
 	}
--- a/internal/entryhost/meter.go
+++ b/internal/entryhost/meter.go
@@ -10,15 +10,15 @@
 
 // meterTimeConstant is the time over which the load is averaged. The load decides which hosts
 // serve callers, and must not follow random variation or a burst of one second.
-const meterMemory = 3 * time.Second
+const meterTimeConstant = 3 * time.Second
 
 // meter measures the load of this host. It is safe for concurrent use.
 type meter struct {
-	mu       sync.Mutex
-	requests float64
-	bytes    float64
-	at       time.Time
-	load     standby.Load
+	mu        sync.Mutex
+	requests  float64
+	bytes     float64
+	updatedAt time.Time
+	load      standby.Load
 }
 
 // add counts one response.
@@ -30,24 +30,24 @@
 }
 
 // update computes the load up to now and returns it.
-func (m *meter) read(now time.Time) standby.Load {
+func (m *meter) update(now time.Time) standby.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	passed := now.Sub(m.at)
-	if m.at.IsZero() || passed <= 0 {
-		m.at = now
+	elapsed := now.Sub(m.updatedAt)
+	if m.updatedAt.IsZero() || elapsed <= 0 {
+		m.updatedAt = now
 		return m.load
 	}
 	const bitsPerMbit = 1e6
-	gain := 1 - math.Exp(-passed.Seconds()/meterMemory.Seconds())
-	m.load.Requests += gain * (m.requests/passed.Seconds() - m.load.Requests)
-	m.load.AnswerMbps += gain * (8*m.bytes/bitsPerMbit/passed.Seconds() - m.load.AnswerMbps)
-	m.requests, m.bytes, m.at = 0, 0, now
+	gain := 1 - math.Exp(-elapsed.Seconds()/meterTimeConstant.Seconds())
+	m.load.Requests += gain * (m.requests/elapsed.Seconds() - m.load.Requests)
+	m.load.AnswerMbps += gain * (8*m.bytes/bitsPerMbit/elapsed.Seconds() - m.load.AnswerMbps)
+	m.requests, m.bytes, m.updatedAt = 0, 0, now
 	return m.load
 }
 
 // latest returns the load as of the last update.
-func (m *meter) last() standby.Load {
+func (m *meter) latest() standby.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.load
--- a/internal/entryhost/metrics.go
+++ b/internal/entryhost/metrics.go
@@ -21,9 +21,9 @@
 		return d.now().Sub(d.state.Load().ConfirmedAt).Seconds()
 	})
 	d.metrics.Gauge("balsambarrow_upstreams", func() float64 { return float64(d.table.Size()) })
-	d.metrics.Gauge("balsambarrow_ready", func() float64 { return flag(d.ready.Load()) })
-	d.metrics.Gauge("balsambarrow_takes_callers", func() float64 { return flag(!d.state.Load().Standby) })
-	d.metrics.Gauge("balsambarrow_watches_store", func() float64 { return flag(d.watches.Load()) })
+	d.metrics.Gauge("balsambarrow_ready", func() float64 { return boolGauge(d.ready.Load()) })
+	d.metrics.Gauge("balsambarrow_takes_callers", func() float64 { return boolGauge(!d.state.Load().Standby) })
+	d.metrics.Gauge("balsambarrow_watches_store", func() float64 { return boolGauge(d.watches.Load()) })
 	d.metrics.Gauge("balsambarrow_caller_connections", func() float64 { return float64(d.callerConns.count()) })
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		d.metrics.Set.WritePrometheus(w)
@@ -32,7 +32,7 @@
 }
 
 // boolGauge returns the metric value of a condition.
-func flag(yes bool) float64 {
+func boolGauge(yes bool) float64 {
 	if yes {
 		return 1
 	}
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -10,37 +10,37 @@
 
 // published is the state that the control goroutine has published to the other goroutines.
 type published struct {
-	surveyed, reviewed, summed time.Time
+	expiredAt, reviewedAt, demandAt time.Time
 	// generation and demandGeneration are the generations of the members and of their demand
 	// that were last published.
-	generation, demand uint64
+	generation, demandGeneration uint64
 	// peers are the other hosts that are present.
-	heard []fleet.Member
-	view  view
+	peers []fleet.Member
+	self  selfState
 	state front.State
 }
 
 // selfState is the state of this host on which the directory and the bucket hosts depend.
-type view struct {
-	ready, leaving, seesStore, held bool
+type selfState struct {
+	ready, leaving, reachesStore, holdsShares bool
 }
 
 // publish publishes what has changed. Most messages change nothing that other goroutines use.
 func (c *control) publish(now time.Time) {
 	p := &c.published
-	if now.Sub(p.surveyed) >= surveyEvery {
-		p.surveyed = now
-		c.log(c.members.Expire(now))
+	if now.Sub(p.expiredAt) >= expiryInterval {
+		p.expiredAt = now
+		c.logMemberChanges(c.members.Expire(now))
 	}
 	changed := p.generation != c.members.Generation()
 	if changed {
-		p.generation, p.heard = c.members.Generation(), c.members.Present()
+		p.generation, p.peers = c.members.Generation(), c.members.Present()
 	}
-	c.setReady(now, p.heard)
-	review := now.Sub(p.reviewed) >= reviewEvery
-	next := view{c.ready, c.leaving, !c.storeOut, c.held}
-	if changed || review || next != p.view {
-		p.view, p.reviewed = next, now
+	c.updateReady(now, p.peers)
+	review := now.Sub(p.reviewedAt) >= reviewInterval
+	next := selfState{c.ready, c.leaving, !c.storeUnreachable, c.holdsShares}
+	if changed || review || next != p.self {
+		p.self, p.reviewedAt = next, now
 		c.publishHosts()
 	}
 	c.publishState()
@@ -50,10 +50,10 @@
 // publishHosts publishes the known hosts: the active ones to the directory and the placement
 // table, and the holders of customers' buckets.
 func (c *control) publishHosts() {
-	heard := c.published.heard
-	c.d.directory.Store(&directory{self: c.d.self, ready: c.ready, leaving: c.leaving, seesStore: !c.storeOut, others: heard})
-	hosts := make([]place.Host, 0, len(heard)+1)
-	for _, m := range heard {
+	peers := c.published.peers
+	c.d.directory.Store(&directory{self: c.d.self, ready: c.ready, leaving: c.leaving, reachesStore: !c.storeUnreachable, peers: peers})
+	hosts := make([]place.Host, 0, len(peers)+1)
+	for _, m := range peers {
 		if m.Ready {
 			hosts = append(hosts, place.Host{Instance: m.Instance, Zone: m.Zone, Region: m.Region})
 		}
@@ -62,8 +62,8 @@
 		hosts = append(hosts, place.Host{Instance: c.d.self.Instance, Zone: c.d.self.Zone, Region: c.d.self.Region})
 	}
 	c.d.table.SetHosts(hosts)
-	c.d.pool.Store(newPool(c.d.self, c.ready && c.held, heard, c.members.Count()))
-	c.d.newHosts.fire()
+	c.d.bucketHosts.Store(newBucketHosts(c.d.self, c.ready && c.holdsShares, peers, c.members.Count()))
+	c.d.hostsUpdated.fire()
 	bounds := c.d.settings.Load().Bounds
 	c.d.retries.SetSlack(bounds.RetrySlack, c.members.Count())
 	c.d.table.SetMaxShift(bounds.MaxShift)
@@ -80,15 +80,15 @@
 	}
 	c.published.state = next
 	c.d.state.Store(&next)
-	c.d.fresh.fire()
+	c.d.stateUpdated.fire()
 }
 
 // publishDemand publishes the customers' demand at the other hosts.
 func (c *control) publishDemand(now time.Time, changed bool) {
 	p := &c.published
-	if !changed && (p.demand == c.members.DemandGeneration() || now.Sub(p.summed) < demandEvery) {
+	if !changed && (p.demandGeneration == c.members.DemandGeneration() || now.Sub(p.demandAt) < demandInterval) {
 		return
 	}
-	p.demand, p.summed = c.members.DemandGeneration(), now
-	c.d.shares.SetOthers(c.members.Demand(), c.buckets(), c.members.Complete())
+	p.demandGeneration, p.demandAt = c.members.DemandGeneration(), now
+	c.d.shares.SetOthers(c.members.Demand(), c.bucketCount(), c.members.Complete())
 }
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -11,18 +11,18 @@
 
 // grantTimeout is how long the owner of a bucket may take to respond: one millisecond of
 // network delay, and scheduling delays on two processors with a sixth of a core each.
-const answerFor = 40 * time.Millisecond
+const grantTimeout = 40 * time.Millisecond
 
 // remoteGrantTimeout is the grantTimeout for an owner in another region, to which the
 // round-trip time is up to 110 ms.
-const answerFarFor = 200 * time.Millisecond
+const remoteGrantTimeout = 200 * time.Millisecond
 
 // bucketHosts lists the hosts that hold customers' buckets for this host, by instance. It is
 // never modified.
-type pool struct {
+type bucketHosts struct {
 	instances []string
 	// timeout is how long one of them may take to respond.
-	answerFor time.Duration
+	timeout time.Duration
 	// peers holds the address of each of them except this host.
 	peers map[string]string
 	// hosts is the total number of hosts of the fleet.
@@ -32,26 +32,26 @@
 // tokens admits customers' requests by the token bucket of this region, whichever host holds
 // it.
 type tokens struct {
-	d     *Daemon
-	spare *share.FallbackBucket
+	d        *Daemon
+	fallback *share.FallbackBucket
 
 	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *fleet.TokenAnswer
+	lastID  uint64
+	pending map[uint64]chan *fleet.TokenAnswer
 }
 
 func newTokens(d *Daemon) *tokens {
-	return &tokens{d: d, spare: share.NewFallbackBucket(), last: randomID(), waiting: map[uint64]chan *fleet.TokenAnswer{}}
+	return &tokens{d: d, fallback: share.NewFallbackBucket(), lastID: randomID(), pending: map[uint64]chan *fleet.TokenAnswer{}}
 }
 
 // newRequest registers a token request and returns its id and the channel for its response.
-func (t *tokens) expect() (id uint64, answer chan *fleet.TokenAnswer) {
+func (t *tokens) newRequest() (id uint64, answer chan *fleet.TokenAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last++
+	t.lastID++
 	answer = make(chan *fleet.TokenAnswer, 1)
-	t.waiting[t.last] = answer
-	return t.last, answer
+	t.pending[t.lastID] = answer
+	return t.lastID, answer
 }
 
 // Admit decides whether to admit one request of a customer.
@@ -59,23 +59,23 @@
 	if c.Rate <= 0 {
 		return share.Verdict{Admitted: true, Part: 1}
 	}
-	p := t.d.awaitPool()
+	p := t.d.awaitBucketHosts()
 	owner := share.ShardOwner(c.Name, p.instances)
 	peer := p.peers[owner]
 	if peer == "" {
 		v := t.d.shares.Admit(now, c)
-		if v.NoLease && t.d.registeredOnce.Load() {
-			return t.spare.Admit(now, c, p.hosts)
+		if v.NoLease && t.d.fallbackAllowed.Load() {
+			return t.fallback.Admit(now, c, p.hosts)
 		}
 		// A host that has just started has no lease until one or two store calls have succeeded,
 		// and awaitBucketHosts has waited for that. The fallback bucket would admit the first
 		// request of each customer and refuse the next.
 		return v
 	}
-	a := t.ask(peer, c.Name, p.answerFor)
+	a := t.requestToken(peer, c.Name, p.timeout)
 	if a == nil {
 		t.d.events.Info("bucket owner did not respond", "customer", c.Name, "owner", owner)
-		return t.spare.Admit(now, c, p.hosts)
+		return t.fallback.Admit(now, c, p.hosts)
 	}
 	return share.Verdict{
 		Admitted: a.Granted, RetryAfter: time.Duration(a.BackMs) * time.Millisecond,
@@ -86,18 +86,18 @@
 // requestToken requests one token from the owner of the bucket. It returns nil if the owner
 // does not respond in time. A later response is dropped and its token is lost, which refuses
 // too many requests rather than too few.
-func (t *tokens) ask(peer, customer string, patience time.Duration) *fleet.TokenAnswer {
-	id, answer := t.expect()
+func (t *tokens) requestToken(peer, customer string, maxWait time.Duration) *fleet.TokenAnswer {
+	id, answer := t.newRequest()
 	defer func() {
 		t.mu.Lock()
-		delete(t.waiting, id)
+		delete(t.pending, id)
 		t.mu.Unlock()
 	}()
 	request := &fleet.Packet{Content: &fleet.Packet_TokenRequest{TokenRequest: &fleet.TokenRequest{Id: id, Customer: customer}}}
 	if err := t.d.wire.SendPacket(request, peer); err != nil {
 		return nil
 	}
-	timeout := time.NewTimer(patience)
+	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	select {
 	case a := <-answer:
@@ -108,7 +108,7 @@
 }
 
 // handlePacket handles a token request or the response to one.
-func (t *tokens) receive(p *fleet.Packet, from string) {
+func (t *tokens) handlePacket(p *fleet.Packet, from string) {
 	if q := p.GetTokenRequest(); q != nil {
 		t.grant(q, from)
 		return
@@ -118,7 +118,7 @@
 		return
 	}
 	t.mu.Lock()
-	answer := t.waiting[a.Id]
+	answer := t.pending[a.Id]
 	t.mu.Unlock()
 	if answer == nil {
 		return
@@ -156,7 +156,7 @@
 // Refund returns the token of a request that certainly did not run. Only the host that holds
 // the bucket returns it; a lost token refuses too many requests rather than too few.
 func (t *tokens) Refund(customer string) {
-	p := t.d.pool.Load()
+	p := t.d.bucketHosts.Load()
 	if p.peers[share.ShardOwner(customer, p.instances)] == "" {
 		t.d.shares.Refund(customer)
 	}
@@ -166,22 +166,22 @@
 // host whose registration has expired may not grant tokens. If the region has none, the hosts
 // of other regions hold its buckets. Otherwise, if the store rejected a whole region, all
 // requests of the region's callers would be refused as over their rate.
-func newPool(self Self, ready bool, heard []fleet.Member, hosts int) *pool {
-	p := &pool{peers: map[string]string{}, hosts: hosts, answerFor: answerFor}
+func newBucketHosts(self Self, ready bool, peers []fleet.Member, hosts int) *bucketHosts {
+	p := &bucketHosts{peers: map[string]string{}, hosts: hosts, timeout: grantTimeout}
 	if ready {
 		p.instances = append(p.instances, self.Instance)
 	}
-	p.add(heard, func(region string) bool { return region == self.Region })
+	p.add(peers, func(region string) bool { return region == self.Region })
 	if len(p.instances) == 0 {
-		p.answerFor = answerFarFor
-		p.add(heard, func(string) bool { return true })
+		p.timeout = remoteGrantTimeout
+		p.add(peers, func(string) bool { return true })
 	}
 	return p
 }
 
 // add adds the peers of some regions.
-func (p *pool) add(heard []fleet.Member, in func(region string) bool) {
-	for _, m := range heard {
+func (p *bucketHosts) add(peers []fleet.Member, in func(region string) bool) {
+	for _, m := range peers {
 		if m.Ready && m.Registered && !m.Leaving && in(m.Region) {
 			p.instances = append(p.instances, m.Instance)
 			p.peers[m.Instance] = m.Peers
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -16,7 +16,7 @@
 const snapshotMaxAge = 5 * time.Second
 
 // snapshotWriterKey is the rendezvous key by which the host that writes snapshots is selected.
-const snapshotRole = "snapshot"
+const snapshotWriterKey = "snapshot"
 
 // restoreSnapshot restores the learned state of the fleet from a snapshot. A snapshot that
 // cannot be decoded is ignored, and the host learns the state anew.
@@ -37,13 +37,13 @@
 
 // rereadSnapshot reads the snapshot again if the last read is old, because a standby does not
 // receive the learned state in heartbeats.
-func (c *control) restoreSnapshotAgain(now time.Time) {
+func (c *control) rereadSnapshot(now time.Time) {
 	if now.Sub(c.snapshotReadAt) < snapshotMaxAge {
 		return
 	}
 	c.snapshotReadAt = now
 	c.d.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, callBound)
+		ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		defer cancel()
 		item, err := c.d.store.Get(ctx, platform.SnapshotKey)
 		if err != nil {
@@ -56,33 +56,33 @@
 
 // isSnapshotWriter reports whether this host writes the snapshots of the fleet. If two hosts
 // consider themselves the writer for a moment, they overwrite each other's snapshot.
-func (c *control) writesSnapshot() bool {
+func (c *control) isSnapshotWriter() bool {
 	all := c.d.directory.Load().storeReaders(func(string) bool { return true })
-	return rendezvous.Pick(snapshotRole, all) == c.d.self.Instance
+	return rendezvous.Pick(snapshotWriterKey, all) == c.d.self.Instance
 }
 
 // writeSnapshotIfDue writes the learned state of this host into the store, if a snapshot is due
 // and this host is the writer.
-func (c *control) snapshot(now time.Time) {
-	if !c.snapshots.Due(now) || !c.writesSnapshot() {
+func (c *control) writeSnapshotIfDue(now time.Time) {
+	if !c.snapshotWriter.Due(now) || !c.isSnapshotWriter() {
 		return
 	}
-	c.writeGuide()
-	memory := c.d.table.Memory(now)
-	if len(memory.Upstreams) == 0 {
+	c.writeHint()
+	learned := c.d.table.Memory(now)
+	if len(learned.Upstreams) == 0 {
 		return
 	}
-	data, err := snapshot.Encode(time.Now(), memory)
+	data, err := snapshot.Encode(time.Now(), learned)
 	if err != nil {
 		c.d.events.Warn("snapshot not encoded", "error", err)
 		return
 	}
-	c.snapshots.Began(now, len(data))
+	c.snapshotWriter.Began(now, len(data))
 	c.d.spawn(func(ctx context.Context) { c.d.writeSnapshot(ctx, data) })
 }
 
 func (d *Daemon) writeSnapshot(ctx context.Context, data []byte) {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if err := d.store.Put(ctx, platform.SnapshotKey, data, 0); err != nil {
 		d.events.Debug("snapshot not written", "error", err)
--- a/internal/entryhost/snapshot_test.go
+++ b/internal/entryhost/snapshot_test.go
@@ -38,7 +38,7 @@
 }
 
 // requestAll requests the object once on each route.
-func (s *site) askAll(h *host) {
+func (s *site) requestAll(h *host) {
 	g := NewWithT(s.t)
 	g.Expect(s.read(h).status).To(Equal(http.StatusOK))
 	g.Expect(s.call(h, "GET", "/open/1", "", "").status).To(Equal(http.StatusOK))
@@ -48,13 +48,13 @@
 // Guards against cold requests after all hosts lost power while the upstreams kept running:
 // requests for an object must go to the upstream that is warm for it, not to one that has never
 // served it.
-func TestRestartedHostsKnowWhatIsWarm(t *testing.T) {
+func TestRestartedHostsPreferWarmUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	s, warm := warmSite(t)
 	runs := len(warm.Runs())
 	h := s.host("h2", "a1")
 	s.awaitServing()
-	s.askAll(h)
+	s.requestAll(h)
 	g.Expect(len(warm.Runs())-runs).To(BeNumerically(">=", 4), "each request went to the upstream that is warm")
 }
 
@@ -67,5 +67,5 @@
 	h := s.host("h2", "a1")
 	g.Eventually(h.ready, "10s", 50*time.Millisecond).Should(BeTrue())
 	s.awaitServing()
-	s.askAll(h)
+	s.requestAll(h)
 }
--- a/internal/entryhost/starting.go
+++ b/internal/entryhost/startup.go
@@ -11,41 +11,43 @@
 // defaultStartupWait bounds how long a caller waits for a host that has just started. It covers
 // the store calls at the start, from the farthest region and concurrent with those of all other
 // hosts.
-const startGrace = time.Second
+const defaultStartupWait = time.Second
 
 // remainingStartupWait returns how long callers may still wait; 0 or less means that they do
 // not wait.
-func (d *Daemon) starting() time.Duration { return d.startingFor - d.now().Sub(d.startedAt) }
+func (d *Daemon) remainingStartupWait() time.Duration {
+	return d.startupWait - d.now().Sub(d.startedAt)
+}
 
 // awaitBucketHosts waits, right after the start, until some host is active, and returns the
 // hosts that hold customers' buckets.
-func (d *Daemon) awaitPool() *pool {
-	d.awaitStarted(func() bool { return len(d.pool.Load().instances) > 0 })
-	return d.pool.Load()
+func (d *Daemon) awaitBucketHosts() *bucketHosts {
+	d.awaitStartup(func() bool { return len(d.bucketHosts.Load().instances) > 0 })
+	return d.bucketHosts.Load()
 }
 
 // awaitDirectory waits, right after the start, until some host is active, and returns the
 // directory.
 func (d *Daemon) awaitDirectory() *directory {
-	d.awaitStarted(func() bool { return d.directory.Load().anyReady() })
+	d.awaitStartup(func() bool { return d.directory.Load().anyReady() })
 	return d.directory.Load()
 }
 
 // awaitStartup waits until a condition holds, but not beyond startupWait after the start.
-func (d *Daemon) awaitStarted(holds func() bool) {
-	left := d.starting()
-	if left <= 0 {
+func (d *Daemon) awaitStartup(condition func() bool) {
+	remaining := d.remainingStartupWait()
+	if remaining <= 0 {
 		return
 	}
-	timeout := time.NewTimer(left)
+	timeout := time.NewTimer(remaining)
 	defer timeout.Stop()
 	for {
-		news := d.newHosts.next()
-		if holds() {
+		updated := d.hostsUpdated.next()
+		if condition() {
 			return
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-timeout.C:
 			return
 		case <-d.ctx.Done():
@@ -59,7 +61,7 @@
 	if d.ready {
 		return true
 	}
-	for _, m := range d.others {
+	for _, m := range d.peers {
 		if m.Ready {
 			return true
 		}
--- a/internal/entryhost/stop.go
+++ b/internal/entryhost/stop.go
@@ -11,12 +11,12 @@
 	// acceptFraction is the fraction of the grace period in which the host still accepts
 	// requests while callers move to other hosts: callers cache a response of the directory for
 	// two seconds, some for longer. The rest is for requests that still run.
-	acceptPart = 0.55
+	acceptFraction = 0.55
 	// exitMargin is the part of the grace period that is left when the daemon stops waiting for
 	// requests. It covers the call that ends the lease, which runs into its timeout if the
 	// store is unresponsive, and the exit of the process. The platform kills the process at the
 	// end of the grace period.
-	endMargin = retryCall + 150*time.Millisecond
+	exitMargin = storeRetryDelay + 150*time.Millisecond
 )
 
 // Stop ends the daemon within the grace period without interrupting requests. First the
@@ -30,21 +30,21 @@
 		c.leaving = true
 		c.announceToAll(d.now())
 	})
-	time.Sleep(time.Duration(float64(grace) * acceptPart))
-	left := grace - endMargin - d.now().Sub(began)
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+	time.Sleep(time.Duration(float64(grace) * acceptFraction))
+	remaining := grace - exitMargin - d.now().Sub(began)
+	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
-	var all sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, server := range d.servers {
-		all.Add(1)
+		shutdowns.Add(1)
 		go func(server *http.Server) {
-			defer all.Done()
+			defer shutdowns.Done()
 			if err := server.Shutdown(ctx); err != nil {
 				d.events.Warn("requests still run at the end of the grace", "error", err)
 			}
 		}(server)
 	}
-	all.Wait()
+	shutdowns.Wait()
 	d.events.Info("stopped", "took", d.now().Sub(began))
 	d.cancel()
 	d.tasks.Wait()
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -23,7 +23,7 @@
 		c.roster.Reached(now)
 		first := !c.listed
 		if first || !asOf.IsZero() {
-			c.replaceAll(now, l.Items)
+			c.replaceState(now, l.Items)
 		}
 		if first {
 			// The type of the registration depends on whether the host will hold rate shares.
@@ -33,19 +33,19 @@
 		if !asOf.IsZero() {
 			c.revision = max(c.revision, l.Revision)
 		}
-		c.confirmedByStore(asOf)
+		c.noteStoreReached(asOf)
 	})
 }
 
 // replaceState replaces the state by a full listing of the store.
-func (c *control) replaceAll(now time.Time, items []kv.Item) {
+func (c *control) replaceState(now time.Time, items []kv.Item) {
 	c.seen.Listed(items)
 	c.journal.Reset()
 	c.hostRegistrations.journal.Reset()
 	clear(c.items)
 	upstreams, zones := map[string]bool{}, map[string]bool{}
 	for key := range c.registrations {
-		c.hostUnregistered(key)
+		c.removeHostRegistration(key)
 	}
 	for _, item := range items {
 		if zone, ok := platform.EvacuatedZone(item.Key); ok {
@@ -57,20 +57,20 @@
 		c.applyWrite(now, item)
 	}
 	for _, id := range c.roster.Unlisted(upstreams) {
-		c.unregister(now, id)
+		c.deleteUpstreamEntry(now, id)
 	}
-	for zone := range c.zones {
+	for zone := range c.evacuatedZones {
 		if !zones[zone] {
-			c.evacuate(zone, false)
+			c.setEvacuated(zone, false)
 		}
 	}
 	if !c.listed {
 		c.restoreSnapshot(now, items)
 	}
-	c.listHosts(now)
+	c.updateMembers(now)
 	if !c.listed {
 		c.listed = true
-		c.d.peersKnown.Store(len(c.registrations) > 0)
+		c.d.hasPeers.Store(len(c.registrations) > 0)
 	}
 }
 
@@ -81,7 +81,7 @@
 		c.roster.Reached(now)
 		c.applyChanges(now, changes.Events)
 		c.revision = max(c.revision, changes.Revision)
-		c.confirmedByStore(asOf)
+		c.noteStoreReached(asOf)
 	})
 }
 
@@ -89,7 +89,7 @@
 func (s storeSink) Failed(err error) {
 	s.c.send(func(c *control) {
 		c.roster.Failed()
-		c.noteStoreLost(err)
+		c.noteStoreUnreachable(err)
 	})
 }
 
@@ -102,14 +102,14 @@
 			base = c.configuration
 		}
 		if e.Deleted {
-			c.applyRemoval(now, e.Key)
+			c.applyDelete(now, e.Key)
 		} else {
 			c.applyWrite(now, e.Item)
 		}
 		c.journal.Add(before, c.digest.Sum(), e, base)
 		c.hostRegistrations.journal.Add(hostsBefore, c.hostRegistrations.digest.Sum(), e, nil)
 	}
-	c.listHosts(now)
+	c.updateMembers(now)
 }
 
 // applyWrite applies the write of a key.
@@ -118,19 +118,19 @@
 		c.items[item.Key] = item
 	}
 	if platform.IsConfiguration(item.Key) {
-		c.declare(item)
+		c.applyConfiguration(item)
 		return
 	}
 	if _, ok := platform.UpstreamID(item.Key); ok {
-		c.register(now, item)
+		c.putUpstreamEntry(now, item)
 		return
 	}
 	if _, ok := platform.HostInstance(item.Key); ok {
-		c.hostRegistered(item)
+		c.setHostRegistration(item)
 		return
 	}
 	if item.Key == platform.GuideKey {
-		c.readGuide(item)
+		c.noteStoredHint(item)
 		return
 	}
 	if item.Key == platform.SnapshotKey && c.confirmedAt.IsZero() && c.listed {
@@ -138,24 +138,24 @@
 		c.restoreSnapshot(now, []kv.Item{item})
 	}
 	if zone, ok := platform.EvacuatedZone(item.Key); ok {
-		c.evacuate(zone, true)
+		c.setEvacuated(zone, true)
 	}
 }
 
 // applyDelete applies the deletion of a key.
-func (c *control) applyRemoval(now time.Time, key string) {
+func (c *control) applyDelete(now time.Time, key string) {
 	delete(c.items, key)
 	if id, ok := platform.UpstreamID(key); ok {
-		c.unregister(now, id)
+		c.deleteUpstreamEntry(now, id)
 	}
 	if zone, ok := platform.EvacuatedZone(key); ok {
-		c.evacuate(zone, false)
+		c.setEvacuated(zone, false)
 	}
-	c.hostUnregistered(key)
+	c.removeHostRegistration(key)
 }
 
 // setHostRegistration records the registration of an entry host.
-func (c *control) hostRegistered(item kv.Item) {
+func (c *control) setHostRegistration(item kv.Item) {
 	var r fleet.Registration
 	if err := json.Unmarshal(item.Value, &r); err != nil || r.Instance == "" {
 		c.d.events.Warn("host registration not readable", "key", item.Key, "error", err)
@@ -167,7 +167,7 @@
 }
 
 // removeHostRegistration removes the registration of an entry host.
-func (c *control) hostUnregistered(key string) {
+func (c *control) removeHostRegistration(key string) {
 	if _, ok := c.registrations[key]; !ok {
 		return
 	}
@@ -177,16 +177,16 @@
 }
 
 // updateMembers passes the registered hosts on to members if they have changed.
-func (c *control) listHosts(now time.Time) {
-	if c.hostsListed && !c.hostsChanged {
+func (c *control) updateMembers(now time.Time) {
+	if c.hostsApplied && !c.hostsChanged {
 		return
 	}
-	c.hostsListed, c.hostsChanged = true, false
+	c.hostsApplied, c.hostsChanged = true, false
 	c.members.List(now, slices.Collect(maps.Values(c.registrations)))
 }
 
 // applyConfiguration puts a configuration into force if it is newer.
-func (c *control) declare(item kv.Item) {
+func (c *control) applyConfiguration(item kv.Item) {
 	next, err := platform.DecodeConfiguration(item.Value)
 	if err != nil {
 		c.d.events.Warn("configuration refused", "revision", item.Revision, "in_force", c.version(), "error", err)
@@ -202,25 +202,25 @@
 }
 
 // setEvacuated starts or ends the evacuation of a zone.
-func (c *control) evacuate(zone string, empty bool) {
-	if c.zones[zone] == empty {
+func (c *control) setEvacuated(zone string, evacuated bool) {
+	if c.evacuatedZones[zone] == evacuated {
 		return
 	}
 	// Other goroutines hold references to the present map.
-	c.zones = maps.Clone(c.zones)
-	if empty {
-		c.zones[zone] = true
+	c.evacuatedZones = maps.Clone(c.evacuatedZones)
+	if evacuated {
+		c.evacuatedZones[zone] = true
 		c.d.events.Info("zone evacuated", "zone", zone)
 	} else {
-		delete(c.zones, zone)
+		delete(c.evacuatedZones, zone)
 		c.d.events.Info("zone taken back", "zone", zone)
 	}
-	c.digest.SetZone(zone, empty)
-	c.d.table.Evacuate(c.d.now(), c.zones)
+	c.digest.SetZone(zone, evacuated)
+	c.d.table.Evacuate(c.d.now(), c.evacuatedZones)
 }
 
 // advanceConfirmedAt records that the state matched the store at a time.
-func (c *control) confirmedAsOf(asOf time.Time) {
+func (c *control) advanceConfirmedAt(asOf time.Time) {
 	if asOf.After(c.confirmedAt) {
 		c.confirmedAt = asOf
 	}
@@ -228,27 +228,27 @@
 
 // noteStoreReached records a successful response of the store itself, which confirms both the
 // state and the entry hosts' registrations.
-func (c *control) confirmedByStore(asOf time.Time) {
-	c.confirmedAsOf(asOf)
-	c.hostRegistrations.confirmedAsOf(asOf)
-	if c.storeOut {
-		c.storeOut = false
+func (c *control) noteStoreReached(asOf time.Time) {
+	c.advanceConfirmedAt(asOf)
+	c.hostRegistrations.advanceConfirmedAt(asOf)
+	if c.storeUnreachable {
+		c.storeUnreachable = false
 		c.announce(c.d.now())
 		c.d.events.Info("store regained", "version", c.version())
 	}
 }
 
-func (c *control) noteStoreLost(err error) {
-	if !c.storeOut {
+func (c *control) noteStoreUnreachable(err error) {
+	if !c.storeUnreachable {
 		// Peers may have to select another watcher from now on.
-		c.storeOut = true
+		c.storeUnreachable = true
 		c.announce(c.d.now())
 		c.d.events.Warn("store lost", "error", err, "age", c.d.now().Sub(c.confirmedAt))
 	}
 }
 
 // putUpstreamEntry applies an upstream's entry in the store.
-func (c *control) register(now time.Time, item kv.Item) {
+func (c *control) putUpstreamEntry(now time.Time, item kv.Item) {
 	u, err := platform.DecodeUpstream(item)
 	if err != nil {
 		id, _ := platform.UpstreamID(item.Key)
@@ -270,7 +270,7 @@
 	}
 }
 
-func (c *control) unregister(now time.Time, id string) {
+func (c *control) deleteUpstreamEntry(now time.Time, id string) {
 	c.digest.RemoveUpstream(id)
 	if c.roster.Removed(now, id) {
 		c.removeUpstream(id, "entry removed")
--- a/internal/entryhost/storelook.go
+++ b/internal/entryhost/storepace.go
@@ -18,47 +18,47 @@
 	// storeWatchTimeout is how long a watch waits for a change. Together with
 	// watcherReadInterval it stays below readStoreAge, from which other hosts read the store
 	// themselves.
-	storeWait = 700 * time.Millisecond
+	storeWatchTimeout = 700 * time.Millisecond
 	// watcherReadInterval is the interval between reads of the host that watches the store for
 	// its region.
-	storeWatch = 700 * time.Millisecond
+	watcherReadInterval = 700 * time.Millisecond
 	// maxRejectedBackoff is the longest pause between calls of a host that the store rejects,
 	// while the host is a standby or a peer confirms its state. Each call costs money, and the
 	// registration, which expires meanwhile, is renewed by separate calls.
-	storeTurnedAway = 2 * time.Second
+	maxRejectedBackoff = 2 * time.Second
 	// minReadInterval is the least interval between reads of the other hosts. They then know a
 	// change after at most two seconds: a read by the watcher, its heartbeat, and this
 	// interval.
-	storeOwn = 1200 * time.Millisecond
+	minReadInterval = 1200 * time.Millisecond
 	// confirmedReadInterval is the interval between reads of the other hosts while the watcher
 	// confirms their state. A read whose start revision the store has already compacted costs
 	// one listing.
-	storeSeldom = 5 * time.Minute
+	confirmedReadInterval = 5 * time.Minute
 )
 
 func (d *Daemon) storePace() follow.Pace {
 	if d.watches.Load() {
-		return follow.Pace{Wait: storeWait, Every: storeWatch, Least: storeWatch}
+		return follow.Pace{Wait: storeWatchTimeout, Every: watcherReadInterval, Least: watcherReadInterval}
 	}
-	pace := follow.Pace{Wait: storeWait, Every: storeSeldom, Least: storeOwn}
+	pace := follow.Pace{Wait: storeWatchTimeout, Every: confirmedReadInterval, Least: minReadInterval}
 	state := d.state.Load()
-	if state.Standby || d.now().Sub(state.ConfirmedAt) < lookAfter {
-		pace.MaxBackoff = storeTurnedAway
+	if state.Standby || d.now().Sub(state.ConfirmedAt) < readStoreAge {
+		pace.MaxBackoff = maxRejectedBackoff
 	}
 	return pace
 }
 
 // refresh has the state confirmed now, and returns a channel that is closed at the next state.
 func (d *Daemon) refresh() <-chan struct{} {
-	news := d.fresh.next()
+	updated := d.stateUpdated.next()
 	d.control.send(func(c *control) { c.refresh(c.d.now()) })
-	return news
+	return updated
 }
 
 // readStoreNow triggers a read of the store without waiting for the next regular one.
-func (d *Daemon) lookNow(cause string) {
+func (d *Daemon) readStoreNow(cause string) {
 	select {
-	case d.hurry <- struct{}{}:
+	case d.wakeReader <- struct{}{}:
 		d.events.Info("store look", "cause", cause)
 	default:
 	}
