--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -41,8 +41,8 @@
 
 // canServe reports whether the host could serve callers now.
 func (c *control) canServe(now time.Time) bool {
-	known := c.catalog != nil && c.listed
-	return known && !c.leaving && now.Sub(c.confirmedAt) < maxConfigurationAge
+	loaded := c.catalog != nil && c.listed
+	return loaded && !c.leaving && now.Sub(c.confirmedAt) < maxConfigurationAge
 }
 
 // updateReady decides whether callers may be directed to this host.
@@ -83,11 +83,11 @@
 	if c.shouldBeActive(now, peers) {
 		d.lastSelectedAt = now
 	}
-	wanted := now.Sub(d.lastSelectedAt) < deactivateAfter
-	if wanted != d.active {
-		c.d.events.Info("activation", "takes_callers", wanted, "hosts", c.members.Count())
+	stayActive := now.Sub(d.lastSelectedAt) < deactivateAfter
+	if stayActive != d.active {
+		c.d.events.Info("activation", "takes_callers", stayActive, "hosts", c.members.Count())
 	}
-	d.active = wanted
+	d.active = stayActive
 }
 
 // knowsPeers reports whether the host knows enough peers to decide whether it must be active.
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -117,8 +117,9 @@
 	return rendezvous.Pick(watcherKey, near)
 }
 
-// confirmState has the copy of the store's state confirmed, by the watcher or by a read of the
-// store.
+// confirmState keeps this host's copy of the store's state confirmed. It decides whether this
+// host is the watcher, sends the confirmation requests that are due, and triggers a read of the
+// store if peers do not confirm the state.
 func (c *control) confirmState(now time.Time) {
 	watcher := c.watcher()
 	watches := watcher == c.d.self.Instance || watcher == "" && c.watchesAsFallback()
@@ -279,14 +280,14 @@
 
 // applyPeerChanges applies changes that a peer has sent.
 func (c *control) applyPeerChanges(now time.Time, changes []*fleet.Change) {
-	events, err := c.eventsOf(changes)
+	events, err := c.decodeChanges(changes)
 	if err != nil {
 		c.d.events.Warn("change of a peer not usable", "error", err)
 	}
 	c.applyChanges(now, events)
 }
 
-// refresh has the state confirmed for a waiting request: by the watcher, which costs nothing,
+// refresh gets the state confirmed for a waiting request: by the watcher, which costs nothing,
 // and by a read of the store if the watcher does not confirm it in time.
 func (c *control) refresh(now time.Time) {
 	watcher := c.watcher()
--- a/internal/entryhost/confirmserver.go
+++ b/internal/entryhost/confirmserver.go
@@ -77,15 +77,15 @@
 
 // handleConfirmRequest responds to a peer's confirmation request.
 func (d *Daemon) handleConfirmRequest(q *fleet.ConfirmRequest, from string) {
-	k := d.summary.Load()
-	if k == nil || k.digest == 0 {
+	summary := d.summary.Load()
+	if summary == nil || summary.digest == 0 {
 		return
 	}
-	if q.Whole || q.Digest != k.digest || q.Hosts != k.hostsDigest {
+	if q.Whole || q.Digest != summary.digest || q.Hosts != summary.hostsDigest {
 		d.control.send(func(c *control) { c.respondWithChanges(q, from) })
 		return
 	}
-	d.sendConfirmAnswer(&fleet.ConfirmAnswer{Id: q.Id, Digest: k.digest, Hosts: k.hostsDigest, Revision: k.revision}, k.confirmedAt, k.hostsConfirmedAt, from)
+	d.sendConfirmAnswer(&fleet.ConfirmAnswer{Id: q.Id, Digest: summary.digest, Hosts: summary.hostsDigest, Revision: summary.revision}, summary.confirmedAt, summary.hostsConfirmedAt, from)
 }
 
 // respondWithChanges responds to a peer whose state differs from this host's. The response
@@ -150,9 +150,9 @@
 	return kv.Item{Key: x.Key, Value: x.Value, Revision: x.Revision}
 }
 
-// eventsOf decodes the changes that a peer has sent, in their order. The errors are those of
-// package delta.
-func (c *control) eventsOf(changes []*fleet.Change) ([]kv.Event, error) {
+// decodeChanges decodes the changes that a peer has sent, in their order. The errors are those
+// of package delta.
+func (c *control) decodeChanges(changes []*fleet.Change) ([]kv.Event, error) {
 	var out []kv.Event
 	configuration := c.configuration
 	for _, x := range changes {
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -47,8 +47,9 @@
 	c.publishDemand(now, changed)
 }
 
-// publishHosts publishes the known hosts: the active ones to the directory and the placement
-// table, and the holders of customers' buckets.
+// publishHosts publishes the known hosts to the directory, the active ones to the placement
+// table, and the holders of customers' buckets to the callers of awaitBucketHosts. It also
+// applies the bounds of the settings, which may have been reloaded.
 func (c *control) publishHosts() {
 	peers := c.published.peers
 	c.d.directory.Store(&directory{self: c.d.self, ready: c.ready, leaving: c.leaving, reachesStore: !c.storeUnreachable, peers: peers})
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -45,13 +45,13 @@
 }
 
 // newRequest registers a token request and returns its id and the channel for its response.
-func (t *tokens) newRequest() (id uint64, answer chan *fleet.TokenAnswer) {
+func (t *tokens) newRequest() (id uint64, response chan *fleet.TokenAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastID++
-	answer = make(chan *fleet.TokenAnswer, 1)
-	t.pending[t.lastID] = answer
-	return t.lastID, answer
+	response = make(chan *fleet.TokenAnswer, 1)
+	t.pending[t.lastID] = response
+	return t.lastID, response
 }
 
 // Admit decides whether to admit one request of a customer.
@@ -59,23 +59,23 @@
 	if c.Rate <= 0 {
 		return share.Verdict{Admitted: true, Part: 1}
 	}
-	p := t.d.awaitBucketHosts()
-	owner := share.ShardOwner(c.Name, p.instances)
-	peer := p.peers[owner]
+	holders := t.d.awaitBucketHosts()
+	owner := share.ShardOwner(c.Name, holders.instances)
+	peer := holders.peers[owner]
 	if peer == "" {
 		v := t.d.shares.Admit(now, c)
 		if v.NoLease && t.d.fallbackAllowed.Load() {
-			return t.fallback.Admit(now, c, p.hosts)
+			return t.fallback.Admit(now, c, holders.hosts)
 		}
 		// A host that has just started has no lease until one or two store calls have succeeded,
 		// and awaitBucketHosts has waited for that. The fallback bucket would admit the first
 		// request of each customer and refuse the next.
 		return v
 	}
-	a := t.requestToken(peer, c.Name, p.timeout)
+	a := t.requestToken(peer, c.Name, holders.timeout)
 	if a == nil {
 		t.d.events.Info("bucket owner did not respond", "customer", c.Name, "owner", owner)
-		return t.fallback.Admit(now, c, p.hosts)
+		return t.fallback.Admit(now, c, holders.hosts)
 	}
 	return share.Verdict{
 		Admitted: a.Granted, RetryAfter: time.Duration(a.BackMs) * time.Millisecond,
@@ -87,7 +87,7 @@
 // does not respond in time. A later response is dropped and its token is lost, which refuses
 // too many requests rather than too few.
 func (t *tokens) requestToken(peer, customer string, maxWait time.Duration) *fleet.TokenAnswer {
-	id, answer := t.newRequest()
+	id, response := t.newRequest()
 	defer func() {
 		t.mu.Lock()
 		delete(t.pending, id)
@@ -100,7 +100,7 @@
 	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	select {
-	case a := <-answer:
+	case a := <-response:
 		return a
 	case <-timeout.C:
 		return nil
@@ -118,13 +118,13 @@
 		return
 	}
 	t.mu.Lock()
-	answer := t.pending[a.Id]
+	response := t.pending[a.Id]
 	t.mu.Unlock()
-	if answer == nil {
+	if response == nil {
 		return
 	}
 	select {
-	case answer <- a:
+	case response <- a:
 	default:
 	}
 }
@@ -156,8 +156,8 @@
 // Refund returns the token of a request that certainly did not run. Only the host that holds
 // the bucket returns it; a lost token refuses too many requests rather than too few.
 func (t *tokens) Refund(customer string) {
-	p := t.d.bucketHosts.Load()
-	if p.peers[share.ShardOwner(customer, p.instances)] == "" {
+	holders := t.d.bucketHosts.Load()
+	if holders.peers[share.ShardOwner(customer, holders.instances)] == "" {
 		t.d.shares.Refund(customer)
 	}
 }
@@ -167,24 +167,24 @@
 // of other regions hold its buckets. Otherwise, if the store rejected a whole region, all
 // requests of the region's callers would be refused as over their rate.
 func newBucketHosts(self Self, ready bool, peers []fleet.Member, hosts int) *bucketHosts {
-	p := &bucketHosts{peers: map[string]string{}, hosts: hosts, timeout: grantTimeout}
+	b := &bucketHosts{peers: map[string]string{}, hosts: hosts, timeout: grantTimeout}
 	if ready {
-		p.instances = append(p.instances, self.Instance)
+		b.instances = append(b.instances, self.Instance)
 	}
-	p.add(peers, func(region string) bool { return region == self.Region })
-	if len(p.instances) == 0 {
-		p.timeout = remoteGrantTimeout
-		p.add(peers, func(string) bool { return true })
+	b.add(peers, func(region string) bool { return region == self.Region })
+	if len(b.instances) == 0 {
+		b.timeout = remoteGrantTimeout
+		b.add(peers, func(string) bool { return true })
 	}
-	return p
+	return b
 }
 
 // add adds the peers of some regions.
-func (p *bucketHosts) add(peers []fleet.Member, in func(region string) bool) {
+func (b *bucketHosts) add(peers []fleet.Member, in func(region string) bool) {
 	for _, m := range peers {
 		if m.Ready && m.Registered && !m.Leaving && in(m.Region) {
-			p.instances = append(p.instances, m.Instance)
-			p.peers[m.Instance] = m.Peers
+			b.instances = append(b.instances, m.Instance)
+			b.peers[m.Instance] = m.Peers
 		}
 	}
 }
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -61,8 +61,8 @@
 	return rendezvous.Pick(snapshotWriterKey, all) == c.d.self.Instance
 }
 
-// writeSnapshotIfDue writes the learned state of this host into the store, if a snapshot is due
-// and this host is the writer.
+// writeSnapshotIfDue writes the active-hosts hint and the learned state of this host into the
+// store, if a snapshot is due and this host is the writer.
 func (c *control) writeSnapshotIfDue(now time.Time) {
 	if !c.snapshotWriter.Due(now) || !c.isSnapshotWriter() {
 		return
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -96,7 +96,7 @@
 // applyChanges applies changes from the store or from a peer.
 func (c *control) applyChanges(now time.Time, events []kv.Event) {
 	for _, e := range c.seen.Latest(events) {
-		before, hostsBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
+		digestBefore, hostsDigestBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
 		var base []byte
 		if platform.IsConfiguration(e.Key) {
 			base = c.configuration
@@ -106,8 +106,8 @@
 		} else {
 			c.applyWrite(now, e.Item)
 		}
-		c.journal.Add(before, c.digest.Sum(), e, base)
-		c.hostRegistrations.journal.Add(hostsBefore, c.hostRegistrations.digest.Sum(), e, nil)
+		c.journal.Add(digestBefore, c.digest.Sum(), e, base)
+		c.hostRegistrations.journal.Add(hostsDigestBefore, c.hostRegistrations.digest.Sum(), e, nil)
 	}
 	c.updateMembers(now)
 }
--- a/internal/entryhost/storepace.go
+++ b/internal/entryhost/storepace.go
@@ -11,9 +11,9 @@
 // A change ends a watch at once, and changes come in bursts, so there is a minimum interval
 // between watches. A watch that ends without a change confirms the state. The age of the
 // confirmed state is therefore at most the watch timeout plus the interval plus the response
-// time of the store, and the rest of the bound on withdrawn API keys is how long keyed requests
-// go on after the store is lost. New requests must stop going to a draining upstream within 2.5
-// s.
+// time of the store. The rest of the bound on withdrawn API keys is how long requests with a
+// key are still served after the store is lost. A draining upstream must get no new requests
+// after 2.5 s.
 const (
 	// storeWatchTimeout is how long a watch waits for a change. Together with
 	// watcherReadInterval it stays below readStoreAge, from which other hosts read the store
@@ -48,7 +48,8 @@
 	return pace
 }
 
-// refresh has the state confirmed now, and returns a channel that is closed at the next state.
+// refresh requests a confirmation of the state now, and returns a channel that is closed when a
+// new state is published.
 func (d *Daemon) refresh() <-chan struct{} {
 	updated := d.stateUpdated.next()
 	d.control.send(func(c *control) { c.refresh(c.d.now()) })
