--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -119,7 +119,7 @@
 		}
 		h := standby.Host{Instance: m.Instance, Zone: m.Zone, Region: m.Region, Capacity: m.Capacity, Load: m.Load}
 		all = append(all, h)
-		if m.Able {
+		if m.Eligible {
 			able = append(able, h)
 		}
 	}
@@ -142,7 +142,7 @@
 	}
 	out := peers[:len(peers):len(peers)]
 	for _, m := range c.members.PresumedStandbys(c.d.self.Region) {
-		m.Able = true
+		m.Eligible = true
 		out = append(out, m)
 	}
 	return out
--- a/internal/entryhost/activehosts.go
+++ b/internal/entryhost/activehosts.go
@@ -69,7 +69,7 @@
 	}
 	for _, m := range d.peers {
 		if m.Ready && !m.Leaving {
-			hint[m.Region] = append(hint[m.Region], hintHost{m.Peers, m.Capacity.Cores, m.Capacity.LinkMbps})
+			hint[m.Region] = append(hint[m.Region], hintHost{m.PeerAddress, m.Capacity.Cores, m.Capacity.LinkMbps})
 		}
 	}
 	for region, hosts := range hint {
@@ -87,7 +87,7 @@
 	}
 	var out []string
 	for _, h := range hint[region] {
-		if own.PartOf(h.capacity()) < weakFraction {
+		if own.FractionOf(h.capacity()) < weakFraction {
 			out = append(out, h.Peers)
 		}
 	}
@@ -129,7 +129,7 @@
 func (d *Daemon) fetchHint(ctx context.Context) (hint activeHostsHint, ok bool) {
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	l, err := d.store.List(bounded, platform.GuideKey, true)
+	l, err := d.store.List(bounded, platform.ActiveHostsKey, true)
 	if err != nil {
 		return nil, false
 	}
@@ -192,7 +192,7 @@
 	c.d.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		defer cancel()
-		if err := c.d.store.Put(ctx, platform.GuideKey, data, 0); err != nil {
+		if err := c.d.store.Put(ctx, platform.ActiveHostsKey, data, 0); err != nil {
 			c.d.events.Debug("active-hosts hint not written", "error", err)
 			c.send(func(c *control) { c.storedHint = nil })
 		}
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -169,7 +169,7 @@
 // requestConfirm sends a confirmation request to a host.
 func (c *control) requestConfirm(now time.Time, host string) {
 	if host != "" {
-		c.requestConfirmAt(now, c.members.Address(host), pendingConfirm{})
+		c.requestConfirmAt(now, c.members.PeerAddress(host), pendingConfirm{})
 	}
 }
 
--- a/internal/entryhost/confirmserver.go
+++ b/internal/entryhost/confirmserver.go
@@ -125,7 +125,7 @@
 // sources otherwise.
 func (c *control) addChanges(a *fleet.ConfirmAnswer, changes []*fleet.Change, from string) {
 	size := proto.Size(&fleet.ConfirmAnswer{Changes: changes})
-	ok, sources := c.fanout.Send(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
+	ok, sources := c.fanout.Allow(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
 	if ok {
 		a.Changes = changes
 	}
@@ -156,7 +156,7 @@
 	var out []kv.Event
 	configuration := c.configuration
 	for _, x := range changes {
-		if !c.seen.IsNews(x.Key, x.Revision) {
+		if !c.seen.IsNewer(x.Key, x.Revision) {
 			// The change was already applied, for example because the same request was sent
 			// twice.
 			continue
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -45,7 +45,7 @@
 	members *fleet.Members
 	// registrations holds the entry hosts' registrations in the store, by key.
 	registrations map[string]fleet.Registration
-	roster        *follow.Roster
+	roster        *follow.UpstreamRegistry
 	catalog       *catalog.Catalog
 	// items holds the items of the store except snapshots. revision is the store's revision at
 	// the latest read, made by this host or by the peer that confirmed the same state.
@@ -79,7 +79,7 @@
 	digest            follow.Digest
 	journal           follow.Journal
 	fanout            fanout.Limiter
-	seen              follow.Seen
+	seen              follow.KeyRevisions
 	hostRegistrations hostState
 	confirmRequests   confirmRequests
 	watcherCache      watcherCache
@@ -91,14 +91,14 @@
 	storedHint  []byte
 	hintedPeers []string
 	// snapshotWriter paces the snapshots that this host writes.
-	snapshotWriter snapshot.Writer
+	snapshotWriter snapshot.Pacer
 }
 
 func newControl(d *Daemon) *control {
 	return &control{
 		d: d, inbox: make(chan message, 256), evacuatedZones: map[string]bool{}, items: map[string]kv.Item{},
 		registrations: map[string]fleet.Registration{}, confirmRequests: newConfirmRequests(),
-		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewRoster(),
+		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewUpstreamRegistry(),
 	}
 }
 
@@ -154,7 +154,7 @@
 }
 
 func (c *control) tick(now time.Time) {
-	for _, id := range c.roster.Expired(now) {
+	for _, id := range c.roster.RemoveExpired(now) {
 		c.removeUpstream(id, "missing since the store is back")
 	}
 	if holds := c.mayHoldShares(now); holds != c.holdsShares {
@@ -205,6 +205,6 @@
 
 // removeUpstream stops sending requests to an upstream.
 func (c *control) removeUpstream(id, why string) {
-	c.d.table.Remove(id)
+	c.d.table.RemoveUpstream(id)
 	c.d.events.Info("upstream gone", "upstream", id, "reason", why)
 }
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -47,12 +47,12 @@
 	metrics  *telemetry.Metrics
 	tracing  *telemetry.Tracing
 	store    kv.Store
-	wire     *fleet.Wire
+	wire     *fleet.Transport
 	conns    *h1.Pool
 	table    *place.Table
-	shares   *share.Shares
+	shares   *share.Limiter
 	tokens   *tokens
-	retries  *retry.Window
+	retries  *retry.WindowBudget
 	control  *control
 
 	state       atomic.Pointer[front.State]
@@ -125,7 +125,7 @@
 		events: events, metrics: metrics, tracing: tracing, wire: wire, addresses: addresses, listeners: listeners,
 		conns:        h1.NewPool(h1.Dialer(upstreamDialTimeout), clock.Now),
 		shares:       share.New(),
-		retries:      retry.NewWindow(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
+		retries:      retry.NewWindowBudget(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
 		errs:         make(chan error, 4),
 		wakeReader:   make(chan struct{}, 1),
 		listed:       make(chan struct{}),
@@ -140,7 +140,7 @@
 	d.state.Store(&front.State{})
 	d.directory.Store(&directory{self: d.self})
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	storeDialer := h1.DialAhead(d.ctx, h1.Dialer(storeDialTimeout), s.Store)
+	storeDialer := h1.Preconnect(d.ctx, h1.Dialer(storeDialTimeout), s.Store)
 	d.store = platform.NewStore("http://"+s.Store, storeDialer.Dial, metrics.StoreCall)
 	d.control = newControl(d)
 	d.tokens = newTokens(d)
@@ -154,9 +154,9 @@
 func (d *Daemon) Start() {
 	d.startedAt, d.startedWall = d.now(), time.Now()
 	deps := front.Deps{
-		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, Shares: d.tokens,
-		Retries: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
-		Refresh: d.refresh, Updates: d.stateUpdated.next, Starting: d.remainingStartupWait, Overcrowded: d.nearDescriptorLimit,
+		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, RateLimiter: d.tokens,
+		RetryBudget: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
+		Refresh: d.refresh, Updates: d.stateUpdated.next, StartupTimeLeft: d.remainingStartupWait, DisableKeepAlive: d.nearDescriptorLimit,
 	}
 	if d.settings.Load().TraceFile != "" {
 		deps.Tracer = d.tracing.Tracer
@@ -165,7 +165,7 @@
 	for address, handler := range map[string]http.Handler{
 		d.addresses.Callers:   callers,
 		d.addresses.Readiness: platform.ReadinessHandler(d.ready.Load),
-		d.addresses.Directory: platform.DirectoryHandler(d.resolve),
+		d.addresses.Directory: platform.ResolveHandler(d.resolve),
 		d.addresses.Metrics:   d.metricsHandler(),
 	} {
 		if l := d.listeners[address]; l != nil {
@@ -178,9 +178,9 @@
 	})
 	registrar := newRegistrar(d)
 	follower := &follow.Follower{
-		Store: d.store, Prefix: platform.AllKeys, Pace: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.wakeReader,
-		Before: d.startFromHint,
-		Listed: func(ctx context.Context) {
+		Store: d.store, Prefix: platform.AllKeys, Timing: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.wakeReader,
+		Bootstrap: d.startFromHint,
+		AfterInitialList: func(ctx context.Context) {
 			await(ctx, registrar.registered, registrationTimeout)
 			d.readWhenRegistered.Store(!isClosed(registrar.registered))
 		},
@@ -230,11 +230,11 @@
 func (d *Daemon) serve(l net.Listener, handler http.Handler) {
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout,
-		DisableGeneralOptionsHandler: true, ErrorLog: d.events.Standard(),
+		DisableGeneralOptionsHandler: true, ErrorLog: d.events.StdLogger(),
 	}
 	if l == d.listeners[d.addresses.Callers] {
 		server.ConnState = d.callerConns.track
-		server.ConnContext = front.WithCaller
+		server.ConnContext = front.WithCallerConn
 	}
 	d.servers = append(d.servers, server)
 	go func() {
@@ -253,11 +253,11 @@
 	if !b.StrictRevocation || b.Revoke.Value() == 0 {
 		return front.Bounds{}
 	}
-	return front.Bounds{KeysFor: max(b.Revoke.Value()-watchLossDelay-keyCheckMargin, tickInterval)}
+	return front.Bounds{KeyMaxAge: max(b.Revoke.Value()-watchLossDelay-keyCheckMargin, tickInterval)}
 }
 
-func (d *Daemon) resolve(region, _ string) platform.Directions {
-	return platform.Directions{Addresses: d.awaitDirectory().resolve(region), For: directoryTTL}
+func (d *Daemon) resolve(region, _ string) platform.Resolution {
+	return platform.Resolution{Addresses: d.awaitDirectory().resolve(region), TTL: directoryTTL}
 }
 
 func (d *Daemon) spawn(task func(context.Context)) {
--- a/internal/entryhost/directory.go
+++ b/internal/entryhost/directory.go
@@ -53,7 +53,7 @@
 		out = append(out, d.self.Instance)
 	}
 	for _, m := range d.peers {
-		if m.Ready && m.SeesStore && !m.Leaving && in(m.Region) {
+		if m.Ready && m.StoreReachable && !m.Leaving && in(m.Region) {
 			out = append(out, m.Instance)
 		}
 	}
@@ -67,7 +67,7 @@
 	}
 	for _, m := range d.peers {
 		if !m.Leaving && accept(m.Region, m.Ready) && len(out) < maxAddresses {
-			out = append(out, m.Callers)
+			out = append(out, m.CallerAddress)
 		}
 	}
 	return out
--- a/internal/entryhost/fullstate_test.go
+++ b/internal/entryhost/fullstate_test.go
@@ -55,10 +55,10 @@
 	now := c.d.now()
 	c.applyFullState(now, fullAnswer("a1"), pendingConfirm{sentAt: now, full: true})
 	g.Expect(c.evacuatedZones).To(HaveKey("a1"))
-	storeSink{c}.Listed(kv.Listing{Revision: 30}, time.Time{})
+	storeSink{c}.OnList(kv.Listing{Revision: 30}, time.Time{})
 	c.handleQueued()
 	g.Expect(c.evacuatedZones).To(HaveKey("a1"))
-	storeSink{c}.Listed(kv.Listing{Revision: 60}, now)
+	storeSink{c}.OnList(kv.Listing{Revision: 60}, now)
 	c.handleQueued()
 	g.Expect(c.evacuatedZones).NotTo(HaveKey("a1"), "a current listing replaces the state")
 }
--- a/internal/entryhost/heartbeat.go
+++ b/internal/entryhost/heartbeat.go
@@ -33,7 +33,7 @@
 	}
 	c.compactHeartbeatDue = now.Add(c.members.IntervalToStandby())
 	c.compactRounds++
-	all := c.heartbeatToAll || c.compactRounds%fleet.FarRounds == 0
+	all := c.heartbeatToAll || c.compactRounds%fleet.RemoteRegionRounds == 0
 	sendsCompact := c.ready || c.heartbeatToAll
 	c.heartbeatToAll = false
 	if peers := c.members.StandbyPeers(all); sendsCompact && len(peers) > 0 {
@@ -64,7 +64,7 @@
 }
 
 func (c *control) sendHeartbeat(b *fleet.Heartbeat, peers []string) {
-	if err := c.d.wire.Send(b, peers); err != nil {
+	if err := c.d.wire.SendHeartbeat(b, peers); err != nil {
 		c.d.events.Debug("heartbeat not sent", "error", err)
 	}
 }
@@ -78,7 +78,7 @@
 		Sequence: c.sequence, Ready: c.ready, Leaving: c.leaving, Version: c.version(),
 		Able: c.canServe(now), Registered: c.holdsShares, SeesStore: !c.storeUnreachable, Digest: c.announcedDigest(),
 		Cores: float32(capacity.Cores), LinkMbps: float32(capacity.LinkMbps),
-		RequestsPerSecond: float32(load.Requests), AnswerMbps: float32(load.AnswerMbps),
+		RequestsPerSecond: float32(load.RequestsPerSecond), AnswerMbps: float32(load.ResponseMbps),
 	}
 }
 
--- a/internal/entryhost/meter.go
+++ b/internal/entryhost/meter.go
@@ -40,8 +40,8 @@
 	}
 	const bitsPerMbit = 1e6
 	gain := 1 - math.Exp(-elapsed.Seconds()/meterTimeConstant.Seconds())
-	m.load.Requests += gain * (m.requests/elapsed.Seconds() - m.load.Requests)
-	m.load.AnswerMbps += gain * (8*m.bytes/bitsPerMbit/elapsed.Seconds() - m.load.AnswerMbps)
+	m.load.RequestsPerSecond += gain * (m.requests/elapsed.Seconds() - m.load.RequestsPerSecond)
+	m.load.ResponseMbps += gain * (8*m.bytes/bitsPerMbit/elapsed.Seconds() - m.load.ResponseMbps)
 	m.requests, m.bytes, m.updatedAt = 0, 0, now
 	return m.load
 }
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -34,7 +34,7 @@
 	}
 	changed := p.generation != c.members.Generation()
 	if changed {
-		p.generation, p.peers = c.members.Generation(), c.members.Present()
+		p.generation, p.peers = c.members.Generation(), c.members.Alive()
 	}
 	c.updateReady(now, p.peers)
 	review := now.Sub(p.reviewedAt) >= reviewInterval
@@ -67,14 +67,14 @@
 	c.d.hostsUpdated.fire()
 	bounds := c.d.settings.Load().Bounds
 	c.d.retries.SetSlack(bounds.RetrySlack, c.members.Count())
-	c.d.table.SetMaxShift(bounds.MaxShift)
+	c.d.table.SetMaxRegionShift(bounds.MaxShift)
 	c.d.shares.SetSlack(bounds.RateSlack)
 }
 
 // publishState publishes the state by which requests are served.
 func (c *control) publishState() {
 	next := front.State{
-		Catalog: c.catalog, ConfirmedAt: c.confirmedAt, Listed: c.listed, Leaving: c.leaving, Standby: !c.activation.active,
+		Catalog: c.catalog, ConfirmedAt: c.confirmedAt, UpstreamsKnown: c.listed, Leaving: c.leaving, Standby: !c.activation.active,
 	}
 	if next == c.published.state {
 		return
@@ -91,5 +91,5 @@
 		return
 	}
 	p.demandGeneration, p.demandAt = c.members.DemandGeneration(), now
-	c.d.shares.SetOthers(c.members.Demand(), c.bucketCount(), c.members.Complete())
+	c.d.shares.SetRemoteDemand(c.members.Demand(), c.bucketCount(), c.members.DemandComplete())
 }
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -33,7 +33,7 @@
 // it.
 type tokens struct {
 	d        *Daemon
-	fallback *share.FallbackBucket
+	fallback *share.FallbackBuckets
 
 	mu      sync.Mutex
 	lastID  uint64
@@ -41,7 +41,7 @@
 }
 
 func newTokens(d *Daemon) *tokens {
-	return &tokens{d: d, fallback: share.NewFallbackBucket(), lastID: randomID(), pending: map[uint64]chan *fleet.TokenAnswer{}}
+	return &tokens{d: d, fallback: share.NewFallbackBuckets(), lastID: randomID(), pending: map[uint64]chan *fleet.TokenAnswer{}}
 }
 
 // newRequest registers a token request and returns its id and the channel for its response.
@@ -55,9 +55,9 @@
 }
 
 // Admit decides whether to admit one request of a customer.
-func (t *tokens) Admit(now time.Time, c *catalog.Customer) share.Verdict {
+func (t *tokens) Admit(now time.Time, c *catalog.Customer) share.Decision {
 	if c.Rate <= 0 {
-		return share.Verdict{Admitted: true, Part: 1}
+		return share.Decision{Admitted: true, Fraction: 1}
 	}
 	holders := t.d.awaitBucketHosts()
 	owner := share.ShardOwner(c.Name, holders.instances)
@@ -77,9 +77,9 @@
 		t.d.events.Info("bucket owner did not respond", "customer", c.Name, "owner", owner)
 		return t.fallback.Admit(now, c, holders.hosts)
 	}
-	return share.Verdict{
+	return share.Decision{
 		Admitted: a.Granted, RetryAfter: time.Duration(a.BackMs) * time.Millisecond,
-		Part: float64(a.Part), Demand: float64(a.Demand),
+		Fraction: float64(a.Part), Demand: float64(a.Demand),
 	}
 }
 
@@ -135,7 +135,7 @@
 	if state.Catalog == nil {
 		return
 	}
-	c := state.Catalog.Named(q.Customer)
+	c := state.Catalog.CustomerByName(q.Customer)
 	if c == nil {
 		return
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	answer := &fleet.TokenAnswer{
-		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Part), Demand: float32(v.Demand),
+		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Fraction), Demand: float32(v.Demand),
 	}
 	if err := t.d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: answer}}, from); err != nil {
 		t.d.events.Debug("token response not sent", "error", err)
@@ -184,7 +184,7 @@
 	for _, m := range peers {
 		if m.Ready && m.Registered && !m.Leaving && in(m.Region) {
 			b.instances = append(b.instances, m.Instance)
-			b.peers[m.Instance] = m.Peers
+			b.peers[m.Instance] = m.PeerAddress
 		}
 	}
 }
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -177,7 +177,7 @@
 		if err == nil {
 			r.noteRenewed(sentAt)
 		}
-		if !errors.Is(err, kv.ErrLeaseLapsed) {
+		if !errors.Is(err, kv.ErrLeaseExpired) {
 			return err
 		}
 		r.d.events.Warn("registration lapsed", "lease", r.lease)
@@ -214,7 +214,7 @@
 	s, capacity := r.d.self, r.d.capacity()
 	value, err := json.Marshal(fleet.Registration{
 		Instance: s.Instance, Host: s.Name, Zone: s.Zone, Region: s.Region, Peers: s.Peers,
-		Cores: capacity.Cores, LinkMbps: capacity.LinkMbps, StartedMs: r.d.startedWall.UnixMilli(), Spends: holdsShares,
+		Cores: capacity.Cores, LinkMbps: capacity.LinkMbps, StartedMs: r.d.startedWall.UnixMilli(), HoldsShares: holdsShares,
 	})
 	if err != nil {
 		return errors.WithStack(err)
@@ -241,7 +241,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), storeRetryDelay)
 	defer cancel()
-	if err := r.d.store.End(ctx, r.lease); err != nil {
+	if err := r.d.store.Revoke(ctx, r.lease); err != nil {
 		r.d.events.Debug("registration lease not ended", "error", err)
 	}
 }
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -68,7 +68,7 @@
 		return
 	}
 	c.writeHint()
-	learned := c.d.table.Memory(now)
+	learned := c.d.table.LearnedState(now)
 	if len(learned.Upstreams) == 0 {
 		return
 	}
@@ -77,7 +77,7 @@
 		c.d.events.Warn("snapshot not encoded", "error", err)
 		return
 	}
-	c.snapshotWriter.Began(now, len(data))
+	c.snapshotWriter.Started(now, len(data))
 	c.d.spawn(func(ctx context.Context) { c.d.writeSnapshot(ctx, data) })
 }
 
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -17,10 +17,10 @@
 type storeSink struct{ c *control }
 
 // Listed implements follow.Sink.
-func (s storeSink) Listed(l kv.Listing, asOf time.Time) {
+func (s storeSink) OnList(l kv.Listing, asOf time.Time) {
 	s.c.send(func(c *control) {
 		now := c.d.now()
-		c.roster.Reached(now)
+		c.roster.StoreReached(now)
 		first := !c.listed
 		if first || !asOf.IsZero() {
 			c.replaceState(now, l.Items)
@@ -39,7 +39,7 @@
 
 // replaceState replaces the state by a full listing of the store.
 func (c *control) replaceState(now time.Time, items []kv.Item) {
-	c.seen.Listed(items)
+	c.seen.Reset(items)
 	c.journal.Reset()
 	c.hostRegistrations.journal.Reset()
 	clear(c.items)
@@ -75,10 +75,10 @@
 }
 
 // Changed implements follow.Sink.
-func (s storeSink) Changed(changes kv.Changes, asOf time.Time) {
+func (s storeSink) OnChanges(changes kv.Changes, asOf time.Time) {
 	s.c.send(func(c *control) {
 		now := c.d.now()
-		c.roster.Reached(now)
+		c.roster.StoreReached(now)
 		c.applyChanges(now, changes.Events)
 		c.revision = max(c.revision, changes.Revision)
 		c.noteStoreReached(asOf)
@@ -86,16 +86,16 @@
 }
 
 // Failed implements follow.Sink.
-func (s storeSink) Failed(err error) {
+func (s storeSink) OnError(err error) {
 	s.c.send(func(c *control) {
-		c.roster.Failed()
+		c.roster.StoreFailed()
 		c.noteStoreUnreachable(err)
 	})
 }
 
 // applyChanges applies changes from the store or from a peer.
 func (c *control) applyChanges(now time.Time, events []kv.Event) {
-	for _, e := range c.seen.Latest(events) {
+	for _, e := range c.seen.FilterNewer(events) {
 		digestBefore, hostsDigestBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
 		var base []byte
 		if platform.IsConfiguration(e.Key) {
@@ -129,7 +129,7 @@
 		c.setHostRegistration(item)
 		return
 	}
-	if item.Key == platform.GuideKey {
+	if item.Key == platform.ActiveHostsKey {
 		c.noteStoredHint(item)
 		return
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	c.hostsApplied, c.hostsChanged = true, false
-	c.members.List(now, slices.Collect(maps.Values(c.registrations)))
+	c.members.ApplyRegistrations(now, slices.Collect(maps.Values(c.registrations)))
 }
 
 // applyConfiguration puts a configuration into force if it is newer.
@@ -216,7 +216,7 @@
 		c.d.events.Info("zone taken back", "zone", zone)
 	}
 	c.digest.SetZone(zone, evacuated)
-	c.d.table.Evacuate(c.d.now(), c.evacuatedZones)
+	c.d.table.SetEvacuatedZones(c.d.now(), c.evacuatedZones)
 }
 
 // advanceConfirmedAt records that the state matched the store at a time.
@@ -260,19 +260,19 @@
 		return
 	}
 	if !c.roster.Put(u) {
-		c.d.events.Debug("stale upstream entry ignored", "upstream", u.ID, "born", u.Born, "sequence", u.Sequence)
+		c.d.events.Debug("stale upstream entry ignored", "upstream", u.ID, "born", u.StartedMs, "sequence", u.Sequence)
 		return
 	}
 	c.digest.SetUpstream(u)
-	if c.d.table.Put(now, u) {
+	if c.d.table.PutUpstream(now, u) {
 		c.d.events.Info("upstream", "upstream", u.ID, "service", u.Service, "zone", u.Zone, "address", u.Address,
-			"state", u.State, "cold", u.ColdFor, "born", u.Born, "revision", u.Revision)
+			"state", u.State, "cold", u.ColdRemaining, "born", u.StartedMs, "revision", u.Revision)
 	}
 }
 
 func (c *control) deleteUpstreamEntry(now time.Time, id string) {
 	c.digest.RemoveUpstream(id)
-	if c.roster.Removed(now, id) {
+	if c.roster.EntryRemoved(now, id) {
 		c.removeUpstream(id, "entry removed")
 	}
 }
--- a/internal/entryhost/storepace.go
+++ b/internal/entryhost/storepace.go
@@ -36,11 +36,11 @@
 	confirmedReadInterval = 5 * time.Minute
 )
 
-func (d *Daemon) storePace() follow.Pace {
+func (d *Daemon) storePace() follow.Timing {
 	if d.watches.Load() {
-		return follow.Pace{Wait: storeWatchTimeout, Every: watcherReadInterval, Least: watcherReadInterval}
+		return follow.Timing{WatchTimeout: storeWatchTimeout, Interval: watcherReadInterval, MinInterval: watcherReadInterval}
 	}
-	pace := follow.Pace{Wait: storeWatchTimeout, Every: confirmedReadInterval, Least: minReadInterval}
+	pace := follow.Timing{WatchTimeout: storeWatchTimeout, Interval: confirmedReadInterval, MinInterval: minReadInterval}
 	state := d.state.Load()
 	if state.Standby || d.now().Sub(state.ConfirmedAt) < readStoreAge {
 		pace.MaxBackoff = maxRejectedBackoff
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -14,41 +14,43 @@
 )
 
 const (
-	// format of the snapshots that this version writes and reads.
+	// format is the version of the snapshot format that is written and read.
 	format = 1
-	// checksumBytes precede the message.
+	// checksumBytes is the size of the checksum that precedes the message.
 	checksumBytes = 8
-	// maxAge is the age from which a snapshot says nothing: upstreams have handled
+	// maxAge is the age after which a snapshot is of no use: upstreams have handled
 	// other objects since.
-	maxAge = place.WarmFor
-	// mostObjects keeps a snapshot well below the largest value that the store takes;
-	// those that were used longest ago are left out.
-	mostObjects = 40_000
+	maxAge = place.WarmTTL
+	// maxObjects is the largest number of objects in a snapshot. It keeps a snapshot
+	// well below the largest value that the store accepts. The least recently used
+	// objects are omitted.
+	maxObjects = 40_000
 )
 
 // Errors of Decode; test with errors.Is.
 var (
-	// ErrBroken says that the bytes are not a whole snapshot.
-	ErrBroken = errors.New("snapshot: broken")
-	// ErrFormat says that another version of the program wrote it.
+	// ErrCorrupt reports that the bytes are not a complete snapshot.
+	ErrCorrupt = errors.New("snapshot: corrupt")
+	// ErrFormat reports that the snapshot was written by an incompatible version of the
+	// program.
 	ErrFormat = errors.New("snapshot: unknown format")
 )
 
-// StaleError says that a snapshot is too old to be of use.
+// StaleError reports a snapshot that is too old to be of use.
 type StaleError struct{ Age time.Duration }
 
-func (e *StaleError) Error() string { return fmt.Sprintf("snapshot: %v old", e.Age) }
+func (e *StaleError) Error() string { return fmt.Sprintf("snapshot: stale: %v old", e.Age) }
 
-// Encode writes what is known at the time of day wall.
-func Encode(wall time.Time, m place.Memory) ([]byte, error) {
+// Encode returns the snapshot of the learned state m at the wall clock time wall.
+func Encode(wall time.Time, m place.LearnedState) ([]byte, error) {
 	s := &Snapshot{Format: format, WrittenMs: wall.UnixMilli()}
-	oldest := oldestKept(m)
+	oldest := maxKeptAge(m)
 	for _, u := range m.Upstreams {
 		s.Upstreams = append(s.Upstreams, encodeUpstream(u, oldest))
 	}
 	for _, r := range m.Routes {
 		s.Routes = append(s.Routes, &Route{
-			Name: r.Name, Bytes: uint32(r.Bytes),
+			Name: r.Name, Bytes: uint32(r.ResponseBytes),
 			WarmUs: uint32(r.Warm.Microseconds()), ColdUs: uint32(r.Cold.Microseconds()),
 		})
 	}
@@ -59,23 +61,24 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), nil
 }
 
-// oldestKept is the age up to which mostObjects are left.
-func oldestKept(m place.Memory) time.Duration {
+// maxKeptAge returns the age up to which objects are kept, so that at most maxObjects
+// remain.
+func maxKeptAge(m place.LearnedState) time.Duration {
 	var ages []time.Duration
 	for _, u := range m.Upstreams {
 		for _, o := range u.Objects {
 			ages = append(ages, o.Age)
 		}
 	}
-	if len(ages) <= mostObjects {
+	if len(ages) <= maxObjects {
 		return maxAge
 	}
 	slices.Sort(ages)
-	return ages[mostObjects] - 1
+	return ages[maxObjects] - 1
 }
 
-func encodeUpstream(u place.UpstreamMemory, oldest time.Duration) *Upstream {
-	out := &Upstream{Id: u.ID, Born: u.Born}
+func encodeUpstream(u place.UpstreamState, oldest time.Duration) *Upstream {
+	out := &Upstream{Id: u.ID, Born: u.StartedAt}
 	for _, o := range u.Objects {
 		if o.Age > oldest {
 			continue
@@ -86,43 +89,44 @@
 	return out
 }
 
-// Decode reads a snapshot at the time of day wall, with ages as of then. The
-// clocks of hosts differ: one written in the future counts as just written.
-func Decode(wall time.Time, data []byte) (place.Memory, error) {
+// Decode returns the learned state of a snapshot, with ages as of the wall clock time
+// wall. The clocks of hosts differ, so a snapshot that seems to have been written in the
+// future counts as just written.
+func Decode(wall time.Time, data []byte) (place.LearnedState, error) {
 	if len(data) < checksumBytes {
-		return place.Memory{}, errors.WithStack(ErrBroken)
+		return place.LearnedState{}, errors.WithStack(ErrCorrupt)
 	}
 	body := data[checksumBytes:]
 	if binary.BigEndian.Uint64(data) != xxhash.Sum64(body) {
-		return place.Memory{}, errors.WithStack(ErrBroken)
+		return place.LearnedState{}, errors.WithStack(ErrCorrupt)
 	}
 	var s Snapshot
 	if err := proto.Unmarshal(body, &s); err != nil {
-		return place.Memory{}, errors.Wrap(ErrBroken, err.Error())
+		return place.LearnedState{}, errors.Wrap(ErrCorrupt, err.Error())
 	}
 	if s.Format != format {
-		return place.Memory{}, errors.Wrapf(ErrFormat, "format %d", s.Format)
+		return place.LearnedState{}, errors.Wrapf(ErrFormat, "format %d", s.Format)
 	}
 	age := max(wall.Sub(time.UnixMilli(s.WrittenMs)), 0)
 	if age > maxAge {
-		return place.Memory{}, &StaleError{age}
+		return place.LearnedState{}, &StaleError{age}
 	}
-	return s.memory(age), nil
+	return s.learnedState(age), nil
 }
 
-func (s *Snapshot) memory(age time.Duration) place.Memory {
-	var m place.Memory
+func (s *Snapshot) learnedState(age time.Duration) place.LearnedState {
+	var m place.LearnedState
 	for _, u := range s.Upstreams {
-		known := place.UpstreamMemory{ID: u.Id, Born: u.Born}
+		known := place.UpstreamState{ID: u.Id, StartedAt: u.Born}
 		for i, o := range u.Objects[:min(len(u.Objects), len(u.AgeMs))] {
 			since := age + time.Duration(u.AgeMs[i])*time.Millisecond
-			known.Objects = append(known.Objects, place.ObjectMemory{Object: place.Object(o), Age: since})
+			known.Objects = append(known.Objects, place.WarmObject{Object: place.Object(o), Age: since})
 		}
 		m.Upstreams = append(m.Upstreams, known)
 	}
 	for _, r := range s.Routes {
-		m.Routes = append(m.Routes, place.RouteMemory{
-			Name: r.Name, Bytes: int(r.Bytes),
+		m.Routes = append(m.Routes, place.RouteState{
+			Name: r.Name, ResponseBytes: int(r.Bytes),
 			Warm: time.Duration(r.WarmUs) * time.Microsecond, Cold: time.Duration(r.ColdUs) * time.Microsecond,
 		})
 	}
