--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -178,7 +178,7 @@
 	})
 	registrar := newRegistrar(d)
 	follower := &follow.Follower{
-		Store: d.store, Prefix: platform.AllKeys, Timing: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.wakeReader,
+		Store: d.store, Prefix: platform.AllKeys, Timing: d.storeTiming, Now: d.now, Sink: storeSink{d.control}, Wake: d.wakeReader,
 		Bootstrap: d.startFromHint,
 		AfterInitialList: func(ctx context.Context) {
 			await(ctx, registrar.registered, registrationTimeout)
--- a/internal/entryhost/storepace.go
+++ b/internal/entryhost/storetiming.go
@@ -36,16 +36,16 @@
 	confirmedReadInterval = 5 * time.Minute
 )
 
-func (d *Daemon) storePace() follow.Timing {
+func (d *Daemon) storeTiming() follow.Timing {
 	if d.watches.Load() {
 		return follow.Timing{WatchTimeout: storeWatchTimeout, Interval: watcherReadInterval, MinInterval: watcherReadInterval}
 	}
-	pace := follow.Timing{WatchTimeout: storeWatchTimeout, Interval: confirmedReadInterval, MinInterval: minReadInterval}
+	timing := follow.Timing{WatchTimeout: storeWatchTimeout, Interval: confirmedReadInterval, MinInterval: minReadInterval}
 	state := d.state.Load()
 	if state.Standby || d.now().Sub(state.ConfirmedAt) < readStoreAge {
-		pace.MaxBackoff = maxRejectedBackoff
+		timing.MaxBackoff = maxRejectedBackoff
 	}
-	return pace
+	return timing
 }
 
 // refresh requests a confirmation of the state now, and returns a channel that is closed when a
