--- /dev/null
+++ b/internal/entryhost/activehosts.go
@@ -0,0 +1,203 @@
+package entryhost
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"balsambarrow/internal/kv"
+	"balsambarrow/internal/standby"
+	"balsambarrow/platform"
+)
+
+// How a large number of hosts starts at the same time.
+//
+// After a power loss all hosts start together, and each would list the whole store. The
+// listings exceed the capacity of the store's link, and the hosts that are to be active wait
+// behind all the others. The fleet therefore keeps a small key in the store, the active-hosts
+// hint, which names the active hosts. A host that is much weaker than the hosts in the hint
+// sends them its heartbeats, directs callers to them as soon as it receives their heartbeats,
+// and requests the state of the store from them. It lists the store itself only if they do not
+// send it.
+
+const (
+	// maxHintHosts is the number of hosts of each region in the hint.
+	maxHintHosts = 16
+	// minStrongerHosts is the number of stronger hosts in its region that must exist before a
+	// host leaves the first listing to them.
+	minStrongerHosts = 3
+	// weakFraction is the fraction of another host's capacity below which a host is weak
+	// compared with it. A host that is weak compared with enough hosts expects to be a standby.
+	weakFraction = 0.5
+	// peerStateDelay is how long after its start a host that expects to be a standby requests
+	// the state of the store from peers. It lists the store itself if no peer has sent the
+	// state by peerStateWindow later.
+	peerStateDelay  = 700 * time.Millisecond
+	peerStateWindow = 1500 * time.Millisecond
+	// hintDelay is how long a host with one core waits for a hint if the store has none. A host
+	// with less than one core waits longer, up to maxHintDelay, so that the strongest hosts are
+	// ready first and write the hint.
+	hintDelay    = 200 * time.Millisecond
+	maxHintDelay = 1500 * time.Millisecond
+	// peerRequestSpread is the interval over which hosts randomly spread their first request to
+	// peers, and peerRequestInterval the time between two requests.
+	peerRequestSpread   = 300 * time.Millisecond
+	peerRequestInterval = 300 * time.Millisecond
+)
+
+// activeHostsHint lists the active hosts by region.
+type activeHostsHint map[string][]hintHost
+
+type hintHost struct {
+	Peers    string  `json:"peers"`
+	Cores    float64 `json:"cores"`
+	LinkMbps float64 `json:"link_mbps"`
+}
+
+func (h hintHost) capacity() standby.Capacity {
+	return standby.Capacity{Cores: h.Cores, LinkMbps: h.LinkMbps}
+}
+
+// newActiveHostsHint lists the active hosts of a directory.
+func newActiveHostsHint(d *directory, own standby.Capacity) activeHostsHint {
+	hint := activeHostsHint{}
+	if d.ready {
+		hint[d.self.Region] = append(hint[d.self.Region], hintHost{d.self.Peers, own.Cores, own.LinkMbps})
+	}
+	for _, m := range d.peers {
+		if m.Ready && !m.Leaving {
+			hint[m.Region] = append(hint[m.Region], hintHost{m.PeerAddress, m.Capacity.Cores, m.Capacity.LinkMbps})
+		}
+	}
+	for region, hosts := range hint {
+		slices.SortFunc(hosts, func(a, b hintHost) int { return bytes.Compare([]byte(a.Peers), []byte(b.Peers)) })
+		hint[region] = hosts[:min(len(hosts), maxHintHosts)]
+	}
+	return hint
+}
+
+// strongerPeers returns the addresses of the hosts of a region compared with which a host is
+// weak. It returns none if there are too few of them to serve the callers.
+func (hint activeHostsHint) strongerPeers(region string, own standby.Capacity) []string {
+	if own == (standby.Capacity{}) {
+		return nil
+	}
+	var out []string
+	for _, h := range hint[region] {
+		if own.FractionOf(h.capacity()) < weakFraction {
+			out = append(out, h.Peers)
+		}
+	}
+	if len(out) < minStrongerHosts {
+		return nil
+	}
+	return out
+}
+
+// startFromHint reads the active-hosts hint before the first listing. A host that is weak
+// compared with the hosts in the hint sends them its heartbeats and requests the state of the
+// store from them. startFromHint returns the revision of that state, or false if the host has
+// to list the store itself.
+func (d *Daemon) startFromHint(ctx context.Context) (revision uint64, ok bool) {
+	hint, known := d.fetchHint(ctx)
+	if cores := d.capacity().Cores; known && len(hint) == 0 && cores > 0 {
+		// No host has written a hint yet, because the fleet starts for the first time.
+		sleep(ctx, min(time.Duration(float64(hintDelay)/cores), maxHintDelay))
+		hint, _ = d.fetchHint(ctx)
+	}
+	stronger := hint.strongerPeers(d.self.Region, d.capacity())
+	if len(stronger) == 0 {
+		if len(hint[d.self.Region]) > 0 {
+			// This host is one of the strongest, so it can register before it knows its peers.
+			d.wantsShares.Store(true)
+			close(d.willBeActive)
+		}
+		return 0, false
+	}
+	d.control.send(func(c *control) {
+		c.hintedPeers = stronger
+		c.heartbeatDue = time.Time{}
+	})
+	return d.loadFromPeers(ctx, stronger)
+}
+
+// fetchHint reads the hint, which is empty if the store has none. It returns false if the store
+// does not respond or the hint is not readable.
+func (d *Daemon) fetchHint(ctx context.Context) (hint activeHostsHint, ok bool) {
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
+	defer cancel()
+	l, err := d.store.List(bounded, platform.ActiveHostsKey, true)
+	if err != nil {
+		return nil, false
+	}
+	if len(l.Items) == 0 {
+		return nil, true
+	}
+	if err := json.Unmarshal(l.Items[0].Value, &hint); err != nil {
+		d.events.Warn("guide not readable", "revision", l.Items[0].Revision, "error", err)
+		return nil, false
+	}
+	return hint, true
+}
+
+// loadFromPeers requests the full state of the store from peers in turn, until one has sent it
+// or it is time to list the store. It returns the revision of the state.
+func (d *Daemon) loadFromPeers(ctx context.Context, peers []string) (revision uint64, ok bool) {
+	deadline := d.now().Add(peerStateDelay + peerStateWindow)
+	sleep(ctx, peerStateDelay+rand.N(peerRequestSpread))
+	for i := rand.IntN(len(peers)); ctx.Err() == nil && !isClosed(d.listed) && d.now().Before(deadline); i++ {
+		d.control.send(func(c *control) {
+			c.requestConfirmAt(c.d.now(), peers[i%len(peers)], pendingConfirm{full: true})
+		})
+		await(ctx, d.listed, peerRequestInterval)
+	}
+	if !isClosed(d.listed) {
+		return 0, false
+	}
+	d.readWhenRegistered.Store(true)
+	revisions := make(chan uint64, 1)
+	d.control.send(func(c *control) { revisions <- c.revision })
+	select {
+	case revision = <-revisions:
+		return revision, true
+	case <-ctx.Done():
+		return 0, false
+	}
+}
+
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
+// writeHint writes the active-hosts hint into the store if it has changed. It is called on the
+// host that writes snapshots.
+func (c *control) writeHint() {
+	data, err := json.Marshal(newActiveHostsHint(c.d.directory.Load(), c.d.capacity()))
+	if err != nil {
+		c.d.events.Warn("active-hosts hint not encoded", "error", err)
+		return
+	}
+	if bytes.Equal(data, c.storedHint) {
+		return
+	}
+	c.storedHint = data
+	c.d.spawn(func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
+		defer cancel()
+		if err := c.d.store.Put(ctx, platform.ActiveHostsKey, data, 0); err != nil {
+			c.d.events.Debug("active-hosts hint not written", "error", err)
+			c.send(func(c *control) { c.storedHint = nil })
+		}
+	})
+}
+
+// noteStoredHint records the hint that is in the store.
+func (c *control) noteStoredHint(item kv.Item) { c.storedHint = item.Value }
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -10,310 +10,321 @@
 	"balsambarrow/internal/rendezvous"
 )
 
-// How hosts confirm to each other that what they know is what the store holds.
+// How hosts confirm that their copy of the store's state is current.
 //
-// Load pattern: each host needs to know every second that no key was withdrawn
-// and no upstream has left, and each call to the store is paid for. So one host of
-// each region watches the store; the others ask it, by datagram, for the digest of
-// what it knows and its age. The same digest confirms what they know as of the
-// question less that age. Where they differ the answer brings the changes that lack,
-// and only where that cannot be they look at the store. A host that the store turns
-// away stays confirmed.
+// Each host must know every second that no API key was withdrawn and no upstream has left, but
+// each store call costs money. Therefore one host of each region, the watcher, watches the
+// store, and the other hosts of the region request from it, by datagram, the digest of its
+// state and the age of that state. If the digests are equal, the requesting host's state is
+// confirmed as of the time of its request minus that age. If they differ, the response carries
+// the missing changes, and the requesting host reads the store only if the changes cannot be
+// sent. A host that the store rejects therefore stays confirmed.
 const (
-	// askEvery is the time between two questions.
-	askEvery = 500 * time.Millisecond
-	// askStandby is the same for a host that stands by.
-	askStandby = time.Second
-	// secondPeerAfter is the age from which another host than the watcher is asked too,
-	// of another region if there is one. The store may turn a whole region away;
-	// each of its hosts takes a second or two to find that out and to leave the
-	// watch to the next.
-	secondPeerAfter = 1200 * time.Millisecond
-	// refreshAnswer is how long the watcher may take to answer where a request waits: a
-	// few milliseconds on the way, and turns of two small processors.
-	refreshAnswer = 100 * time.Millisecond
-	// lookAfter is the age from which a host looks for itself: two questions have had
-	// no answer that confirms.
-	lookAfter = 2100 * time.Millisecond
-	// standbyLater is how much later both are for a host that stands by. It asks less
-	// often, and looks for itself if a caller comes.
-	standbyLater = 900 * time.Millisecond
-	// hostsLookAfter is the age of what is known of other hosts' registrations from which a
-	// host looks for itself, and the time between such looks.
-	hostsLookAfter = 8 * time.Second
-	// askAgain is when a host asks again whose peer had sent as much as its link bears.
-	askAgain = 150 * time.Millisecond
-	// confirmsKept bounds the questions without an answer that are remembered.
-	confirmsKept = 8
-	// storeKey is what the watcher is picked by.
-	storeKey = "store"
+	// confirmInterval is the time between two confirmation requests.
+	confirmInterval = 500 * time.Millisecond
+	// standbyConfirmInterval is the time between two confirmation requests of a standby.
+	standbyConfirmInterval = time.Second
+	// secondPeerAge is the age of the confirmed state from which a second host is queried as
+	// well as the watcher, preferably one of another region. The store may reject a whole
+	// region, and each host of the region takes one or two seconds to find that out and to pass
+	// the watch on to the next.
+	secondPeerAge = 1200 * time.Millisecond
+	// refreshTimeout is how long the watcher may take to respond if a request is waiting for
+	// the confirmation: a few milliseconds of network delay, and scheduling delays on two small
+	// processors.
+	refreshTimeout = 100 * time.Millisecond
+	// readStoreAge is the age of the confirmed state from which a host reads the store itself.
+	// By then two confirmation requests have failed.
+	readStoreAge = 2100 * time.Millisecond
+	// standbyExtraAge is added to secondPeerAge and readStoreAge on a standby. A standby sends
+	// confirmation requests less often, and reads the store when a caller arrives.
+	standbyExtraAge = 900 * time.Millisecond
+	// hostsReadStoreAge is the age of the confirmed registrations of entry hosts from which a
+	// host reads the store itself, and the least time between two such reads.
+	hostsReadStoreAge = 8 * time.Second
+	// deferredRetryDelay is the delay before the next confirmation request if the peer deferred
+	// the changes because it had used up its link's send allowance.
+	deferredRetryDelay = 150 * time.Millisecond
+	// maxPendingConfirms bounds the number of confirmation requests without a response that are
+	// remembered.
+	maxPendingConfirms = 8
+	// watcherKey is the rendezvous key by which the watcher is selected.
+	watcherKey = "store"
 )
 
-// confirms are the questions that this process has asked.
-type confirms struct {
-	last   uint64
-	askDue time.Time
-	asked  map[uint64]question
-	// refreshed is when a question was asked for a request that waits.
-	refreshed time.Time
+// confirmRequests holds the confirmation requests that this process has sent.
+type confirmRequests struct {
+	lastID  uint64
+	due     time.Time
+	pending map[uint64]pendingConfirm
+	// refreshedAt is when the last request was sent on behalf of a waiting caller's request.
+	refreshedAt time.Time
 }
 
-// question is one that a peer was asked.
-type question struct {
-	at time.Time
-	// referred says that another peer had named the one that was asked, and whole that
-	// it was asked for all that the store holds.
-	referred, whole bool
+// pendingConfirm is a confirmation request that was sent to a peer.
+type pendingConfirm struct {
+	sentAt time.Time
+	// referred is set if another peer referred this host to the peer that was queried, and full
+	// if the request is for the full state of the store.
+	referred, full bool
 }
 
-// newConfirms begins with an id of its own (see firstID).
-func newConfirms() confirms { return confirms{last: randomID(), asked: map[uint64]question{}} }
+// newConfirmRequests starts at a random id (see randomID).
+func newConfirmRequests() confirmRequests {
+	return confirmRequests{lastID: randomID(), pending: map[uint64]pendingConfirm{}}
+}
 
-// next is the id of the next question.
-func (q *confirms) next() uint64 {
-	q.last++
-	return q.last
+// nextID returns the id of the next request.
+func (r *confirmRequests) nextID() uint64 {
+	r.lastID++
+	return r.lastID
 }
 
-// randomID is where a process begins to number its questions: at random. One that
-// began at zero would take the answer to a question of the process before it, which
-// had the same address, for the answer to its own; spec/confirm.pml finds that.
+// randomID returns the id from which a process numbers its requests. It is random because a
+// process that started at zero could mistake a response to the previous process at the same
+// address for a response to its own request; spec/confirm.pml finds that case.
 func randomID() uint64 { return rand.Uint64() }
 
-// watcher is the host that watches the store for this region: one of those that
-// take callers and reach the store, by rendezvous. "" if this host knows none.
+// watcher returns the instance that watches the store for this region, selected by rendezvous
+// hash among the active hosts that reach the store. It is "" if this host knows of none.
 func (c *control) watcher() string {
-	if d := c.d.directory.Load(); d != c.watchers.of {
-		c.watchers = watchers{of: d, own: rendezvous.Pick(storeKey, d.storeReaders(c.ownRegion))}
+	if d := c.d.directory.Load(); d != c.watcherCache.directory {
+		c.watcherCache = watcherCache{directory: d, instance: rendezvous.Pick(watcherKey, d.storeReaders(c.isOwnRegion))}
 	}
-	return c.watchers.own
+	return c.watcherCache.instance
 }
 
-// watchers is who watches the store, as of a directory.
-type watchers struct {
-	of  *directory
-	own string
+// watcherCache holds the watcher that was selected from a directory.
+type watcherCache struct {
+	directory *directory
+	instance  string
 }
 
-// ownRegion tells whether a region is this host's.
-func (c *control) ownRegion(region string) bool { return region == c.d.self.Region }
+// isOwnRegion reports whether a region is the region of this host.
+func (c *control) isOwnRegion(region string) bool { return region == c.d.self.Region }
 
-// second is another host than the watcher that takes callers and reaches the store,
-// as far as this one knows: one of another region, which the same failure is less
-// likely to have met; "" if there is none.
-func (c *control) second(watcher string) string {
+// secondPeer returns an active host other than the watcher that reaches the store, as far as
+// this host knows. Hosts of other regions are preferred, since they are less likely to share a
+// failure with the watcher. It is "" if there is none.
+func (c *control) secondPeer(watcher string) string {
 	d := c.d.directory.Load()
-	if far := rendezvous.Pick(storeKey, d.storeReaders(func(region string) bool { return !c.ownRegion(region) })); far != "" {
+	if far := rendezvous.Pick(watcherKey, d.storeReaders(func(region string) bool { return !c.isOwnRegion(region) })); far != "" {
 		return far
 	}
-	near := slices.DeleteFunc(d.storeReaders(c.ownRegion), func(instance string) bool {
+	near := slices.DeleteFunc(d.storeReaders(c.isOwnRegion), func(instance string) bool {
 		return instance == watcher || instance == c.d.self.Instance
 	})
-	return rendezvous.Pick(storeKey, near)
+	return rendezvous.Pick(watcherKey, near)
 }
 
-// confirmKnowledge has what is known confirmed, by the watcher or by a look at
-// the store.
-func (c *control) confirmKnowledge(now time.Time) {
+// confirmState keeps this host's copy of the store's state confirmed. It decides whether this
+// host is the watcher, sends the confirmation requests that are due, and triggers a read of the
+// store if peers do not confirm the state.
+func (c *control) confirmState(now time.Time) {
 	watcher := c.watcher()
-	watches := watcher == c.d.self.Instance || watcher == "" && c.watchesAlone()
+	watches := watcher == c.d.self.Instance || watcher == "" && c.watchesAsFallback()
 	if c.d.watches.Swap(watches) != watches {
 		c.d.events.Info("store watch", "watches", watches, "watcher", watcher)
 		if watches && !c.confirmedAt.IsZero() {
-			c.d.lookNow("watches from now on")
+			c.d.readStoreNow("watches from now on")
 		}
 	}
-	c.publishKnowledge(now, watches)
-	every, later := askEvery, time.Duration(0)
+	c.publishSummary(now, watches)
+	interval, extraAge := confirmInterval, time.Duration(0)
 	if !c.ready {
-		every, later = askStandby, standbyLater
+		interval, extraAge = standbyConfirmInterval, standbyExtraAge
 	}
-	if !watches && !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) > lookAfter+later && c.looksAlone() {
-		c.d.lookNow("not confirmed")
+	if !watches && !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) > readStoreAge+extraAge && c.readsAsFallback() {
+		c.d.readStoreNow("not confirmed")
 	}
-	c.lookForHosts(now)
-	if !c.listed || now.Before(c.confirms.askDue) {
-		// Before the first listing there is nothing to confirm.
+	c.refreshHostRegistrations(now)
+	if !c.listed || now.Before(c.confirmRequests.due) {
+		// Before the first listing there is no state to confirm.
 		return
 	}
-	c.confirms.askDue = now.Add(every)
+	c.confirmRequests.due = now.Add(interval)
 	if !watches {
-		c.ask(now, watcher)
+		c.requestConfirm(now, watcher)
 	}
-	if now.Sub(c.confirmedAt) > secondPeerAfter+later {
-		c.ask(now, c.second(watcher))
+	if now.Sub(c.confirmedAt) > secondPeerAge+extraAge {
+		c.requestConfirm(now, c.secondPeer(watcher))
 	}
 }
 
-// watchesAlone tells whether this host watches the store where no host that takes callers
-// reaches it. One that stands by leaves that to those that take callers, if it hears any:
-// in an outage of the store each call of each host is paid for, and brings nothing.
-func (c *control) watchesAlone() bool {
+// watchesAsFallback reports whether this host watches the store if it knows of no active host
+// that reaches the store. A standby leaves the watch to active hosts if it knows of any: during
+// a store outage each call of each host costs money and achieves nothing.
+func (c *control) watchesAsFallback() bool {
 	return c.ready || !c.d.directory.Load().anyReady()
 }
 
-// looksAlone tells whether this host looks at the store if nobody confirms what it knows.
-// One that stands by leaves that to those that take callers as long as none of them reaches
-// the store either: at the end of an outage all hosts would look at once.
-func (c *control) looksAlone() bool {
+// readsAsFallback reports whether this host reads the store if no peer confirms its state. A
+// standby leaves that to the active hosts while none of them reaches the store: otherwise all
+// hosts would read the store at the same moment when an outage ends.
+func (c *control) readsAsFallback() bool {
 	d := c.d.directory.Load()
-	return c.watchesAlone() || len(d.storeReaders(func(string) bool { return true })) > 0
+	return c.watchesAsFallback() || len(d.storeReaders(func(string) bool { return true })) > 0
 }
 
-// ask sends a question to a host.
-func (c *control) ask(now time.Time, host string) {
+// requestConfirm sends a confirmation request to a host.
+func (c *control) requestConfirm(now time.Time, host string) {
 	if host != "" {
-		c.askPeer(now, c.members.PeerAddress(host), question{})
+		c.requestConfirmAt(now, c.members.PeerAddress(host), pendingConfirm{})
 	}
 }
 
-// askPeer sends a question to an address.
-func (c *control) askPeer(now time.Time, address string, asked question) {
-	q := &c.confirms
-	asked.at = now
-	if len(q.asked) >= confirmsKept {
-		clear(q.asked)
+// requestConfirmAt sends a confirmation request to an address.
+func (c *control) requestConfirmAt(now time.Time, address string, request pendingConfirm) {
+	requests := &c.confirmRequests
+	request.sentAt = now
+	if len(requests.pending) >= maxPendingConfirms {
+		clear(requests.pending)
 	}
-	id := q.next()
-	q.asked[id] = asked
+	id := requests.nextID()
+	requests.pending[id] = request
 	p := &fleet.Packet{Content: &fleet.Packet_ConfirmRequest{ConfirmRequest: &fleet.ConfirmRequest{
-		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Whole: asked.whole,
+		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Whole: request.full,
 	}}}
 	if err := c.d.wire.SendPacket(p, address); err != nil {
-		c.d.events.Debug("peer not asked", "peer", address, "error", err)
+		c.d.events.Debug("confirmation request not sent", "peer", address, "error", err)
 	}
 }
 
-// handleConfirmation takes an answer in. It was made after the question left, so
-// what it says held at the question less the age, however long it was on its way
-// and whatever stood still meanwhile.
-func (c *control) handleConfirmation(a *fleet.ConfirmAnswer) {
-	asked, ok := c.confirms.asked[a.Id]
+// handleConfirmAnswer applies the response to a confirmation request. The peer built the
+// response after the request was sent. The peer's state was therefore current at the time of
+// the request minus the reported age, whatever delays the network or a suspended process added.
+func (c *control) handleConfirmAnswer(a *fleet.ConfirmAnswer) {
+	request, ok := c.confirmRequests.pending[a.Id]
 	if !ok {
 		return
 	}
-	delete(c.confirms.asked, a.Id)
+	delete(c.confirmRequests.pending, a.Id)
 	now := c.d.now()
-	if asked.whole {
-		c.takeAll(now, a, asked)
+	if request.full {
+		c.applyFullState(now, a, request)
 		return
 	}
 	c.applyPeerChanges(now, a.HostChanges)
 	if c.hostRegistrations.digest.Sum() == a.Hosts {
-		c.hostRegistrations.confirmedAsOf(asked.at.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
+		c.hostRegistrations.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
 	}
 	before := c.digest.Sum()
 	c.applyPeerChanges(now, a.Changes)
 	switch c.digest.Sum() {
 	case a.Digest:
-		c.confirmedAsOf(asked.at.Add(-time.Duration(a.AgeUs) * time.Microsecond))
+		c.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.AgeUs) * time.Microsecond))
 		c.revision = max(c.revision, a.Revision)
 	case before:
-		c.lackChanges(now, a, asked)
+		c.handleMissingChanges(now, a, request)
 	default:
-		// There are more changes than fit into one answer.
-		c.confirms.askDue = time.Time{}
+		// More changes are missing than fit into one response, so the next request is sent at
+		// once.
+		c.confirmRequests.due = time.Time{}
 	}
 }
 
-// lackChanges goes on after an answer that told of changes and did not bring them.
-func (c *control) lackChanges(now time.Time, a *fleet.ConfirmAnswer, asked question) {
+// handleMissingChanges handles a response whose digest differs but which carried no usable
+// changes.
+func (c *control) handleMissingChanges(now time.Time, a *fleet.ConfirmAnswer, request pendingConfirm) {
 	switch {
 	case a.Later:
-		c.confirms.askDue = now.Add(askAgain)
-		c.askHolders(now, a, asked)
-	case asked.referred:
+		c.confirmRequests.due = now.Add(deferredRetryDelay)
+		c.requestFromSources(now, a, request)
+	case request.referred:
 	case a.Revision > 0 && a.Revision < c.revision:
-		// The peer is behind, and will know the same with its next look.
+		// The peer is behind and catches up with its next read of the store.
 	default:
-		c.d.lookNow("changes not known to the peer")
+		c.d.readStoreNow("changes not known to the peer")
 	}
 }
 
-// askHolders asks the hosts that an answer has named instead of changes.
-func (c *control) askHolders(now time.Time, a *fleet.ConfirmAnswer, asked question) {
-	if asked.referred {
+// requestFromSources sends the request to the patch sources that a response named instead of
+// carrying the changes.
+func (c *control) requestFromSources(now time.Time, a *fleet.ConfirmAnswer, request pendingConfirm) {
+	if request.referred {
 		return
 	}
-	asked.referred = true
-	for _, holder := range a.Holders {
-		c.askPeer(now, holder, asked)
+	request.referred = true
+	for _, source := range a.Holders {
+		c.requestConfirmAt(now, source, request)
 	}
 }
 
-// takeAll takes over from a peer what the store holds, if this host has not listed it yet.
-func (c *control) takeAll(now time.Time, a *fleet.ConfirmAnswer, asked question) {
+// applyFullState applies a peer's full copy of the store's state, unless this host has already
+// listed the store.
+func (c *control) applyFullState(now time.Time, a *fleet.ConfirmAnswer, request pendingConfirm) {
 	if c.listed || !a.Whole {
 		return
 	}
 	if a.Later {
-		c.askHolders(now, a, asked)
+		c.requestFromSources(now, a, request)
 		return
 	}
 	items := make([]kv.Item, 0, len(a.Changes))
 	for _, x := range a.Changes {
 		items = append(items, itemOf(x))
 	}
-	c.replaceAll(now, items)
+	c.replaceState(now, items)
 	c.revision = a.Revision
-	// It is weak beside the peer, and registers as a host that stands by.
+	// This host is weak compared with the peer, and registers as a standby.
 	close(c.d.listed)
 	if c.digest.Sum() != a.Digest || c.hostRegistrations.digest.Sum() != a.Hosts {
-		c.d.lookNow("peer's items differ from its digest")
+		c.d.readStoreNow("peer's items differ from its digest")
 		return
 	}
-	c.confirmedAsOf(asked.at.Add(-time.Duration(a.AgeUs) * time.Microsecond))
-	c.hostRegistrations.confirmedAsOf(asked.at.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
+	c.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.AgeUs) * time.Microsecond))
+	c.hostRegistrations.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
 	c.d.events.Info("store taken over from a peer", "items", len(items), "revision", a.Revision, "version", c.version(),
 		"age_us", a.AgeUs)
 }
 
-// applyPeerChanges takes changes over that a peer has sent.
+// applyPeerChanges applies changes that a peer has sent.
 func (c *control) applyPeerChanges(now time.Time, changes []*fleet.Change) {
-	events, err := c.eventsOf(changes)
+	events, err := c.decodeChanges(changes)
 	if err != nil {
 		c.d.events.Warn("change of a peer not usable", "error", err)
 	}
 	c.applyChanges(now, events)
 }
 
-// refresh has what is known confirmed for a request that waits: by the watcher, which
-// costs nothing, and by the store if that brings nothing in time.
+// refresh gets the state confirmed for a waiting request: by the watcher, which costs nothing,
+// and by a read of the store if the watcher does not confirm it in time.
 func (c *control) refresh(now time.Time) {
 	watcher := c.watcher()
 	if c.d.watches.Load() || watcher == "" {
-		c.d.lookNow("a request waits")
+		c.d.readStoreNow("a request waits")
 		return
 	}
-	if now.Sub(c.confirms.refreshed) < refreshAnswer {
+	if now.Sub(c.confirmRequests.refreshedAt) < refreshTimeout {
 		return
 	}
-	c.confirms.refreshed = now
-	c.ask(now, watcher)
+	c.confirmRequests.refreshedAt = now
+	c.requestConfirm(now, watcher)
 	since := c.confirmedAt
-	time.AfterFunc(refreshAnswer, func() {
+	time.AfterFunc(refreshTimeout, func() {
 		c.send(func(c *control) {
 			if c.confirmedAt.Equal(since) {
-				c.d.lookNow("a request waits")
+				c.d.readStoreNow("a request waits")
 			}
 		})
 	})
 }
 
-// lookForHosts has the store looked at if the registrations of hosts have not been
-// confirmed for long.
-func (c *control) lookForHosts(now time.Time) {
+// refreshHostRegistrations triggers a read of the store if the registrations of entry hosts
+// have not been confirmed for a long time.
+func (c *control) refreshHostRegistrations(now time.Time) {
 	h := &c.hostRegistrations
-	if h.at.IsZero() || now.Sub(h.at) < hostsLookAfter || now.Before(h.lookDue) {
+	if h.confirmedAt.IsZero() || now.Sub(h.confirmedAt) < hostsReadStoreAge || now.Before(h.readDue) {
 		return
 	}
-	h.lookDue = now.Add(hostsLookAfter)
-	c.d.lookNow("hosts not confirmed")
+	h.readDue = now.Add(hostsReadStoreAge)
+	c.d.readStoreNow("hosts not confirmed")
 }
 
-// handleDigest asks the watcher at once where it knows something else.
+// handleDigest triggers a confirmation request at once if the digest in the watcher's heartbeat
+// differs from this host's digest.
 func (c *control) handleDigest(from string, digest uint64) {
 	if digest != 0 && digest != c.digest.Sum() && from == c.watcher() {
-		c.confirms.askDue = time.Time{}
+		c.confirmRequests.due = time.Time{}
 	}
 }
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -14,64 +14,65 @@
 )
 
 const (
-	// surveyEvery is how often hosts that have gone silent are looked for, and
-	// demandEvery how often the demand that others have told is summed up. The second
-	// is well below the time that heartbeats are reckoned to take.
-	surveyEvery = 100 * time.Millisecond
-	demandEvery = 50 * time.Millisecond
-	// reviewEvery is how often settings and loads, which change without notice, are
+	// expiryInterval is the time between two checks for unresponsive hosts, and demandInterval
+	// the least time between two computations of the total demand that peers have reported.
+	// demandInterval is well below the delay that is assumed for heartbeats.
+	expiryInterval = 100 * time.Millisecond
+	demandInterval = 50 * time.Millisecond
+	// reviewInterval is how often settings and loads, which change without notification, are
 	// taken into account.
-	reviewEvery = time.Second
-	// tickEvery is how often the control thread looks at what time alone
-	// changes: a tenth of the shortest bound that it keeps.
-	tickEvery = 100 * time.Millisecond
-	// standbyTick is the same for a host that stands by.
-	standbyTick = 250 * time.Millisecond
-	// watchSilence is how long a watch may have been deaf before it says nothing.
-	watchSilence = time.Second
-	// keyMargin covers the way from the caller and what the process needs
-	// between the check of a key and its next look at the clock.
-	keyMargin = 400 * time.Millisecond
+	reviewInterval = time.Second
+	// tickInterval is how often the control goroutine handles what depends on time alone. It is
+	// a tenth of the shortest bound that the control goroutine enforces.
+	tickInterval = 100 * time.Millisecond
+	// standbyTickInterval is the tickInterval of a standby.
+	standbyTickInterval = 250 * time.Millisecond
+	// watchLossDelay is how long a broken watch may go undetected.
+	watchLossDelay = time.Second
+	// keyCheckMargin allows for the network delay from the caller and for the processing time
+	// between the check of an API key and the next reading of the clock.
+	keyCheckMargin = 400 * time.Millisecond
 )
 
-// message is something that the control thread is told.
+// message is a function that the control goroutine runs.
 type message func(*control)
 
-// control owns what the daemon believes. Only its goroutine touches it.
+// control holds the host's view of its peers, of the store and of the upstreams. Only its own
+// goroutine accesses it.
 type control struct {
 	d       *Daemon
 	inbox   chan message
 	members *fleet.Members
-	// registrations of entry hosts in the store, by key.
+	// registrations holds the entry hosts' registrations in the store, by key.
 	registrations map[string]fleet.Registration
 	roster        *follow.UpstreamRegistry
 	catalog       *catalog.Catalog
-	// items is what the store holds but for snapshots, and revision the store's of the
-	// latest look, here or at the peer that confirmed the same.
+	// items holds the items of the store except snapshots. revision is the store's revision at
+	// the latest read, made by this host or by the peer that confirmed the same state.
 	items    map[string]kv.Item
 	revision uint64
-	// configuration is the value that catalog was decoded from.
-	configuration []byte
-	zones         map[string]bool
-	confirmedAt   time.Time
-	listed        bool
-	leaving       bool
-	storeOut      bool
-	registration  registration
-	// hostsListed says that registrations were taken over once, and hostsChanged that
-	// some have changed since.
-	hostsListed, hostsChanged bool
-	// held says that the registration stands.
-	held     bool
-	sequence uint64
-	// heartbeatDue and standbyDue are when heartbeats to hosts that take callers, and to the
-	// others, are due.
-	heartbeatDue, briefHeartbeatDue time.Time
-	// toAllHosts says that the next heartbeat to hosts that stand by is sent whether this
-	// host takes callers or not.
-	toAllHosts bool
-	// rounds counts the heartbeats to hosts that stand by.
-	rounds            int
+	// configuration is the encoded value of catalog.
+	configuration    []byte
+	evacuatedZones   map[string]bool
+	confirmedAt      time.Time
+	listed           bool
+	leaving          bool
+	storeUnreachable bool
+	registration     registration
+	// hostsApplied is set once registrations have been passed on to members, and hostsChanged
+	// if some have changed since.
+	hostsApplied, hostsChanged bool
+	// holdsShares is set while the registration entitles this host to hold rate shares.
+	holdsShares bool
+	sequence    uint64
+	// heartbeatDue is when the next full heartbeat to active hosts is due, and
+	// compactHeartbeatDue when the next compact heartbeat to standbys is due.
+	heartbeatDue, compactHeartbeatDue time.Time
+	// heartbeatToAll is set if the next compact heartbeat goes to all standbys, whether this
+	// host is active or not.
+	heartbeatToAll bool
+	// compactRounds counts the rounds of compact heartbeats to standbys.
+	compactRounds     int
 	ready             bool
 	activation        activation
 	published         published
@@ -79,28 +80,29 @@
 	journal           follow.Journal
 	fanout            fanout.Limiter
 	seen              follow.KeyRevisions
-	hostRegistrations hostKnowledge
-	confirms          confirms
-	watchers          watchers
-	// snapshotReadAt is when what the fleet had learned was read last.
+	hostRegistrations hostState
+	confirmRequests   confirmRequests
+	watcherCache      watcherCache
+	// snapshotReadAt is when the snapshot of the fleet's learned state was last read.
 	snapshotReadAt time.Time
-	// guide is what the guide in the store is, as far as this host knows, and guides are
-	// the hosts that it makes itself known to until it hears one that takes callers.
-	guide  []byte
-	guides []string
-	// snapshots paces those that this host writes.
-	snapshots snapshot.Pacer
+	// storedHint is the active-hosts hint in the store, as far as this host knows. hintedPeers
+	// are the addresses to which it sends heartbeats until it receives a heartbeat from an
+	// active host.
+	storedHint  []byte
+	hintedPeers []string
+	// snapshotWriter paces the snapshots that this host writes.
+	snapshotWriter snapshot.Pacer
 }
 
 func newControl(d *Daemon) *control {
 	return &control{
-		d: d, inbox: make(chan message, 256), zones: map[string]bool{}, items: map[string]kv.Item{},
-		registrations: map[string]fleet.Registration{}, confirms: newConfirms(),
+		d: d, inbox: make(chan message, 256), evacuatedZones: map[string]bool{}, items: map[string]kv.Item{},
+		registrations: map[string]fleet.Registration{}, confirmRequests: newConfirmRequests(),
 		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewUpstreamRegistry(),
 	}
 }
 
-// send tells the control thread something; it is dropped when the daemon ends.
+// send queues a message for the control goroutine. The message is dropped when the daemon ends.
 func (c *control) send(m message) {
 	select {
 	case c.inbox <- m:
@@ -109,38 +111,38 @@
 }
 
 func (c *control) run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	ready := true
 	for {
 		if c.ready != ready {
 			ready = c.ready
-			tick.Reset(c.tickInterval())
+			tick.Reset(c.tickPeriod())
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-c.inbox:
 			m(c)
-			c.drain()
+			c.handleQueued()
 		case <-tick.C:
-			c.snapshot(c.d.now())
+			c.writeSnapshotIfDue(c.d.now())
 		}
 		c.tick(c.d.now())
 	}
 }
 
-// tickInterval is the time between two looks at what time alone changes. A host that
-// stands by has nothing to do that must be done sooner.
-func (c *control) tickInterval() time.Duration {
+// tickPeriod returns the time between two ticks. A standby has no duties that need the shorter
+// period.
+func (c *control) tickPeriod() time.Duration {
 	if c.ready {
-		return tickEvery
+		return tickInterval
 	}
-	return standbyTick
+	return standbyTickInterval
 }
 
-// drain takes what else is waiting, so that a burst is published once.
-func (c *control) drain() {
+// handleQueued runs the messages that are already queued, so that a burst is published once.
+func (c *control) handleQueued() {
 	for {
 		select {
 		case m := <-c.inbox:
@@ -155,22 +157,22 @@
 	for _, id := range c.roster.RemoveExpired(now) {
 		c.removeUpstream(id, "missing since the store is back")
 	}
-	if held := c.registered(now); held != c.held {
-		// Others should ask another host for customers' tokens, or this one again.
-		c.held = held
+	if holds := c.mayHoldShares(now); holds != c.holdsShares {
+		// Peers must send token requests for customers to another host, or to this one again.
+		c.holdsShares = holds
 		c.announce(now)
-		c.d.registeredOnce.Store(true)
-		c.d.shares.SetLease(now, held)
+		c.d.fallbackAllowed.Store(true)
+		c.d.shares.SetLease(now, holds)
 	}
 	c.publish(now)
-	c.confirmKnowledge(now)
+	c.confirmState(now)
 	c.sendHeartbeats(now)
 }
 
-// buckets is how many buckets a customer's rate is split among: one for each
-// region with hosts, heard or only registered. A region that is not heard may
-// only be cut off.
-func (c *control) buckets() int {
+// bucketCount returns the number of buckets among which a customer's rate is split: one for
+// each region that has hosts, whether their heartbeats arrive or they are only registered. A
+// region whose heartbeats do not arrive may only be partitioned.
+func (c *control) bucketCount() int {
 	regions := c.members.Regions()
 	if slices.Contains(regions, c.d.self.Region) {
 		return len(regions)
@@ -185,7 +187,7 @@
 	return c.catalog.Version
 }
 
-func (c *control) log(changes []fleet.MemberChange) {
+func (c *control) logMemberChanges(changes []fleet.MemberChange) {
 	for _, change := range changes {
 		c.d.events.Info("peer "+change.What, "peer", change.Member.Host, "instance", change.Member.Instance,
 			"zone", change.Member.Zone)
@@ -195,13 +197,13 @@
 func (c *control) handleHeartbeat(b *fleet.Heartbeat) {
 	now := c.d.now()
 	changes := c.members.ApplyHeartbeat(now, b)
-	c.log(changes)
-	c.answerStandby(now, b, changes)
+	c.logMemberChanges(changes)
+	c.replyToStandby(now, b, changes)
 	c.d.table.ApplyWarmReports(now, b.Warm)
 	c.handleDigest(b.Instance, b.Digest)
 }
 
-// removeUpstream stops sending to an upstream.
+// removeUpstream stops sending requests to an upstream.
 func (c *control) removeUpstream(id, why string) {
 	c.d.table.RemoveUpstream(id)
 	c.d.events.Info("upstream gone", "upstream", id, "reason", why)
--- a/internal/entryhost/meter.go
+++ b/internal/entryhost/meter.go
@@ -8,20 +8,20 @@
 	"balsambarrow/internal/standby"
 )
 
-// meterMemory is the time over which the load is averaged: what moves callers
-// between hosts should not follow chance or a burst of a second.
-const meterMemory = 3 * time.Second
+// meterTimeConstant is the time over which the load is averaged. The load decides which hosts
+// serve callers, and must not follow random variation or a burst of one second.
+const meterTimeConstant = 3 * time.Second
 
-// meter measures what this host does. It is safe for concurrent use.
+// meter measures the load of this host. It is safe for concurrent use.
 type meter struct {
-	mu       sync.Mutex
-	requests float64
-	bytes    float64
-	at       time.Time
-	load     standby.Load
+	mu        sync.Mutex
+	requests  float64
+	bytes     float64
+	updatedAt time.Time
+	load      standby.Load
 }
 
-// add counts one answer.
+// add counts one response.
 func (m *meter) add(bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,25 +29,25 @@
 	m.bytes += float64(bytes)
 }
 
-// read brings the load to now and returns it.
-func (m *meter) read(now time.Time) standby.Load {
+// update computes the load up to now and returns it.
+func (m *meter) update(now time.Time) standby.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	passed := now.Sub(m.at)
-	if m.at.IsZero() || passed <= 0 {
-		m.at = now
+	elapsed := now.Sub(m.updatedAt)
+	if m.updatedAt.IsZero() || elapsed <= 0 {
+		m.updatedAt = now
 		return m.load
 	}
 	const bitsPerMbit = 1e6
-	gain := 1 - math.Exp(-passed.Seconds()/meterMemory.Seconds())
-	m.load.RequestsPerSecond += gain * (m.requests/passed.Seconds() - m.load.RequestsPerSecond)
-	m.load.ResponseMbps += gain * (8*m.bytes/bitsPerMbit/passed.Seconds() - m.load.ResponseMbps)
-	m.requests, m.bytes, m.at = 0, 0, now
+	gain := 1 - math.Exp(-elapsed.Seconds()/meterTimeConstant.Seconds())
+	m.load.RequestsPerSecond += gain * (m.requests/elapsed.Seconds() - m.load.RequestsPerSecond)
+	m.load.ResponseMbps += gain * (8*m.bytes/bitsPerMbit/elapsed.Seconds() - m.load.ResponseMbps)
+	m.requests, m.bytes, m.updatedAt = 0, 0, now
 	return m.load
 }
 
-// last is the load as it was read last.
-func (m *meter) last() standby.Load {
+// latest returns the load as of the last update.
+func (m *meter) latest() standby.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.load
--- a/internal/entryhost/metrics.go
+++ b/internal/entryhost/metrics.go
@@ -21,9 +21,9 @@
 		return d.now().Sub(d.state.Load().ConfirmedAt).Seconds()
 	})
 	d.metrics.Gauge("balsambarrow_upstreams", func() float64 { return float64(d.table.Size()) })
-	d.metrics.Gauge("balsambarrow_ready", func() float64 { return flag(d.ready.Load()) })
-	d.metrics.Gauge("balsambarrow_takes_callers", func() float64 { return flag(!d.state.Load().Standby) })
-	d.metrics.Gauge("balsambarrow_watches_store", func() float64 { return flag(d.watches.Load()) })
+	d.metrics.Gauge("balsambarrow_ready", func() float64 { return boolGauge(d.ready.Load()) })
+	d.metrics.Gauge("balsambarrow_takes_callers", func() float64 { return boolGauge(!d.state.Load().Standby) })
+	d.metrics.Gauge("balsambarrow_watches_store", func() float64 { return boolGauge(d.watches.Load()) })
 	d.metrics.Gauge("balsambarrow_caller_connections", func() float64 { return float64(d.callerConns.count()) })
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		d.metrics.Set.WritePrometheus(w)
@@ -31,15 +31,15 @@
 	})
 }
 
-// flag is how a metric tells yes and no.
-func flag(yes bool) float64 {
+// boolGauge returns the metric value of a condition.
+func boolGauge(yes bool) float64 {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// observe counts one answer to a caller.
+// observe counts one response to a caller.
 func (d *Daemon) observe(o front.Observation) {
 	cause := string(o.Cause)
 	if cause == "" {
@@ -52,7 +52,7 @@
 	d.observePlaced(o.Route, o.Latency)
 }
 
-// observePlaced counts what was expected of an upstream beside what came of it.
+// observePlaced records the expected and the actual times of an upstream.
 func (d *Daemon) observePlaced(route string, p *front.LatencyComparison) {
 	if p == nil {
 		return
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -9,72 +9,73 @@
 	"balsambarrow/internal/share"
 )
 
-// answerFor is how long the owner of a bucket may take to answer: a millisecond
-// on the way, and turns of two processors that have a sixth of a core each.
-const answerFor = 40 * time.Millisecond
+// grantTimeout is how long the owner of a bucket may take to respond: one millisecond of
+// network delay, and scheduling delays on two processors with a sixth of a core each.
+const grantTimeout = 40 * time.Millisecond
 
-// answerFarFor is the same for an owner in another region: the way there and back
-// is up to 110 ms.
-const answerFarFor = 200 * time.Millisecond
+// remoteGrantTimeout is the grantTimeout for an owner in another region, to which the
+// round-trip time is up to 110 ms.
+const remoteGrantTimeout = 200 * time.Millisecond
 
-// pool is the hosts that hold customers' buckets for this one, by instance. It is
+// bucketHosts lists the hosts that hold customers' buckets for this host, by instance. It is
 // never modified.
-type pool struct {
+type bucketHosts struct {
 	instances []string
-	// answerFor is how long one of them may take to answer.
-	answerFor time.Duration
-	// peers is the address of each but this host.
+	// timeout is how long one of them may take to respond.
+	timeout time.Duration
+	// peers holds the address of each of them except this host.
 	peers map[string]string
-	// hosts is the number of all hosts.
+	// hosts is the total number of hosts of the fleet.
 	hosts int
 }
 
-// tokens admits customers' requests by the bucket of this region, wherever it
-// is held.
+// tokens admits customers' requests by the token bucket of this region, whichever host holds
+// it.
 type tokens struct {
-	d     *Daemon
-	spare *share.FallbackBuckets
+	d        *Daemon
+	fallback *share.FallbackBuckets
 
 	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *fleet.TokenAnswer
+	lastID  uint64
+	pending map[uint64]chan *fleet.TokenAnswer
 }
 
 func newTokens(d *Daemon) *tokens {
-	return &tokens{d: d, spare: share.NewFallbackBuckets(), last: randomID(), waiting: map[uint64]chan *fleet.TokenAnswer{}}
+	return &tokens{d: d, fallback: share.NewFallbackBuckets(), lastID: randomID(), pending: map[uint64]chan *fleet.TokenAnswer{}}
 }
 
-// expect makes room for the answer to a question and returns the question's id.
-func (t *tokens) expect() (id uint64, answer chan *fleet.TokenAnswer) {
+// newRequest registers a token request and returns its id and the channel for its response.
+func (t *tokens) newRequest() (id uint64, response chan *fleet.TokenAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last++
-	answer = make(chan *fleet.TokenAnswer, 1)
-	t.waiting[t.last] = answer
-	return t.last, answer
+	t.lastID++
+	response = make(chan *fleet.TokenAnswer, 1)
+	t.pending[t.lastID] = response
+	return t.lastID, response
 }
 
-// Admit takes one request of a customer.
+// Admit decides whether to admit one request of a customer.
 func (t *tokens) Admit(now time.Time, c *catalog.Customer) share.Decision {
 	if c.Rate <= 0 {
 		return share.Decision{Admitted: true, Fraction: 1}
 	}
-	p := t.d.awaitPool()
-	owner := share.ShardOwner(c.Name, p.instances)
-	peer := p.peers[owner]
+	holders := t.d.awaitBucketHosts()
+	owner := share.ShardOwner(c.Name, holders.instances)
+	peer := holders.peers[owner]
 	if peer == "" {
 		v := t.d.shares.Admit(now, c)
-		if v.NoLease && t.d.registeredOnce.Load() {
-			return t.spare.Admit(now, c, p.hosts)
+		if v.NoLease && t.d.fallbackAllowed.Load() {
+			return t.fallback.Admit(now, c, holders.hosts)
 		}
-		// A host that has just started waits for its registration, a call or two: the
-		// fallback bucket would serve the first caller of each customer and refuse the next.
+		// A host that has just started has no lease until one or two store calls have succeeded,
+		// and awaitBucketHosts has waited for that. The fallback bucket would admit the first
+		// request of each customer and refuse the next.
 		return v
 	}
-	a := t.ask(peer, c.Name, p.answerFor)
+	a := t.requestToken(peer, c.Name, holders.timeout)
 	if a == nil {
-		t.d.events.Info("owner of a bucket silent", "customer", c.Name, "owner", owner)
-		return t.spare.Admit(now, c, p.hosts)
+		t.d.events.Info("bucket owner did not respond", "customer", c.Name, "owner", owner)
+		return t.fallback.Admit(now, c, holders.hosts)
 	}
 	return share.Decision{
 		Admitted: a.Granted, RetryAfter: time.Duration(a.BackMs) * time.Millisecond,
@@ -82,32 +83,32 @@
 	}
 }
 
-// ask asks the owner for one token; nil if it does not answer in time. An answer
-// that comes later is dropped: the token is lost, which refuses too much rather
-// than too little.
-func (t *tokens) ask(peer, customer string, patience time.Duration) *fleet.TokenAnswer {
-	id, answer := t.expect()
+// requestToken requests one token from the owner of the bucket. It returns nil if the owner
+// does not respond in time. A later response is dropped and its token is lost, which refuses
+// too many requests rather than too few.
+func (t *tokens) requestToken(peer, customer string, maxWait time.Duration) *fleet.TokenAnswer {
+	id, response := t.newRequest()
 	defer func() {
 		t.mu.Lock()
-		delete(t.waiting, id)
+		delete(t.pending, id)
 		t.mu.Unlock()
 	}()
 	request := &fleet.Packet{Content: &fleet.Packet_TokenRequest{TokenRequest: &fleet.TokenRequest{Id: id, Customer: customer}}}
 	if err := t.d.wire.SendPacket(request, peer); err != nil {
 		return nil
 	}
-	timeout := time.NewTimer(patience)
+	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	select {
-	case a := <-answer:
+	case a := <-response:
 		return a
 	case <-timeout.C:
 		return nil
 	}
 }
 
-// receive takes a packet about tokens in.
-func (t *tokens) receive(p *fleet.Packet, from string) {
+// handlePacket handles a token request or the response to one.
+func (t *tokens) handlePacket(p *fleet.Packet, from string) {
 	if q := p.GetTokenRequest(); q != nil {
 		t.grant(q, from)
 		return
@@ -117,18 +118,18 @@
 		return
 	}
 	t.mu.Lock()
-	answer := t.waiting[a.Id]
+	response := t.pending[a.Id]
 	t.mu.Unlock()
-	if answer == nil {
+	if response == nil {
 		return
 	}
 	select {
-	case answer <- a:
+	case response <- a:
 	default:
 	}
 }
 
-// grant answers a peer from the bucket that this host holds.
+// grant responds to a peer's token request from the bucket that this host holds.
 func (t *tokens) grant(q *fleet.TokenRequest, from string) {
 	state := t.d.state.Load()
 	if state.Catalog == nil {
@@ -140,49 +141,50 @@
 	}
 	v := t.d.shares.Admit(t.d.now(), c)
 	if v.NoLease {
-		// Its registration has lapsed since it told so; the asker goes by its fallback bucket.
+		// The registration has expired since this host announced it. The peer uses its fallback
+		// bucket.
 		return
 	}
 	answer := &fleet.TokenAnswer{
 		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Fraction), Demand: float32(v.Demand),
 	}
 	if err := t.d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: answer}}, from); err != nil {
-		t.d.events.Debug("token not sent", "error", err)
+		t.d.events.Debug("token response not sent", "error", err)
 	}
 }
 
-// Refund gives the token of a request back that certainly did not run. Only the
-// host that holds the bucket does; a lost token refuses too much.
+// Refund returns the token of a request that certainly did not run. Only the host that holds
+// the bucket returns it; a lost token refuses too many requests rather than too few.
 func (t *tokens) Refund(customer string) {
-	p := t.d.pool.Load()
-	if p.peers[share.ShardOwner(customer, p.instances)] == "" {
+	holders := t.d.bucketHosts.Load()
+	if holders.peers[share.ShardOwner(customer, holders.instances)] == "" {
 		t.d.shares.Refund(customer)
 	}
 }
 
-// newPool lists the hosts of this region that are ready and whose registration
-// stands: one whose registration has lapsed may not spend. Where the region has
-// none, those of the others hold its buckets: the store may turn a whole region
-// away, and its callers would all be refused as over their rate.
-func newPool(self Self, ready bool, heard []fleet.Member, hosts int) *pool {
-	p := &pool{peers: map[string]string{}, hosts: hosts, answerFor: answerFor}
+// newBucketHosts lists the hosts of this region that are ready and have a valid registration; a
+// host whose registration has expired may not grant tokens. If the region has none, the hosts
+// of other regions hold its buckets. Otherwise, if the store rejected a whole region, all
+// requests of the region's callers would be refused as over their rate.
+func newBucketHosts(self Self, ready bool, peers []fleet.Member, hosts int) *bucketHosts {
+	b := &bucketHosts{peers: map[string]string{}, hosts: hosts, timeout: grantTimeout}
 	if ready {
-		p.instances = append(p.instances, self.Instance)
+		b.instances = append(b.instances, self.Instance)
 	}
-	p.add(heard, func(region string) bool { return region == self.Region })
-	if len(p.instances) == 0 {
-		p.answerFor = answerFarFor
-		p.add(heard, func(string) bool { return true })
+	b.add(peers, func(region string) bool { return region == self.Region })
+	if len(b.instances) == 0 {
+		b.timeout = remoteGrantTimeout
+		b.add(peers, func(string) bool { return true })
 	}
-	return p
+	return b
 }
 
-// add lists the hosts of some regions.
-func (p *pool) add(heard []fleet.Member, in func(region string) bool) {
-	for _, m := range heard {
+// add adds the peers of some regions.
+func (b *bucketHosts) add(peers []fleet.Member, in func(region string) bool) {
+	for _, m := range peers {
 		if m.Ready && m.Registered && !m.Leaving && in(m.Region) {
-			p.instances = append(p.instances, m.Instance)
-			p.peers[m.Instance] = m.PeerAddress
+			b.instances = append(b.instances, m.Instance)
+			b.peers[m.Instance] = m.PeerAddress
 		}
 	}
 }
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -11,15 +11,15 @@
 	"balsambarrow/platform"
 )
 
-// snapshotMaxAge is the age of the last snapshot that was read from which a host that
-// begins to take callers reads it again.
+// snapshotMaxAge is the age of the last snapshot read from which a host that becomes ready
+// reads the snapshot again.
 const snapshotMaxAge = 5 * time.Second
 
-// snapshotRole is what the host that writes snapshots is picked by.
-const snapshotRole = "snapshot"
+// snapshotWriterKey is the rendezvous key by which the host that writes snapshots is selected.
+const snapshotWriterKey = "snapshot"
 
-// restoreSnapshot takes over what the fleet knew before this process began. A snapshot that
-// cannot be used is ignored: the host learns anew.
+// restoreSnapshot restores the learned state of the fleet from a snapshot. A snapshot that
+// cannot be decoded is ignored, and the host learns the state anew.
 func (c *control) restoreSnapshot(now time.Time, items []kv.Item) {
 	i := slices.IndexFunc(items, func(item kv.Item) bool { return item.Key == platform.SnapshotKey })
 	if i < 0 {
@@ -35,15 +35,15 @@
 		"upstreams", len(m.Upstreams), "objects", c.d.table.Restore(now, m), "routes", len(m.Routes))
 }
 
-// restoreSnapshotAgain has what the fleet has learned read anew, if this host did not hear it
-// because it stood by.
-func (c *control) restoreSnapshotAgain(now time.Time) {
+// rereadSnapshot reads the snapshot again if the last read is old, because a standby does not
+// receive the learned state in heartbeats.
+func (c *control) rereadSnapshot(now time.Time) {
 	if now.Sub(c.snapshotReadAt) < snapshotMaxAge {
 		return
 	}
 	c.snapshotReadAt = now
 	c.d.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, callBound)
+		ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		defer cancel()
 		item, err := c.d.store.Get(ctx, platform.SnapshotKey)
 		if err != nil {
@@ -54,34 +54,35 @@
 	})
 }
 
-// writesSnapshot tells whether this host is the one of the fleet that writes
-// snapshots. Two that believe so for a moment overwrite each other.
-func (c *control) writesSnapshot() bool {
+// isSnapshotWriter reports whether this host writes the snapshots of the fleet. If two hosts
+// consider themselves the writer for a moment, they overwrite each other's snapshot.
+func (c *control) isSnapshotWriter() bool {
 	all := c.d.directory.Load().storeReaders(func(string) bool { return true })
-	return rendezvous.Pick(snapshotRole, all) == c.d.self.Instance
+	return rendezvous.Pick(snapshotWriterKey, all) == c.d.self.Instance
 }
 
-// snapshot writes what this host knows into the store, if it is its turn.
-func (c *control) snapshot(now time.Time) {
-	if !c.snapshots.Due(now) || !c.writesSnapshot() {
+// writeSnapshotIfDue writes the active-hosts hint and the learned state of this host into the
+// store, if a snapshot is due and this host is the writer.
+func (c *control) writeSnapshotIfDue(now time.Time) {
+	if !c.snapshotWriter.Due(now) || !c.isSnapshotWriter() {
 		return
 	}
-	c.writeGuide()
-	memory := c.d.table.LearnedState(now)
-	if len(memory.Upstreams) == 0 {
+	c.writeHint()
+	learned := c.d.table.LearnedState(now)
+	if len(learned.Upstreams) == 0 {
 		return
 	}
-	data, err := snapshot.Encode(time.Now(), memory)
+	data, err := snapshot.Encode(time.Now(), learned)
 	if err != nil {
 		c.d.events.Warn("snapshot not encoded", "error", err)
 		return
 	}
-	c.snapshots.Started(now, len(data))
+	c.snapshotWriter.Started(now, len(data))
 	c.d.spawn(func(ctx context.Context) { c.d.writeSnapshot(ctx, data) })
 }
 
 func (d *Daemon) writeSnapshot(ctx context.Context, data []byte) {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if err := d.store.Put(ctx, platform.SnapshotKey, data, 0); err != nil {
 		d.events.Debug("snapshot not written", "error", err)
--- a/internal/entryhost/stop.go
+++ b/internal/entryhost/stop.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// acceptPart of the grace is for callers to go elsewhere: they keep an
-	// answer of the directory for two seconds, some for longer. The rest is for
-	// requests that still run.
-	acceptPart = 0.55
-	// endMargin is left of the grace when the daemon gives up waiting: the call that
-	// gives the registration up, which a silent store lets run to its bound, and the
-	// end of the process. The platform kills what is left at the end of the grace.
-	endMargin = retryCall + 150*time.Millisecond
+	// acceptFraction is the fraction of the grace period in which the host still accepts
+	// requests while callers move to other hosts: callers cache a response of the directory for
+	// two seconds, some for longer. The rest is for requests that still run.
+	acceptFraction = 0.55
+	// exitMargin is the part of the grace period that is left when the daemon stops waiting for
+	// requests. It covers the call that ends the lease, which runs into its timeout if the
+	// store is unresponsive, and the exit of the process. The platform kills the process at the
+	// end of the grace period.
+	exitMargin = storeRetryDelay + 150*time.Millisecond
 )
 
-// Stop ends the daemon within the grace and cuts no request off: it stops being
-// named, closes connections with the answers that they carry, then takes no new
-// requests and waits for those that run.
+// Stop ends the daemon within the grace period without interrupting requests. First the
+// directory stops naming the host and responses close their connections; then the host accepts
+// no new requests and waits for those that run.
 func (d *Daemon) Stop() {
 	began := d.now()
 	grace := d.settings.Load().Bounds.Grace.Value()
@@ -29,21 +30,21 @@
 		c.leaving = true
 		c.announceToAll(d.now())
 	})
-	time.Sleep(time.Duration(float64(grace) * acceptPart))
-	left := grace - endMargin - d.now().Sub(began)
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+	time.Sleep(time.Duration(float64(grace) * acceptFraction))
+	remaining := grace - exitMargin - d.now().Sub(began)
+	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
-	var all sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, server := range d.servers {
-		all.Add(1)
+		shutdowns.Add(1)
 		go func(server *http.Server) {
-			defer all.Done()
+			defer shutdowns.Done()
 			if err := server.Shutdown(ctx); err != nil {
 				d.events.Warn("requests still run at the end of the grace", "error", err)
 			}
 		}(server)
 	}
-	all.Wait()
+	shutdowns.Wait()
 	d.events.Info("stopped", "took", d.now().Sub(began))
 	d.cancel()
 	d.tasks.Wait()
