--- a/internal/steer/choose.go
+++ b/internal/steer/choose.go
@@ -10,60 +10,69 @@
 	"balsambarrow/internal/config"
 )
 
-// Request is what steering knows of a request.
+// Request holds the properties of a request that steering uses.
 type Request struct {
 	Service  string
 	Customer string
-	// HashKey decides which part of a shifted traffic a request belongs to: the
-	// same key goes to the same region, so that caches warm.
+	// HashKey is hashed to select the requests that a shift moves. Requests
+	// with the same key go to the same region, so that its caches become warm.
 	HashKey string
-	// SizeBytes is the size of the request on the way to another region.
+	// SizeBytes is the number of bytes that the request takes on a link to
+	// another region.
 	SizeBytes float64
 }
 
-// Target is a daemon to ask, with what has to be taken before.
+// Target is a daemon that may run the request, with the quotas to take from
+// before the request is sent to it.
 type Target struct {
 	Handler *Handler
-	// ShiftQuota is the quota of the shift's cap; "" in the home region.
+	// ShiftQuota names the quota of the shift's cap; it is empty in the local
+	// region.
 	ShiftQuota string
-	// DrainQuota is the quota of the drain that causes the shift; "" if none.
+	// DrainQuota names the quota of the drain that causes the shift; it is
+	// empty without a drain.
 	DrainQuota string
-	// LinkQuota is the quota of the link that the request crosses; "" if none.
+	// LinkQuota names the quota of the link that the request crosses; it is
+	// empty without a declared link.
 	LinkQuota string
-	// LinkBits is the cost on that link.
+	// LinkBits is the cost of the request on that link.
 	LinkBits float64
-	// feedback is told how requests in the home region fared; nil elsewhere.
+	// feedback records the results of requests in the local region; it is nil
+	// for targets in other regions.
 	feedback *feedback
 }
 
 // RecordSent counts a request that is sent to the target.
 func (t *Target) RecordSent() { t.Handler.sent.Add(1) }
 
-// RecordResult records how long the request waited for room there, or that there was
-// none.
-func (t *Target) RecordResult(waited time.Duration, refused bool) {
+// RecordResult records the queueing delay of a request at the target, or that
+// the target had no headroom.
+func (t *Target) RecordResult(queueing time.Duration, noHeadroom bool) {
 	if t.feedback != nil {
-		t.feedback.note(waited, refused)
+		t.feedback.record(queueing, noHeadroom)
 	}
 }
 
-// MaxTargets bounds the handlers asked for one request: a second and a third
-// for a refusal by lagging headroom; more would only add load when all are full.
+// MaxTargets limits the handlers that are tried for one request. The second
+// and third try cover a handler that rejects the request because its
+// advertised headroom was out of date; further tries would only add load when
+// all handlers are full.
 const MaxTargets = 3
 
-// Choose returns the daemons to ask, best first, MaxTargets at most.
+// Choose returns up to MaxTargets targets, best first.
 func (t *Table) Choose(r Request, now time.Time, rng *rand.Rand) []Target {
 	s := t.services[r.Service]
 	if s == nil {
 		return nil
 	}
-	c := chooser{t: t, s: s, r: r, now: now, rng: rng, where: position(r)}
+	c := chooser{t: t, s: s, r: r, now: now, rng: rng, position: position(r)}
 	c.targets = make([]Target, 0, MaxTargets)
-	c.run()
+	c.fill()
 	return c.targets
 }
 
-// position places a request between 0 and 1 by its key.
+// position maps a request to a number in [0, 1) by a hash of its customer and
+// key.
 func position(r Request) float64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Customer)
@@ -72,96 +81,105 @@
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
+// chooser builds the list of targets for one request.
 type chooser struct {
-	t       *Table
-	s       *serviceTable
-	r       Request
-	now     time.Time
-	rng     *rand.Rand
-	where   float64
-	targets []Target
+	t        *Table
+	s        *serviceTable
+	r        Request
+	now      time.Time
+	rng      *rand.Rand
+	position float64
+	targets  []Target
 }
 
-func (c *chooser) run() {
-	first, drain := c.planned()
-	if first == nil && c.where >= 1-c.s.spill {
-		first = c.roomiest()
+// fill appends the targets in order: the region of a move, drain or spillover,
+// the local region, other regions, and last a local handler that is not
+// assigned.
+func (c *chooser) fill() {
+	first, drain := c.plannedShift()
+	if first == nil && c.position >= 1-c.s.spillover {
+		first = c.leastUsedRegion()
 	}
 	if first != nil {
-		c.addOther(first, drain)
+		c.addRemote(first, drain)
 	}
-	if c.homeAllowed() {
-		c.addHome()
+	if c.localAllowed() {
+		c.addLocal()
 	}
-	c.elsewhere(first)
-	if c.homeAllowed() && len(c.targets) < MaxTargets {
-		c.addFormer()
+	c.addOtherRegions(first)
+	if c.localAllowed() && len(c.targets) < MaxTargets {
+		c.addUnassigned()
 	}
 }
 
-// planned returns the region that a move or a drain of the home region sends
-// this request to, and the drain's quota.
-func (c *chooser) planned() (*regionTable, string) {
-	edge := 0.0
+// plannedShift returns the region to which a move or a drain of the local
+// region sends this request, and the drain's quota.
+func (c *chooser) plannedShift() (*regionTable, string) {
+	lower := 0.0
 	for _, m := range c.s.moves {
-		next := edge + m.move.Share*ramp(m.move.StartUnixMs, m.move.RampSeconds, c.now)
-		if c.where >= edge && c.where < next {
-			if r := c.region(m.to); r != nil {
+		upper := lower + m.move.Share*ramp(m.move.StartUnixMs, m.move.RampSeconds, c.now)
+		if c.position >= lower && c.position < upper {
+			if r := c.remoteRegion(m.to); r != nil {
 				return r, ""
 			}
 		}
-		edge = next
+		lower = upper
 	}
-	if d := c.s.homeDrain; d != nil && c.where < ramp(d.StartUnixMs, d.RampSeconds, c.now) {
-		return c.roomiest(), drainQuota(*d)
+	if d := c.s.localDrain; d != nil && c.position < ramp(d.StartUnixMs, d.RampSeconds, c.now) {
+		return c.leastUsedRegion(), drainQuota(*d)
 	}
 	return nil, ""
 }
 
-// ramp grows from 0 at start to 1 after seconds.
+// ramp returns a fraction that grows linearly from 0 at the start to 1 after
+// the given number of seconds.
 func ramp(startUnixMs int64, seconds float64, now time.Time) float64 {
-	passed := now.Sub(time.UnixMilli(startUnixMs)).Seconds()
+	elapsed := now.Sub(time.UnixMilli(startUnixMs)).Seconds()
 	switch {
-	case passed <= 0:
+	case elapsed <= 0:
 		return 0
-	case passed >= seconds:
+	case elapsed >= seconds:
 		return 1
 	}
-	return passed / seconds
+	return elapsed / seconds
 }
 
-// homeAllowed is false where neither service nor customer may be served in
-// the home region.
-func (c *chooser) homeAllowed() bool { return c.allowed(c.t.region) }
+// localAllowed reports whether both service and customer may be served in the
+// local region.
+func (c *chooser) localAllowed() bool { return c.allowed(c.t.region) }
 
+// allowed reports whether both service and customer may be served in a region.
 func (c *chooser) allowed(region string) bool {
 	cfg := c.t.active.Config
-	return allows(cfg.Services[c.r.Service].Regions, region) && allows(cfg.Customers[c.r.Customer].Regions, region)
+	return allowsRegion(cfg.Services[c.r.Service].Regions, region) && allowsRegion(cfg.Customers[c.r.Customer].Regions, region)
 }
 
-func allows(list []string, region string) bool {
+func allowsRegion(list []string, region string) bool {
 	return len(list) == 0 || slices.Contains(list, region)
 }
 
-func (c *chooser) region(name string) *regionTable {
-	for i := range c.s.others {
-		if c.s.others[i].name == name && c.allowed(name) {
-			return &c.s.others[i]
+// remoteRegion returns the table of another region, or nil if that region has
+// no handler or may not serve the request.
+func (c *chooser) remoteRegion(name string) *regionTable {
+	for i := range c.s.remote {
+		if c.s.remote[i].name == name && c.allowed(name) {
+			return &c.s.remote[i]
 		}
 	}
 	return nil
 }
 
-// roomiest picks the other region to start in: the one with less pressure
-// out of two picked at random, so that not everybody picks the same.
-func (c *chooser) roomiest() *regionTable {
+// leastUsedRegion selects the region for a request that leaves the local one:
+// the region with the lower utilization out of two picked at random. The
+// random pick keeps entry hosts from all selecting the same region.
+func (c *chooser) leastUsedRegion() *regionTable {
 	var best *regionTable
-	n := len(c.s.others)
+	n := len(c.s.remote)
 	if n == 0 {
 		return nil
 	}
 	for i, start := 0, c.rng.IntN(n); i < n; i++ {
-		r := &c.s.others[(start+i)%n]
+		r := &c.s.remote[(start+i)%n]
 		if !c.allowed(r.name) || c.draining(r.name) {
 			continue
 		}
@@ -169,7 +187,7 @@
 			best = r
 			continue
 		}
-		if r.pressure() < best.pressure() {
+		if r.utilization() < best.utilization() {
 			best = r
 		}
 		break
@@ -178,82 +196,85 @@
 }
 
 func (c *chooser) draining(region string) bool {
-	_, is := c.t.regionDrains[region]
-	return is
+	_, found := c.t.regionDrains[region]
+	return found
 }
 
-// elsewhere fills up with other regions, for when the first ones refuse.
-func (c *chooser) elsewhere(first *regionTable) {
-	n := len(c.s.others)
+// addOtherRegions appends targets in the remaining regions, in case the
+// earlier targets reject the request.
+func (c *chooser) addOtherRegions(first *regionTable) {
+	n := len(c.s.remote)
 	if n == 0 {
 		return
 	}
 	for i, start := 0, c.rng.IntN(n); i < n && len(c.targets) < MaxTargets; i++ {
-		r := &c.s.others[(start+i)%n]
+		r := &c.s.remote[(start+i)%n]
 		if r != first && c.allowed(r.name) && !c.draining(r.name) {
-			c.addOther(r, "")
+			c.addRemote(r, "")
 		}
 	}
 }
 
-// addHome appends a handler of each zone of the home region, nearest zone
-// first; a zone that is being drained comes last. One place is kept for
-// another region.
-func (c *chooser) addHome() {
-	room := MaxTargets - len(c.targets)
-	if len(c.s.others) > 0 {
-		room = max(room-1, 1)
+// addLocal appends one handler from each zone of the local region, nearest
+// zone first. A zone that is being drained comes last. One target is reserved
+// for another region.
+func (c *chooser) addLocal() {
+	remaining := MaxTargets - len(c.targets)
+	if len(c.s.remote) > 0 {
+		remaining = max(remaining-1, 1)
 	}
-	zones := c.s.home.zones
+	zones := c.s.local.zones
 	for _, drained := range []bool{false, true} {
 		for i := range zones {
-			if room == 0 {
+			if remaining == 0 {
 				return
 			}
 			if c.zoneDrained(zones[i].name) == drained {
-				c.targets = append(c.targets, Target{Handler: pick(zones[i].handlers, c.rng), feedback: c.s.feedback})
-				room--
+				c.targets = append(c.targets, Target{Handler: pickHandler(zones[i].handlers, c.rng), feedback: c.s.feedback})
+				remaining--
 			}
 		}
 	}
 }
 
-// addFormer appends a former handler of the home region, for when the handler
-// that the assignment names does not know of it yet.
-func (c *chooser) addFormer() {
-	if former := c.s.home.former; len(former) > 0 {
-		c.targets = append(c.targets, Target{Handler: pick(former, c.rng), feedback: c.s.feedback})
+// addUnassigned appends a handler of the local region that the assignment does
+// not name, in case the assigned handler does not know of its assignment yet.
+func (c *chooser) addUnassigned() {
+	if unassigned := c.s.local.unassigned; len(unassigned) > 0 {
+		c.targets = append(c.targets, Target{Handler: pickHandler(unassigned, c.rng), feedback: c.s.feedback})
 	}
 }
 
-// addOther appends a handler of another region, of any zone of it: seen from
-// far its zones are equally near, and one of them alone would fill first.
-func (c *chooser) addOther(r *regionTable, drain string) {
-	t := Target{Handler: pick(r.handlers, c.rng), DrainQuota: drain}
+// addRemote appends a handler of another region, picked from all of its zones.
+// All zones of another region are equally near, and one of them alone would
+// fill up first.
+func (c *chooser) addRemote(r *regionTable, drain string) {
+	t := Target{Handler: pickHandler(r.handlers, c.rng), DrainQuota: drain}
 	t.ShiftQuota = config.ShiftQuota(c.r.Service, c.t.region, r.name)
-	if c.t.linked[r.name] {
+	if c.t.linkedRegions[r.name] {
 		t.LinkQuota = config.LinkQuota(c.t.region, r.name)
 		t.LinkBits = bitsPerByte * c.r.SizeBytes
 	}
 	c.targets = append(c.targets, t)
 }
 
-// zoneDrained tells whether this request is in the part of a zone's traffic
-// that its drain has already moved.
+// zoneDrained reports whether a drain of the zone has already moved this
+// request.
 func (c *chooser) zoneDrained(zone string) bool {
 	d, ok := c.t.zoneDrains[zone]
-	return ok && c.where < ramp(d.StartUnixMs, d.RampSeconds, c.now)
+	return ok && c.position < ramp(d.StartUnixMs, d.RampSeconds, c.now)
 }
 
-// pick takes the roomier of two handlers picked at random.
-func pick(handlers []*Handler, rng *rand.Rand) *Handler {
+// pickHandler returns the one with more estimated free slots of two handlers
+// picked at random.
+func pickHandler(handlers []*Handler, rng *rand.Rand) *Handler {
 	n := len(handlers)
 	if n == 1 {
 		return handlers[0]
 	}
 	i := rng.IntN(n)
 	j := (i + 1 + rng.IntN(n-1)) % n
-	if handlers[j].free() > handlers[i].free() {
+	if handlers[j].estimatedFree() > handlers[i].estimatedFree() {
 		return handlers[j]
 	}
 	return handlers[i]
@@ -261,7 +282,8 @@
 
 const bitsPerByte = 8
 
-// drainQuota names the quota of a drain's own cap; "" if it has none.
+// drainQuota returns the name of the quota of a drain's own cap, or "" if the
+// drain has no cap.
 func drainQuota(d config.Drain) string {
 	if d.CapPerSecond == 0 {
 		return ""
--- a/internal/steer/doc.go
+++ b/internal/steer/doc.go
@@ -1,17 +1,19 @@
-// Package steer decides where a request runs: its own zone, its own region,
-// then the other regions that may serve it. It is pure: the time is an
-// argument, nothing is sent.
+// Package steer selects the daemons that may run a request and orders them:
+// first the zone of the entry host, then the other zones of its region, then
+// the other regions that may serve the request. The package does no I/O, and
+// the current time is an argument.
 //
-// Load pattern: a region gets more than it can serve (a burst, a lost zone, a
-// cold cache), or operators move or drain it on purpose. Without this package
-// every entry host would follow the lagging headroom of the others, all send
-// to the region that looked empty half a second ago, overload it, and swing
-// back: see the naive baseline in TestTwoRegionsDoNotOscillate.
+// A region may receive more requests than it can serve (a burst, the loss of a
+// zone, cold caches), or operators may move its traffic away or drain it.
+// Advertised headroom is up to 5 s old. If every entry host followed it
+// directly, all of them would send to the region that had free slots half a
+// second ago, overload it, and then switch back. The naive baseline in
+// TestTwoRegionsDoNotOscillate shows this oscillation.
 //
-// Three things keep that from happening. What leaves a region is a fraction
-// that changes slowly (Spill). Which requests leave is decided by a hash, so
-// that the same part of the traffic moves and warms the caches it meets. And
-// whatever leaves takes a token from the cap of (service, from, to), which is
-// a quota counted over the whole fleet: moves, drains and spill together can
-// never exceed it, whatever any single daemon believes.
+// Three mechanisms prevent it. The fraction of traffic that leaves a region
+// changes slowly (Spillover). A hash selects the requests that leave, so the
+// same keys move each time and the caches of the other region become warm.
+// Each request that leaves takes a token from the cap of its (service, from,
+// to) triple, a quota of the whole fleet, so moves, drains and spillover
+// together never exceed the cap, whatever state an individual daemon assumes.
 package steer
--- a/internal/steer/sim_test.go
+++ b/internal/steer/sim_test.go
@@ -17,20 +17,16 @@
 	"balsambarrow/internal/steer"
 )
 
-// The simulation drives Table, Spill and quota.Bucket with simulated time: an
-// entry host and a handler in each zone, handlers with slots and a bounded
-// queue, headroom heard late, callers that arrive at random times.
-
 const (
-	simStep     = 2 * time.Millisecond
-	beatEvery   = 500 * time.Millisecond
-	serviceTime = 20 * time.Millisecond
-	maxWait     = 500 * time.Millisecond
-	coldFactor  = 4
-	nearDelay   = 500 * time.Microsecond
+	simStep           = 2 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	serviceTime       = 20 * time.Millisecond
+	maxWait           = 500 * time.Millisecond
+	coldCacheFactor   = 4
+	localDelay        = 500 * time.Microsecond
 )
 
-// deployment has the sizes of one of the two users.
+// deployment holds the sizes of one of the two example deployments.
 type deployment struct {
 	name   string
 	slots  int // of one zone, for the service
@@ -44,60 +40,64 @@
 
 func (d deployment) capacity() float64 { return float64(2*d.slots) / serviceTime.Seconds() }
 
-// policy decides where an entry host sends a request.
+// policy selects the targets of a request at an entry host.
 type policy func(s *sim, entry string, r steer.Request) []steer.Target
 
 type simHandler struct {
-	zone   string
-	free   []time.Duration // when each slot is free again
-	starts []time.Duration
-	warm   map[string]bool
-	cold   bool
+	zone         string
+	slotFreeAt   []time.Duration // when each slot is free again
+	queuedStarts []time.Duration
+	warm         map[string]bool
+	cold         bool
 }
 
+// sim drives Table, Spillover and quota.Bucket in simulated time. Each zone
+// has an entry host and a handler; handlers have slots and a bounded queue,
+// headroom arrives late, and requests arrive at random times.
 type sim struct {
-	d        deployment
-	c        *config.Config
-	stale    time.Duration
-	rng      *rand.Rand
-	now      time.Duration
-	handlers map[string]*simHandler
-	builders map[string]*steer.Builder
-	tables   map[string]*steer.Table
-	heard    []map[string]membership.Headroom // by beat
-	ready    []membership.Member
-	lost     map[string]bool // regions and zones
-	caps     map[string]*quota.Bucket
-	demand   func(region string, now time.Duration) float64
-	policy   policy
-	sequence uint64
-	// answers are told to steering when they arrive.
-	answers map[time.Duration][]simAnswer
-	result  simResult
+	d             deployment
+	c             *config.Config
+	headroomDelay time.Duration
+	rng           *rand.Rand
+	now           time.Duration
+	handlers      map[string]*simHandler
+	builders      map[string]*steer.Builder
+	tables        map[string]*steer.Table
+	advertised    []map[string]membership.Headroom // by heartbeat
+	ready         []membership.Member
+	lost          map[string]bool // regions and zones
+	caps          map[string]*quota.Bucket
+	demand        func(region string, now time.Duration) float64
+	policy        policy
+	sequence      uint64
+	// responses holds the results by the time at which they reach the entry
+	// host.
+	responses map[time.Duration][]simResponse
+	result    simResult
 }
 
-type simAnswer struct {
-	target  steer.Target
-	waited  time.Duration
-	refused bool
+type simResponse struct {
+	target     steer.Target
+	queueing   time.Duration
+	noHeadroom bool
 }
 
-// simResult is what callers received and what regions were sent.
+// simResult counts the requests of callers and of regions.
 type simResult struct {
 	sent, ran, refused int
 	latency            []time.Duration
-	// perSecond counts requests by second and region or shift.
+	// perSecond counts requests by second and by region or shift quota.
 	perSecond []map[string]int
 }
 
-func newSim(d deployment, c *config.Config, stale time.Duration, p policy) *sim {
+func newSim(d deployment, c *config.Config, headroomDelay time.Duration, p policy) *sim {
 	s := &sim{
-		d: d, c: c, stale: stale, policy: p, rng: rand.New(rand.NewPCG(20261202, 1)),
+		d: d, c: c, headroomDelay: headroomDelay, policy: p, rng: rand.New(rand.NewPCG(20261202, 1)),
 		handlers: map[string]*simHandler{}, builders: map[string]*steer.Builder{}, tables: map[string]*steer.Table{},
-		lost: map[string]bool{}, caps: map[string]*quota.Bucket{}, answers: map[time.Duration][]simAnswer{},
+		lost: map[string]bool{}, caps: map[string]*quota.Bucket{}, responses: map[time.Duration][]simResponse{},
 	}
 	for z := range c.Zones {
-		s.handlers[z] = &simHandler{zone: z, free: make([]time.Duration, d.slots), warm: map[string]bool{}}
+		s.handlers[z] = &simHandler{zone: z, slotFreeAt: make([]time.Duration, d.slots), warm: map[string]bool{}}
 		s.builders[z] = steer.NewBuilder(z)
 	}
 	for _, q := range c.Quotas() {
@@ -108,20 +108,20 @@
 
 func (s *sim) clock() time.Time { return start.Add(s.now) }
 
-func (s *sim) run(length time.Duration, at func(now time.Duration)) simResult {
+func (s *sim) run(length time.Duration, eachSecond func(now time.Duration)) simResult {
 	regions := sortedKeys(s.c.Regions)
 	for ; s.now < length; s.now += simStep {
 		if s.now%time.Second == 0 {
 			s.result.perSecond = append(s.result.perSecond, map[string]int{})
-			at(s.now)
+			eachSecond(s.now)
 		}
-		if s.now%beatEvery == 0 {
-			s.beat()
+		if s.now%heartbeatInterval == 0 {
+			s.heartbeat()
 		}
 		if s.now%(100*time.Millisecond) == 0 {
-			s.build()
+			s.buildTables()
 		}
-		s.answer()
+		s.deliverResponses()
 		for _, region := range regions {
 			if s.lost[region] {
 				continue
@@ -138,11 +138,11 @@
 	return s.result
 }
 
-func (s *sim) answer() {
-	for _, a := range s.answers[s.now] {
-		a.target.RecordResult(a.waited, a.refused)
+func (s *sim) deliverResponses() {
+	for _, a := range s.responses[s.now] {
+		a.target.RecordResult(a.queueing, a.noHeadroom)
 	}
-	delete(s.answers, s.now)
+	delete(s.responses, s.now)
 }
 
 func (s *sim) poisson(mean float64) int {
@@ -153,57 +153,59 @@
 	return n
 }
 
-// beat lets every daemon hear the headroom of stale ago.
-func (s *sim) beat() {
+// heartbeat publishes the headroom of all handlers as it was headroomDelay
+// ago.
+func (s *sim) heartbeat() {
 	s.sequence++
-	rooms := map[string]membership.Headroom{}
+	headrooms := map[string]membership.Headroom{}
 	for z, h := range s.handlers {
-		rooms[z] = h.room(s.now)
+		headrooms[z] = h.headroom(s.now)
 	}
-	s.heard = append(s.heard, rooms)
-	seen := s.heard[max(0, len(s.heard)-1-int(s.stale/beatEvery))]
+	s.advertised = append(s.advertised, headrooms)
+	visible := s.advertised[max(0, len(s.advertised)-1-int(s.headroomDelay/heartbeatInterval))]
 	var ready []membership.Member
 	for _, z := range sortedKeys(s.c.Zones) {
 		if s.lost[s.c.Zones[z].Region] || s.lost[z] {
 			continue
 		}
-		m := member(z, seen[z])
+		m := member(z, visible[z])
 		m.Sequence = s.sequence
 		ready = append(ready, m)
 	}
 	s.ready = ready
 }
 
-// build makes every daemon's table, as its control thread does on each tick.
-func (s *sim) build() {
+// buildTables builds the table of every daemon, as the control thread does on
+// each tick.
+func (s *sim) buildTables() {
 	active := config.NewActive(1, s.c)
 	for z, b := range s.builders {
-		s.tables[z] = b.Build(active, s.ready, nobody{}, s.clock())
+		s.tables[z] = b.Build(active, s.ready, noSlots{}, s.clock())
 	}
 }
 
-func (h *simHandler) room(now time.Duration) membership.Headroom {
-	room := membership.Headroom{Limit: len(h.free)}
-	for _, until := range h.free {
+func (h *simHandler) headroom(now time.Duration) membership.Headroom {
+	headroom := membership.Headroom{Limit: len(h.slotFreeAt)}
+	for _, until := range h.slotFreeAt {
 		if until <= now {
-			room.Free++
+			headroom.Free++
 		}
 	}
-	h.starts = slices.DeleteFunc(h.starts, func(t time.Duration) bool { return t <= now })
-	room.Queued = len(h.starts)
-	return room
+	h.queuedStarts = slices.DeleteFunc(h.queuedStarts, func(t time.Duration) bool { return t <= now })
+	headroom.Queued = len(h.queuedStarts)
+	return headroom
 }
 
 func (s *sim) arrive(entry string) {
 	s.result.sent++
 	r := steer.Request{Service: "lookup", Customer: "farm", HashKey: fmt.Sprint("/", s.rng.IntN(2000))}
-	took := nearDelay
+	latency := localDelay
 	for _, t := range s.policy(s, entry, r) {
 		if t.ShiftQuota != "" {
 			if ok, _ := s.caps[t.ShiftQuota].Take(1, s.clock()); !ok {
 				continue
 			}
-			took += 2 * s.d.oneWay
+			latency += 2 * s.d.oneWay
 		}
 		t.RecordSent()
 		h := s.handlers[t.Handler.Member.Zone]
@@ -213,38 +215,39 @@
 			second[t.ShiftQuota]++
 		}
 		arrives := (s.now + wait).Truncate(simStep) + simStep
-		s.answers[arrives] = append(s.answers[arrives], simAnswer{target: t, waited: wait - serviceTime, refused: !ok})
+		s.responses[arrives] = append(s.responses[arrives], simResponse{target: t, queueing: wait - serviceTime, noHeadroom: !ok})
 		if !ok {
 			continue
 		}
 		second[s.c.Zones[h.zone].Region]++
 		s.result.ran++
-		s.result.latency = append(s.result.latency, took+wait)
+		s.result.latency = append(s.result.latency, latency+wait)
 		return
 	}
 	s.result.refused++
 }
 
-// serve takes the slot that is free first, or refuses what would wait too long.
+// serve runs a request on the slot that becomes free first, or rejects it if
+// it would queue for longer than maxWait.
 func (h *simHandler) serve(now time.Duration, key string) (time.Duration, bool) {
 	i := 0
-	for j := range h.free {
-		if h.free[j] < h.free[i] {
+	for j := range h.slotFreeAt {
+		if h.slotFreeAt[j] < h.slotFreeAt[i] {
 			i = j
 		}
 	}
-	begin := max(now, h.free[i])
+	begin := max(now, h.slotFreeAt[i])
 	if begin-now > maxWait {
 		return 0, false
 	}
 	length := serviceTime
 	if h.cold && !h.warm[key] {
-		length *= coldFactor
+		length *= coldCacheFactor
 		h.warm[key] = true
 	}
-	h.free[i] = begin + length
+	h.slotFreeAt[i] = begin + length
 	if begin > now {
-		h.starts = append(h.starts, begin)
+		h.queuedStarts = append(h.queuedStarts, begin)
 	}
 	return begin + length - now, true
 }
@@ -254,10 +257,10 @@
 	return s.tables[entry].Choose(r, s.clock(), s.rng)
 }
 
-// roomiestFirst is the naive baseline: every request goes to the zone whose
-// advertised room is largest, with no fraction, no cap and no count of what
-// was sent.
-func roomiestFirst(s *sim, entry string, r steer.Request) []steer.Target {
+// mostFreeFirst is the naive baseline: every request goes to the zone with the
+// most advertised free slots, without a fraction, a cap or a count of sent
+// requests.
+func mostFreeFirst(s *sim, entry string, r steer.Request) []steer.Target {
 	ts := s.tables[entry].Choose(r, s.clock(), s.rng)
 	all := s.tables[entry].Handlers("lookup")
 	slices.SortStableFunc(all, func(x, y *steer.Handler) int {
@@ -282,9 +285,9 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// most returns the highest count of a name in any second from from on, the
-// mean and the standard deviation.
-func (r simResult) most(name string, from int) (highest int, mean, deviation float64) {
+// loadStats returns the highest count of a name in any second, the mean and
+// the standard deviation, all from the given second on.
+func (r simResult) loadStats(name string, from int) (highest int, mean, deviation float64) {
 	n := float64(len(r.perSecond) - from)
 	for _, second := range r.perSecond[from:] {
 		highest = max(highest, second[name])
@@ -296,7 +299,7 @@
 	return highest, mean, math.Sqrt(deviation)
 }
 
-func (r simResult) line(t *testing.T, d deployment, pattern, policy string) {
+func (r simResult) logLine(t *testing.T, d deployment, pattern, policy string) {
 	t.Logf("%-20s %-34s %-9s ran %5.1f%% refused %5.2f%% p50 %4d ms p99 %4d ms", d.name, pattern, policy,
 		100*float64(r.ran)/float64(r.sent), 100*float64(r.refused)/float64(r.sent),
 		r.quantile(0.5).Milliseconds(), r.quantile(0.99).Milliseconds())
@@ -311,7 +314,7 @@
 	return keys
 }
 
-// simRegions is a configuration of the named regions with a shift cap.
+// simRegions returns a configuration of the named regions with a shift cap.
 func simRegions(cap float64, names ...string) *config.Config {
 	c := &config.Config{
 		Regions: map[string]config.Region{}, Zones: map[string]config.Zone{},
@@ -326,12 +329,12 @@
 	return c
 }
 
-func quiet(time.Duration) {}
+func noEvents(time.Duration) {}
 
-// Load pattern: one region gets 1.3 times what it can serve, its neighbour
-// 0.3 times, and each sees the other's room five seconds late. What a naive
-// policy shows: everybody sends to the region that looked empty, which fills
-// while the other empties, and back.
+// One region receives 1.3 times its capacity and the other 0.3 times, and
+// headroom arrives five seconds late. With the naive policy all entry hosts
+// send to the region that last reported free slots, so the two regions fill up
+// in turn.
 func TestTwoRegionsDoNotOscillate(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -341,13 +344,13 @@
 				return map[string]float64{"vt": 1.3, "me": 0.3}[region] * d.capacity()
 			}
 			swing := map[string]float64{}
-			for name, p := range map[string]policy{"naive": roomiestFirst, "steered": steered} {
+			for name, p := range map[string]policy{"naive": mostFreeFirst, "steered": steered} {
 				s := newSim(d, simRegions(d.capacity(), "vt", "me"), 5*time.Second, p)
 				s.demand = demand
-				r := s.run(120*time.Second, quiet)
-				highest, mean, deviation := r.most("me", 60)
+				r := s.run(120*time.Second, noEvents)
+				highest, mean, deviation := r.loadStats("me", 60)
 				swing[name] = deviation / mean
-				r.line(t, d, "two regions, headroom 5 s late", name)
+				r.logLine(t, d, "two regions, headroom 5 s late", name)
 				t.Logf("    neighbour's load per second: mean %.0f, most %d, deviation %.1f%%, capacity %.0f", mean, highest, 100*swing[name], d.capacity())
 				if name == "steered" {
 					g.Expect(float64(r.ran) / float64(r.sent)).To(BeNumerically(">", 0.97))
@@ -359,17 +362,17 @@
 	}
 }
 
-// Load pattern: a region is lost, the survivors' caches are cold for its keys
-// and their room is just enough. The shift from the lost region's neighbours
-// stays under the cap; here callers of the lost region come in elsewhere.
-func TestLossOfARegionWithColdCaches(t *testing.T) {
+// A region is lost, and its callers use the two remaining regions, whose
+// caches are cold for its keys and whose capacity barely suffices. Traffic
+// that the overloaded region shifts to the other one must stay under the cap.
+func TestRegionLossWithColdCaches(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			for name, p := range map[string]policy{"naive": roomiestFirst, "steered": steered} {
+			for name, p := range map[string]policy{"naive": mostFreeFirst, "steered": steered} {
 				limit := 0.1 * d.capacity()
-				s := newSim(d, simRegions(limit, "vt", "me", "ma"), beatEvery, p)
+				s := newSim(d, simRegions(limit, "vt", "me", "ma"), heartbeatInterval, p)
 				s.demand = func(region string, now time.Duration) float64 {
 					if now < 20*time.Second {
 						return 0.5 * d.capacity()
@@ -384,8 +387,8 @@
 						}
 					}
 				})
-				r.line(t, d, "a region lost, caches cold", name)
-				highest, _, _ := r.most("shift/lookup/me/ma", 0)
+				r.logLine(t, d, "a region lost, caches cold", name)
+				highest, _, _ := r.loadStats("shift/lookup/me/ma", 0)
 				t.Logf("    most shifted in a second: %d, cap %.0f", highest, limit)
 				if name == "steered" {
 					g.Expect(float64(highest)).To(BeNumerically("<=", limit))
@@ -395,10 +398,10 @@
 	}
 }
 
-// Load pattern: operators move half of a service's traffic within 20 s, with
-// a cap below what the ramp would send; later a second operator drains the
-// same region. Both draw on one cap.
-func TestMoveAndDrainTogetherStayUnderTheCap(t *testing.T) {
+// Operators move half of a service's traffic within 20 s, with a cap below the
+// rate that the ramp would send. Then a second operator drains the same
+// region. Both together must stay under the one shift cap.
+func TestMoveAndDrainShareTheShiftCap(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
@@ -412,23 +415,24 @@
 			c.Drains = map[string]config.Drain{"d": {
 				Kind: config.DrainRegion, Target: "vt", RampSeconds: 20, StartUnixMs: start.Add(30 * time.Second).UnixMilli(),
 			}}
-			s := newSim(d, c, beatEvery, steered)
+			s := newSim(d, c, heartbeatInterval, steered)
 			s.demand = func(string, time.Duration) float64 { return 0.5 * d.capacity() }
-			r := s.run(90*time.Second, quiet)
-			highest, mean, _ := r.most("shift/lookup/vt/me", 60)
-			r.line(t, d, "move and drain under one cap", "steered")
+			r := s.run(90*time.Second, noEvents)
+			highest, mean, _ := r.loadStats("shift/lookup/vt/me", 60)
+			r.logLine(t, d, "move and drain under one cap", "steered")
 			t.Logf("    shifted per second: mean %.1f, most %d, cap %.0f", mean, highest, limit)
-			all, _, _ := r.most("shift/lookup/vt/me", 0)
-			g.Expect(float64(all)).To(BeNumerically("<=", limit))
+			highestOverall, _, _ := r.loadStats("shift/lookup/vt/me", 0)
+			g.Expect(float64(highestOverall)).To(BeNumerically("<=", limit))
 			g.Expect(mean).To(BeNumerically(">", 0.8*limit))
 			g.Expect(r.refused).To(BeZero())
 		})
 	}
 }
 
-// Load pattern: operators drain a region; half way another region is lost.
-// What leaves the drained region has only one place left. The drain must not
-// push past the cap, and what does not fit must go on at home, unrefused.
+// Operators drain a region, and another region is lost half way through the
+// ramp. Only one region is left for the drained traffic. The drain must stay
+// under the cap, and requests above the cap must be served in the drained
+// region, with no rejections.
 func TestDrainWhileAnotherRegionFails(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -439,46 +443,46 @@
 			c.Drains = map[string]config.Drain{"d": {
 				Kind: config.DrainRegion, Target: "vt", RampSeconds: 20, StartUnixMs: start.Add(5 * time.Second).UnixMilli(),
 			}}
-			s := newSim(d, c, beatEvery, steered)
+			s := newSim(d, c, heartbeatInterval, steered)
 			s.demand = func(string, time.Duration) float64 { return 0.5 * d.capacity() }
 			r := s.run(60*time.Second, func(now time.Duration) {
 				if now == 15*time.Second {
 					s.lost["me"] = true
 				}
 			})
-			r.line(t, d, "drain, then another region lost", "steered")
+			r.logLine(t, d, "drain, then another region lost", "steered")
 			for _, to := range []string{"me", "ma"} {
-				most, _, _ := r.most("shift/lookup/vt/"+to, 0)
-				t.Logf("    most shifted to %s in a second: %d, cap %.0f", to, most, limit)
-				g.Expect(float64(most)).To(BeNumerically("<=", limit))
+				highest, _, _ := r.loadStats("shift/lookup/vt/"+to, 0)
+				t.Logf("    most shifted to %s in a second: %d, cap %.0f", to, highest, limit)
+				g.Expect(float64(highest)).To(BeNumerically("<=", limit))
 			}
-			load, _, _ := r.most("ma", 0)
+			load, _, _ := r.loadStats("ma", 0)
 			g.Expect(float64(load)).To(BeNumerically("<=", d.capacity()))
 			g.Expect(r.refused).To(BeZero())
 		})
 	}
 }
 
-// Load pattern: one zone of a region is lost; its sibling takes what it can,
-// the rest spills to other regions under the cap.
-func TestLossOfAZone(t *testing.T) {
+// One zone of a region is lost. The other zone of the region serves what it
+// can, and the rest spills over to the other region under the cap.
+func TestZoneLoss(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			for name, p := range map[string]policy{"naive": roomiestFirst, "steered": steered} {
-				s := newSim(d, simRegions(0.5*d.capacity(), "vt", "me"), beatEvery, p)
+			for name, p := range map[string]policy{"naive": mostFreeFirst, "steered": steered} {
+				s := newSim(d, simRegions(0.5*d.capacity(), "vt", "me"), heartbeatInterval, p)
 				s.demand = func(string, time.Duration) float64 { return 0.7 * d.capacity() }
 				r := s.run(60*time.Second, func(now time.Duration) {
 					if now == 20*time.Second {
 						s.lost["vt-b"] = true
 					}
 				})
-				r.line(t, d, "a zone lost", name)
-				most, _, _ := r.most("shift/lookup/vt/me", 0)
-				t.Logf("    most shifted in a second: %d, cap %.0f", most, 0.5*d.capacity())
+				r.logLine(t, d, "a zone lost", name)
+				highest, _, _ := r.loadStats("shift/lookup/vt/me", 0)
+				t.Logf("    most shifted in a second: %d, cap %.0f", highest, 0.5*d.capacity())
 				if name == "steered" {
-					g.Expect(float64(most)).To(BeNumerically("<=", 0.5*d.capacity()))
+					g.Expect(float64(highest)).To(BeNumerically("<=", 0.5*d.capacity()))
 				}
 			}
 		})
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -15,7 +15,8 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-// threeRegions has two zones in each of three regions.
+// threeRegions returns a configuration with two zones in each of three
+// regions.
 func threeRegions() *config.Config {
 	c := &config.Config{
 		Regions:   map[string]config.Region{"vt": {}, "me": {}, "ma": {}},
@@ -36,24 +37,26 @@
 	return c
 }
 
-func member(zone string, room membership.Headroom) membership.Member {
+func member(zone string, headroom membership.Headroom) membership.Member {
 	return membership.Member{
 		Instance: "i-" + zone, Zone: zone, State: membership.StateReady, Sequence: 1,
-		Headroom: map[string]membership.Headroom{"lookup": room},
+		Headroom: map[string]membership.Headroom{"lookup": headroom},
 	}
 }
 
-// nobody is an assignment without handlers: only advertised headroom counts.
-type nobody struct{}
+// noSlots assigns no slots to any handler, so that only the advertised
+// headroom counts.
+type noSlots struct{}
 
-func (nobody) Slots(string, string) int { return 0 }
+func (noSlots) Slots(string, string) int { return 0 }
 
-var roomy = membership.Headroom{Free: 10, Limit: 10}
+var ample = membership.Headroom{Free: 10, Limit: 10}
 
-func everyZone(c *config.Config, room membership.Headroom) []membership.Member {
+// membersOfAllZones returns one ready daemon for each zone.
+func membersOfAllZones(c *config.Config, headroom membership.Headroom) []membership.Member {
 	var ms []membership.Member
 	for z := range c.Zones {
-		ms = append(ms, member(z, room))
+		ms = append(ms, member(z, headroom))
 	}
 	return ms
 }
@@ -61,7 +64,7 @@
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func choose(c *config.Config, ms []membership.Member, r steer.Request, now time.Time) []steer.Target {
-	return steer.NewBuilder("vt-a").Build(config.NewActive(1, c), ms, nobody{}, now).Choose(r, now, rng())
+	return steer.NewBuilder("vt-a").Build(config.NewActive(1, c), ms, noSlots{}, now).Choose(r, now, rng())
 }
 
 func zones(ts []steer.Target) []string {
@@ -72,7 +75,7 @@
 	return zs
 }
 
-func TestOrder(t *testing.T) {
+func TestTargetOrder(t *testing.T) {
 	r := steer.Request{Service: "lookup", Customer: "farm", HashKey: "/animal/7"}
 	drain := func(kind config.DrainKind, target string) func(*config.Config) {
 		return func(c *config.Config) {
@@ -81,19 +84,19 @@
 	}
 	for name, tc := range map[string]struct {
 		change func(*config.Config)
-		gone   map[string]bool
+		absent map[string]bool
 		want   []string
 	}{
-		"own zone, then own region, then another": {want: []string{"vt-a", "vt-b", "m*"}},
-		"own zone has no handler":                 {gone: map[string]bool{"vt-a": true}, want: []string{"vt-b", "m*", "m*"}},
-		"own region is lost":                      {gone: map[string]bool{"vt-a": true, "vt-b": true}, want: []string{"m*", "m*"}},
-		"own zone is drained":                     {change: drain(config.DrainZone, "vt-a"), want: []string{"vt-b", "vt-a", "m*"}},
-		"own region is drained":                   {change: drain(config.DrainRegion, "vt"), want: []string{"m*", "vt-a", "m*"}},
-		"another region is drained":               {change: drain(config.DrainRegion, "me"), want: []string{"vt-a", "vt-b", "ma*"}},
-		"the service may not leave": {change: func(c *config.Config) {
+		"own zone, then own region, then another region": {want: []string{"vt-a", "vt-b", "m*"}},
+		"own zone has no handler":                        {absent: map[string]bool{"vt-a": true}, want: []string{"vt-b", "m*", "m*"}},
+		"own region is lost":                             {absent: map[string]bool{"vt-a": true, "vt-b": true}, want: []string{"m*", "m*"}},
+		"own zone is drained":                            {change: drain(config.DrainZone, "vt-a"), want: []string{"vt-b", "vt-a", "m*"}},
+		"own region is drained":                          {change: drain(config.DrainRegion, "vt"), want: []string{"m*", "vt-a", "m*"}},
+		"another region is drained":                      {change: drain(config.DrainRegion, "me"), want: []string{"vt-a", "vt-b", "ma*"}},
+		"service is restricted to the local region": {change: func(c *config.Config) {
 			c.Services["lookup"] = config.Service{Regions: []string{"vt"}}
 		}, want: []string{"vt-a", "vt-b"}},
-		"the customer may not be served at home": {change: func(c *config.Config) {
+		"customer is restricted to another region": {change: func(c *config.Config) {
 			c.Customers["farm"] = config.Customer{Regions: []string{"ma"}}
 		}, want: []string{"ma*"}},
 	} {
@@ -104,15 +107,15 @@
 				tc.change(c)
 			}
 			var ms []membership.Member
-			for _, m := range everyZone(c, roomy) {
-				if !tc.gone[m.Zone] {
+			for _, m := range membersOfAllZones(c, ample) {
+				if !tc.absent[m.Zone] {
 					ms = append(ms, m)
 				}
 			}
 			got := zones(choose(c, ms, r, start))
 			g.Expect(got).To(HaveLen(len(tc.want)), "%v", got)
 			for i, want := range tc.want {
-				if prefix, any := cutStar(want); any {
+				if prefix, any := trimStar(want); any {
 					g.Expect(got[i]).To(HavePrefix(prefix))
 					continue
 				}
@@ -122,18 +125,18 @@
 	}
 }
 
-func cutStar(s string) (string, bool) {
+func trimStar(s string) (string, bool) {
 	if s[len(s)-1] == '*' {
 		return s[:len(s)-1], true
 	}
 	return s, false
 }
 
-func TestEveryTargetElsewhereBearsItsCaps(t *testing.T) {
+func TestRemoteTargetsNameTheirQuotas(t *testing.T) {
 	g := NewWithT(t)
 	c := threeRegions()
 	c.Drains = map[string]config.Drain{"d": {Kind: config.DrainRegion, Target: "vt", CapPerSecond: 5}}
-	ts := choose(c, everyZone(c, roomy), steer.Request{Service: "lookup", Customer: "farm", SizeBytes: 100}, start)
+	ts := choose(c, membersOfAllZones(c, ample), steer.Request{Service: "lookup", Customer: "farm", SizeBytes: 100}, start)
 	for _, target := range ts {
 		region := c.Zones[target.Handler.Member.Zone].Region
 		if region == "vt" {
@@ -147,16 +150,16 @@
 	g.Expect(ts[0].DrainQuota).To(Equal("drain/region/vt"))
 }
 
-// Operators move half of a service's traffic. The part that starts elsewhere
-// follows the ramp, and each request keeps to its side once it has moved, so
-// that the caches there warm instead of meeting all keys.
-func TestMoveFollowsItsRampAndKeepsKeysTogether(t *testing.T) {
+// Operators move half of a service's traffic to another region. The moved
+// fraction must follow the ramp, and a key that has moved must not move back;
+// otherwise the caches of the other region would meet all keys and stay cold.
+func TestMoveFollowsRampAndKeepsKeys(t *testing.T) {
 	g := NewWithT(t)
 	c := threeRegions()
 	c.Moves = map[string]config.Move{"m": {
 		Service: "lookup", From: "vt", To: "me", Share: 0.5, CapPerSecond: 10, RampSeconds: 100, StartUnixMs: start.UnixMilli(),
 	}}
-	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), everyZone(c, roomy), nobody{}, start)
+	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), membersOfAllZones(c, ample), noSlots{}, start)
 	const keys = 2000
 	movedBefore := map[string]bool{}
 	for _, step := range []struct {
@@ -166,25 +169,26 @@
 		moved := 0
 		for k := range keys {
 			r := steer.Request{Service: "lookup", Customer: "farm", HashKey: fmt.Sprint("/", k)}
-			away := table.Choose(r, start.Add(step.after), rng())[0].ShiftQuota != ""
-			if away {
+			remote := table.Choose(r, start.Add(step.after), rng())[0].ShiftQuota != ""
+			if remote {
 				moved++
 			}
-			g.Expect(movedBefore[r.HashKey] && !away).To(BeFalse(), "key %s came back", r.HashKey)
-			movedBefore[r.HashKey] = away
+			g.Expect(movedBefore[r.HashKey] && !remote).To(BeFalse(), "key %s moved back", r.HashKey)
+			movedBefore[r.HashKey] = remote
 		}
 		g.Expect(float64(moved) / keys).To(BeNumerically("~", step.want, 0.03))
 	}
 }
 
-// A handler's headroom is half a second old. What was sent to it since counts
-// against it, so that one host does not pour into the same handler.
+// The advertised headroom of a handler is half a second old. Requests sent
+// since then must count against it; otherwise one entry host would send all of
+// its requests to the same handler.
 func TestSentRequestsCountAgainstHeadroom(t *testing.T) {
 	g := NewWithT(t)
 	c := threeRegions()
 	two := []membership.Member{member("vt-a", membership.Headroom{Free: 6, Limit: 10}), member("vt-a", membership.Headroom{Free: 4, Limit: 10})}
 	two[1].Instance = "other"
-	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), two, nobody{}, start)
+	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), two, noSlots{}, start)
 	random, sent := rng(), map[string]int{}
 	for range 10 {
 		target := table.Choose(steer.Request{Service: "lookup", Customer: "farm"}, start, random)[0]
@@ -196,7 +200,7 @@
 
 func BenchmarkChoose(b *testing.B) {
 	c := threeRegions()
-	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), everyZone(c, roomy), nobody{}, start)
+	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), membersOfAllZones(c, ample), noSlots{}, start)
 	random := rng()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -206,26 +210,27 @@
 
 func BenchmarkBuild(b *testing.B) {
 	c := threeRegions()
-	a, ms := config.NewActive(1, c), everyZone(c, roomy)
+	a, ms := config.NewActive(1, c), membersOfAllZones(c, ample)
 	builder := steer.NewBuilder("vt-a")
 	b.ReportAllocs()
 	for b.Loop() {
-		builder.Build(a, ms, nobody{}, start)
+		builder.Build(a, ms, noSlots{}, start)
 	}
 }
 
-// A daemon starts, and an upstream's handler moves to it. Before its next
-// heartbeat nobody has heard of its headroom, and the old handler refuses. The
-// request must go to the new handler, not be refused.
-func TestNewHandlerIsAskedBeforeItsHeadroomIsHeard(t *testing.T) {
+// A daemon starts and becomes the handler of an upstream. Until its next
+// heartbeat its headroom is unknown, and the previous handler rejects
+// requests. Requests must go to the new handler instead of being rejected.
+func TestNewHandlerIsChosenBeforeItsHeadroomIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	c := threeRegions()
-	fresh := member("vt-a", membership.Headroom{})
-	fresh.Headroom = nil
-	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), []membership.Member{fresh}, fourEach{}, start)
+	started := member("vt-a", membership.Headroom{})
+	started.Headroom = nil
+	table := steer.NewBuilder("vt-a").Build(config.NewActive(1, c), []membership.Member{started}, fourSlots{}, start)
 	g.Expect(zones(table.Choose(steer.Request{Service: "lookup", Customer: "farm"}, start, rng()))).To(Equal([]string{"vt-a"}))
 }
 
-type fourEach struct{}
+// fourSlots assigns four slots to every handler.
+type fourSlots struct{}
 
-func (fourEach) Slots(string, string) int { return 4 }
+func (fourSlots) Slots(string, string) int { return 4 }
--- a/internal/steer/table.go
+++ b/internal/steer/table.go
@@ -10,29 +10,31 @@
 	"balsambarrow/internal/membership"
 )
 
-// Handler is a daemon that handles upstreams of one service, as this daemon
-// knows it.
+// Handler is a daemon that handles the upstreams of one service, with its
+// state as known to this daemon.
 type Handler struct {
-	Member membership.Member
-	room   membership.Headroom
-	// sent counts the requests that were sent to it since its headroom was
-	// heard: the advertised room less these is what is likely left.
+	Member   membership.Member
+	headroom membership.Headroom
+	// sent counts the requests that were sent to the handler since its latest
+	// headroom arrived.
 	sent *atomic.Int64
 }
 
-// free is the room that is likely left.
-func (h *Handler) free() int64 { return int64(h.room.Free) - h.sent.Load() }
+// estimatedFree returns the advertised number of free slots less the requests
+// that were sent since.
+func (h *Handler) estimatedFree() int64 { return int64(h.headroom.Free) - h.sent.Load() }
 
-// regionTable holds a service's handlers in one region.
+// regionTable holds the handlers of one service in one region.
 type regionTable struct {
 	name string
-	// zones lists the handlers by zone, the daemon's own zone first.
+	// zones lists the handlers by zone, with the daemon's own zone first.
 	zones []zoneTable
-	// handlers lists them all.
+	// handlers lists the handlers of all zones.
 	handlers []*Handler
-	// former are daemons that still advertise headroom while the assignment
-	// names others: their own view may be the newer one.
-	former []*Handler
+	// unassigned lists daemons that still advertise headroom although the
+	// assignment does not name them. They may know a newer set of ready
+	// daemons than this one.
+	unassigned []*Handler
 }
 
 type zoneTable struct {
@@ -40,19 +42,20 @@
 	handlers []*Handler
 }
 
-// serviceTable holds where one service's work can go.
+// serviceTable holds the regions where requests for one service can run.
 type serviceTable struct {
-	// home is the daemon's own region; its zones may be empty.
-	home regionTable
-	// others are the other regions with handlers, by name.
-	others []regionTable
-	// spill is the part of the home region's traffic that starts elsewhere.
-	spill float64
-	// feedback goes to the spill.
+	// local is the region of this daemon; it may have no handlers.
+	local regionTable
+	// remote lists the other regions with handlers, ordered by name.
+	remote []regionTable
+	// spillover is the fraction of the local region's traffic that is sent to
+	// another region first.
+	spillover float64
+	// feedback records the results of requests for Spillover.
 	feedback *feedback
 	moves    []activeMove
-	// homeDrain is the drain of the home region; nil if there is none.
-	homeDrain *config.Drain
+	// localDrain is the drain of the local region, or nil.
+	localDrain *config.Drain
 }
 
 type activeMove struct {
@@ -60,61 +63,63 @@
 	move config.Move
 }
 
-// Table is what steering decides by. It is built by the control thread and
-// then read by all threads; only the counters of sent requests change.
+// Table holds the state that Choose decides by. The control thread builds it
+// and all threads read it; only the counters of sent requests change.
 type Table struct {
 	active   *config.Active
 	zone     string
 	region   string
 	services map[string]*serviceTable
-	// drained holds the drains of zones and regions.
+	// zoneDrains and regionDrains hold the drains by the name of their target.
 	zoneDrains   map[string]config.Drain
 	regionDrains map[string]config.Drain
-	// linked holds the regions that a declared link leads to; another region
-	// is reached without a quota.
-	linked map[string]bool
+	// linkedRegions holds the regions to which a declared link leads. Requests
+	// to other regions take from no link quota.
+	linkedRegions map[string]bool
 }
 
-// Builder makes tables. It belongs to the control thread.
+// Builder builds tables. Only the control thread uses it.
 type Builder struct {
-	zone   string
-	spills map[string]*Spillover
-	sent   map[sentKey]*sentCount
+	zone       string
+	spillovers map[string]*Spillover
+	sent       map[sentKey]*sentCount
 }
 
 type sentKey struct{ instance, service string }
 
-// sentCount is kept over tables until newer headroom arrives.
+// sentCount counts the requests sent to a handler. It is kept across tables
+// until newer headroom arrives.
 type sentCount struct {
 	sequence uint64
 	count    *atomic.Int64
 }
 
-// NewBuilder returns a builder for a daemon of zone.
+// NewBuilder returns a builder for a daemon in zone.
 func NewBuilder(zone string) *Builder {
-	return &Builder{zone: zone, spills: map[string]*Spillover{}, sent: map[sentKey]*sentCount{}}
+	return &Builder{zone: zone, spillovers: map[string]*Spillover{}, sent: map[sentKey]*sentCount{}}
 }
 
-// Assignment says how many slots of a service a daemon handles.
+// Assignment returns how many slots of a service a daemon handles.
 type Assignment interface {
 	Slots(instance, service string) int
 }
 
-// Build makes the table of a configuration, the ready daemons, this one
-// included, and the assignment that follows from both.
+// Build returns the table for a configuration, the ready daemons including
+// this one, and the assignment computed from both.
 //
-// A daemon that has just become a handler has not told its headroom yet. If
-// only advertised headroom counted, requests would be refused for want of a
-// handler until its next heartbeat: half a second at every start and stop of a
-// daemon. So the slots that are assigned to it stand in for its headroom.
+// A daemon that has just become a handler has not advertised its headroom yet.
+// With advertised headroom alone, requests would be rejected for lack of a
+// handler until its next heartbeat, which is half a second after every start
+// and stop of a daemon. The number of slots assigned to the daemon is used
+// instead of its headroom until then.
 func (b *Builder) Build(a *config.Active, ready []membership.Member, assigned Assignment, now time.Time) *Table {
 	t := &Table{
 		active: a, zone: b.zone, region: a.Region(b.zone), services: map[string]*serviceTable{},
-		zoneDrains: map[string]config.Drain{}, regionDrains: map[string]config.Drain{}, linked: map[string]bool{},
+		zoneDrains: map[string]config.Drain{}, regionDrains: map[string]config.Drain{}, linkedRegions: map[string]bool{},
 	}
 	for _, l := range a.Config.Links {
 		if l.From == t.region {
-			t.linked[l.To] = true
+			t.linkedRegions[l.To] = true
 		}
 	}
 	for _, d := range a.Config.Drains {
@@ -126,17 +131,17 @@
 		}
 	}
 	for service := range a.Config.Services {
-		t.services[service] = b.service(t, service, ready, assigned, now)
+		t.services[service] = b.buildService(t, service, ready, assigned, now)
 	}
-	b.forget(ready)
+	b.dropAbsent(ready)
 	return t
 }
 
-func (b *Builder) service(t *Table, service string, ready []membership.Member, assigned Assignment, now time.Time) *serviceTable {
+func (b *Builder) buildService(t *Table, service string, ready []membership.Member, assigned Assignment, now time.Time) *serviceTable {
 	regions := map[string]*regionTable{}
 	for _, m := range ready {
-		room, slots := m.Headroom[service], assigned.Slots(m.Instance, service)
-		if room.Limit == 0 && slots == 0 {
+		headroom, slots := m.Headroom[service], assigned.Slots(m.Instance, service)
+		if headroom.Limit == 0 && slots == 0 {
 			continue
 		}
 		name := t.active.Region(m.Zone)
@@ -145,34 +150,37 @@
 			r = &regionTable{name: name}
 			regions[name] = r
 		}
-		r.add(&Handler{Member: m, room: roomOf(room, slots), sent: b.counter(m, service)}, slots > 0)
+		r.add(&Handler{Member: m, headroom: headroomOf(headroom, slots), sent: b.sentCounter(m, service)}, slots > 0)
 	}
-	s := &serviceTable{home: regionTable{name: t.region}}
+	s := &serviceTable{local: regionTable{name: t.region}}
 	for name, r := range regions {
-		r.settle()
-		r.sort(t.zone)
+		r.useUnassigned()
+		r.sortZones(t.zone)
 		if name == t.region {
-			s.home = *r
+			s.local = *r
 			continue
 		}
-		s.others = append(s.others, *r)
+		s.remote = append(s.remote, *r)
 	}
-	slices.SortFunc(s.others, func(x, y regionTable) int { return cmp.Compare(x.name, y.name) })
-	s.plan(t, service)
-	spill := b.spill(service)
-	s.spill, s.feedback = spill.Update(s.home.pressure(), now), &spill.feedback
+	slices.SortFunc(s.remote, func(x, y regionTable) int { return cmp.Compare(x.name, y.name) })
+	s.addPlannedShifts(t, service)
+	spillover := b.spilloverOf(service)
+	s.spillover, s.feedback = spillover.Update(s.local.utilization(), now), &spillover.feedback
 	return s
 }
 
-// roomOf is the advertised headroom, or the assigned slots until it is heard.
-func roomOf(advertised membership.Headroom, slots int) membership.Headroom {
+// headroomOf returns the advertised headroom, or the assigned slots if the
+// daemon has not advertised any headroom yet.
+func headroomOf(advertised membership.Headroom, slots int) membership.Headroom {
 	if advertised.Limit == 0 {
 		return membership.Headroom{Free: slots, Limit: slots}
 	}
 	return advertised
 }
 
-func (s *serviceTable) plan(t *Table, service string) {
+// addPlannedShifts adds the moves of the service out of the local region and
+// the drain of that region.
+func (s *serviceTable) addPlannedShifts(t *Table, service string) {
 	for _, m := range t.active.Config.Moves {
 		if m.Service == service && m.From == t.region {
 			s.moves = append(s.moves, activeMove{to: m.To, move: m})
@@ -180,13 +188,13 @@
 	}
 	slices.SortFunc(s.moves, func(x, y activeMove) int { return cmp.Compare(x.to, y.to) })
 	if d, ok := t.regionDrains[t.region]; ok {
-		s.homeDrain = &d
+		s.localDrain = &d
 	}
 }
 
-// counter returns the count of requests sent to a handler since its latest
-// account of itself.
-func (b *Builder) counter(m membership.Member, service string) *atomic.Int64 {
+// sentCounter returns the counter of requests sent to a handler since its
+// latest heartbeat.
+func (b *Builder) sentCounter(m membership.Member, service string) *atomic.Int64 {
 	key := sentKey{m.Instance, service}
 	c := b.sent[key]
 	if c == nil || c.sequence != m.Sequence {
@@ -196,23 +204,23 @@
 	return c.count
 }
 
-func (b *Builder) spill(service string) *Spillover {
-	s := b.spills[service]
+func (b *Builder) spilloverOf(service string) *Spillover {
+	s := b.spillovers[service]
 	if s == nil {
 		s = &Spillover{}
-		b.spills[service] = s
+		b.spillovers[service] = s
 	}
 	return s
 }
 
-// forget drops the counters of daemons that are gone.
-func (b *Builder) forget(ready []membership.Member) {
-	here := map[string]bool{}
+// dropAbsent deletes the counters of daemons that are no longer ready.
+func (b *Builder) dropAbsent(ready []membership.Member) {
+	present := map[string]bool{}
 	for _, m := range ready {
-		here[m.Instance] = true
+		present[m.Instance] = true
 	}
 	for key := range b.sent {
-		if !here[key.instance] {
+		if !present[key.instance] {
 			delete(b.sent, key)
 		}
 	}
@@ -220,7 +228,7 @@
 
 func (r *regionTable) add(h *Handler, assigned bool) {
 	if !assigned {
-		r.former = append(r.former, h)
+		r.unassigned = append(r.unassigned, h)
 		return
 	}
 	r.handlers = append(r.handlers, h)
@@ -233,20 +241,21 @@
 	r.zones = append(r.zones, zoneTable{name: h.Member.Zone, handlers: []*Handler{h}})
 }
 
-// settle lets former handlers stand where the assignment names nobody: this
-// daemon may know fewer ready ones than they do.
-func (r *regionTable) settle() {
+// useUnassigned makes the unassigned daemons handlers if the assignment names
+// none in the region: this daemon may know fewer ready daemons than they do.
+func (r *regionTable) useUnassigned() {
 	if len(r.handlers) > 0 {
 		return
 	}
-	former := r.former
-	r.former = nil
-	for _, h := range former {
+	unassigned := r.unassigned
+	r.unassigned = nil
+	for _, h := range unassigned {
 		r.add(h, true)
 	}
 }
 
-func (r *regionTable) sort(own string) {
+// sortZones orders the zones by name, with the daemon's own zone first.
+func (r *regionTable) sortZones(own string) {
 	slices.SortFunc(r.zones, func(x, y zoneTable) int {
 		if (x.name == own) != (y.name == own) {
 			if x.name == own {
@@ -258,12 +267,13 @@
 	})
 }
 
-// pressure is the region's running and waiting work over its room; 1 is full.
-func (r *regionTable) pressure() float64 {
+// utilization returns the running and queued requests of the region divided by
+// its limit. A full region has a utilization of 1.
+func (r *regionTable) utilization() float64 {
 	used, limit := 0, 0
 	for _, h := range r.handlers {
-		used += h.room.Limit - h.room.Free + h.room.Queued
-		limit += h.room.Limit
+		used += h.headroom.Limit - h.headroom.Free + h.headroom.Queued
+		limit += h.headroom.Limit
 	}
 	if limit == 0 {
 		return 1
@@ -271,14 +281,14 @@
 	return float64(used) / float64(limit)
 }
 
-// Handlers lists every handler of a service that is known here.
+// Handlers returns all known handlers of a service.
 func (t *Table) Handlers(service string) []*Handler {
 	s := t.services[service]
 	if s == nil {
 		return nil
 	}
 	var all []*Handler
-	for _, r := range append([]regionTable{s.home}, s.others...) {
+	for _, r := range append([]regionTable{s.local}, s.remote...) {
 		all = append(all, r.handlers...)
 	}
 	return all
