--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -5,28 +5,31 @@
 	"time"
 )
 
-// MaxWait bounds the wait for a token: four round trips between the farthest
-// regions (110 ms). A daemon that is not the hub needs one round trip for a
-// token and up to one more where a request is already under way; the rest
-// evens out chance bursts of callers inside their rate. Without a wait, every
-// daemon whose own part is empty refuses although the fleet has tokens.
+// MaxWait is the longest time for which a request waits for a token: four
+// round trips between the farthest regions (110 ms). A daemon that is not the
+// hub needs one round trip to borrow a token, and up to one more if another
+// loan request is already pending. The rest evens out random bursts of callers
+// that are within their rate. Without a wait, every daemon whose own share is
+// used up would refuse requests although the fleet has tokens.
 const MaxWait = 450 * time.Millisecond
 
-// demandMemory is the time over which demand is averaged: four heartbeats, so
-// that chance does not move the hub, short against a move of the traffic.
-const demandMemory = 2 * time.Second
+// demandTimeConstant is the time constant of the average demand: four
+// heartbeats, long enough that random fluctuation does not move the hub, and
+// short compared with a shift of the traffic.
+const demandTimeConstant = 2 * time.Second
 
-// wakeSlack keeps a waiter from waking just before its turn.
+// wakeSlack is added to the delay of a waiter so that it does not wake just
+// before its turn.
 const wakeSlack = 50 * time.Microsecond
 
-// never is told where no wait is known.
-const never = time.Duration(-1)
+// unknownWait is returned where the expected wait is not known.
+const unknownWait = time.Duration(-1)
 
-// Ticket is a place in an account's queue.
+// Ticket is an entry in the queue of an account.
 type Ticket struct {
-	cost  float64
-	until time.Time
-	// loan is set where a peer waits.
+	cost     float64
+	deadline time.Time
+	// loan is set if a peer is waiting for a loan of tokens.
 	loan  *loanKey
 	grant Grant
 	done  chan struct{}
@@ -41,75 +44,80 @@
 	ticketRefused
 )
 
-// Done is closed when the ticket was served or refused.
+// Done is closed when the ticket is served or refused.
 func (t *Ticket) Done() <-chan struct{} { return t.done }
 
-func (t *Ticket) end(s ticketState) {
+func (t *Ticket) finish(s ticketState) {
 	t.state = s
 	close(t.done)
 }
 
-// Account is one daemon's part of one quota: a token bucket over its own
-// share, less what it lends, plus what it borrows, with a queue of takers in
-// the order of their coming.
+// Account is one daemon's part of one quota: a token bucket over the daemon's
+// own share, less its lent loans and plus its borrowed loans, with a FIFO
+// queue of requests that wait for tokens.
 //
-// Its level grows by its rate up to its capacity and falls by what is spent
-// or lent; nothing else raises it. As rates and capacities of all accounts
-// together stay within the quota, so do all spends together, in any window.
+// The level grows at the account's rate up to its capacity and falls by the
+// tokens that are spent or lent. Nothing else raises it. Since the rates and
+// capacities of all accounts together stay within the quota, all spends
+// together stay within it too, in any time window.
 //
-// Every call first brings the account to now, in the order of the ends of
-// loans. A daemon that was paused past a term (its callers would see requests
-// admitted on a share that its lender has again) therefore loses the loan
-// before it can take. An Account is not safe for concurrent use.
+// Every call first advances the account to now and ends loans in the order of
+// their expiry. A daemon that was paused for longer than the term of a loan
+// therefore loses the loan before it can take from it; otherwise it would
+// admit requests on a share that its source has taken back. An Account is not
+// safe for concurrent use.
 type Account struct {
-	name     string
-	own      Share
-	whole    Share
-	lender   LentLoans
-	borrower BorrowedLoans
-	level    float64
-	at       time.Time
-	queue    []*Ticket
-	queued   float64
-
-	demand   float64
-	demandAt time.Time
-	usedAt   time.Time
-	// fenced: nothing may be spent or lent now; see Fence.
+	name       string
+	own        Share
+	total      Share
+	lent       LentLoans
+	borrowed   BorrowedLoans
+	level      float64
+	updatedAt  time.Time
+	queue      []*Ticket
+	queuedCost float64
+
+	demand          float64
+	demandUpdatedAt time.Time
+	lastUsed        time.Time
+	// fenced is set while the account may neither spend nor lend; see Fence.
 	fenced bool
-	// blockedUntil: the hub has said that it has nothing before then.
+	// blockedUntil is the time before which the hub has no tokens, according
+	// to its last response.
 	blockedUntil time.Time
-	situation    FleetState
+	fleet        FleetState
 	roundTrip    time.Duration
 }
 
-// NewAccount returns an account over an own share of the whole quota.
-func NewAccount(name string, own, whole Share, level float64, now time.Time) *Account {
+// NewAccount returns an account with its own share of a total quota.
+func NewAccount(name string, own, total Share, level float64, now time.Time) *Account {
 	return &Account{
-		name: name, own: own, whole: whole, level: math.Min(level, own.Burst),
-		at: now, demandAt: now, usedAt: now, roundTrip: firstRoundTrip,
+		name: name, own: own, total: total, level: math.Min(level, own.Burst),
+		updatedAt: now, demandUpdatedAt: now, lastUsed: now, roundTrip: initialRoundTrip,
 	}
 }
 
-// shape is the rate and capacity for now.
-func (a *Account) shape() Share {
-	s := a.own.minus(a.lender.Sum()).plus(a.borrower.SumAfter(a.at))
+// effectiveShare returns the current rate and capacity of the account, with
+// loans.
+func (a *Account) effectiveShare() Share {
+	s := a.own.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt))
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
-// free is what of the own share is not lent.
-func (a *Account) free() Share {
-	s := a.own.minus(a.lender.Sum())
+// unlentShare returns the part of the own share that is not lent.
+func (a *Account) unlentShare() Share {
+	s := a.own.minus(a.lent.Sum())
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
+// advance accrues tokens up to now and ends the loans that expire on the way.
 func (a *Account) advance(now time.Time) {
 	for {
-		next := a.borrower.nextEnd(a.lender.nextEnd(now))
+		next := a.borrowed.nextExpiry(a.lent.nextExpiry(now))
 		a.accrue(next)
-		a.lender.expire(a.at)
-		a.borrower.expire(a.at)
-		a.cut()
+		a.lent.expire(a.updatedAt)
+		a.borrowed.expire(a.updatedAt)
+		a.capLevel()
 		if !next.Before(now) {
 			return
 		}
@@ -117,198 +125,206 @@
 }
 
 func (a *Account) accrue(to time.Time) {
-	passed := to.Sub(a.at).Seconds()
-	if passed <= 0 {
+	elapsed := to.Sub(a.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	s := a.shape()
-	a.level = math.Min(s.Burst, a.level+passed*s.Rate)
-	a.at = to
+	s := a.effectiveShare()
+	a.level = math.Min(s.Burst, a.level+elapsed*s.Rate)
+	a.updatedAt = to
 }
 
-// cut drops tokens above the capacity.
-func (a *Account) cut() { a.level = math.Min(a.level, a.shape().Burst) }
+// capLevel drops tokens above the capacity.
+func (a *Account) capLevel() { a.level = math.Min(a.level, a.effectiveShare().Burst) }
 
-// SetShares sets the own share and the whole quota. The level never rises by it.
-func (a *Account) SetShares(own, whole Share, now time.Time) {
+// SetShares sets the own share and the total quota. It never raises the level.
+func (a *Account) SetShares(own, total Share, now time.Time) {
 	a.advance(now)
-	a.own, a.whole = own, whole
-	a.cut()
+	a.own, a.total = own, total
+	a.capLevel()
 }
 
-// Take spends cost at once, or tells how long until it could; never if that
-// is not known.
+// Take removes cost tokens, or returns the expected wait; a negative wait
+// means that it is not known.
 func (a *Account) Take(cost float64, now time.Time) (bool, time.Duration) {
 	a.advance(now)
-	a.note(cost, now)
+	a.recordDemand(cost, now)
 	a.serve()
 	if len(a.queue) == 0 && a.covers(cost) {
 		a.level -= cost
 		return true, 0
 	}
-	return false, a.expected(cost)
+	return false, a.expectedWait(cost)
 }
 
-// expected is how long until a taker that comes now would be served. Where
-// most of the quota is elsewhere and comes from a hub, or will as soon as this
-// daemon's first demand is known, the whole rate counts.
-func (a *Account) expected(cost float64) time.Duration {
-	if wait := a.blockedUntil.Sub(a.at); wait > 0 {
+// expectedWait returns the time after which a request that arrives now would
+// get its tokens. The total rate is used if the daemon's own rate is less than
+// half of it and the daemon borrows from a hub, or will do so as soon as its
+// first demand is known.
+func (a *Account) expectedWait(cost float64) time.Duration {
+	if wait := a.blockedUntil.Sub(a.updatedAt); wait > 0 {
 		return wait
 	}
-	s := a.shape()
-	helped := s.Rate <= 0 || a.situation.Hub != ""
-	if s.Rate < a.whole.Rate/2 && helped {
-		s = a.whole
+	s := a.effectiveShare()
+	viaHub := s.Rate <= 0 || a.fleet.Hub != ""
+	if s.Rate < a.total.Rate/2 && viaHub {
+		s = a.total
 	}
 	if s.Rate <= 0 {
-		return never
+		return unknownWait
 	}
-	return seconds(max(0, a.queued+cost-a.level) / s.Rate)
+	return seconds(max(0, a.queuedCost+cost-a.level) / s.Rate)
 }
 
-// JoinQueue takes a place in the queue after a Take that failed. Without a ticket
-// the taker is refused at once: nothing can be there for it within patience,
-// or the customer is over its whole rate and waiting would only make every
-// caller late. The duration is when to come back.
-func (a *Account) JoinQueue(cost float64, patience time.Duration, now time.Time) (*Ticket, time.Duration) {
+// JoinQueue queues a request after a failed Take. It returns no ticket if no
+// token can be available within maxWait, or if the customer exceeds its total
+// rate, where waiting would only delay every caller. The duration is the time
+// after which to retry.
+func (a *Account) JoinQueue(cost float64, maxWait time.Duration, now time.Time) (*Ticket, time.Duration) {
 	a.advance(now)
-	patience = min(patience, MaxWait)
-	wait := a.expected(cost)
+	maxWait = min(maxWait, MaxWait)
+	wait := a.expectedWait(cost)
 	switch {
-	case patience <= 0 || wait < 0 || wait > patience:
+	case maxWait <= 0 || wait < 0 || wait > maxWait:
 		return nil, wait
-	case a.situation.OverRate && a.isHub():
+	case a.fleet.OverRate && a.isHub():
 		return nil, wait
 	}
-	return a.enqueue(&Ticket{cost: cost, until: a.at.Add(patience)}), wait
+	return a.enqueue(&Ticket{cost: cost, deadline: a.updatedAt.Add(maxWait)}), wait
 }
 
-func (a *Account) isHub() bool { return a.situation.Hub == a.situation.Self }
+func (a *Account) isHub() bool { return a.fleet.Hub == a.fleet.Self }
 
 func (a *Account) enqueue(t *Ticket) *Ticket {
 	t.done = make(chan struct{})
 	a.queue = append(a.queue, t)
-	a.queued += t.cost
+	a.queuedCost += t.cost
 	return t
 }
 
-// ServeQueue brings the account to now and serves its queue.
+// ServeQueue advances the account to now and serves its queue.
 func (a *Account) ServeQueue(now time.Time) {
 	a.advance(now)
 	a.serve()
 }
 
+// serve serves the tickets at the head of the queue as far as the level
+// allows, and refuses those past their deadline.
 func (a *Account) serve() {
 	for len(a.queue) > 0 {
 		t := a.queue[0]
-		if t.until.Before(a.at) {
-			a.leave(0)
-			t.end(ticketRefused)
+		if t.deadline.Before(a.updatedAt) {
+			a.dequeue(0)
+			t.finish(ticketRefused)
 			continue
 		}
 		if !a.covers(t.cost) {
 			return
 		}
-		a.leave(0)
+		a.dequeue(0)
 		if t.loan != nil {
 			a.serveLoan(t)
 			continue
 		}
 		a.level -= t.cost
-		t.end(ticketServed)
+		t.finish(ticketServed)
 	}
 }
 
-// covers is false also for a level that is not a number, so that an error in
-// the sums refuses and never admits.
+// covers reports whether cost may be spent now. It is false if the level is
+// not a number, so that an arithmetic error refuses requests and never admits
+// them.
 func (a *Account) covers(cost float64) bool { return !a.fenced && a.level >= cost }
 
 func (a *Account) serveLoan(t *Ticket) {
 	t.grant = a.lendTokens(*t.loan, t.cost)
 	if t.grant.Tokens > 0 {
-		t.end(ticketServed)
+		t.finish(ticketServed)
 		return
 	}
-	t.end(ticketRefused)
+	t.finish(ticketRefused)
 }
 
-func (a *Account) leave(i int) {
-	a.queued -= a.queue[i].cost
+func (a *Account) dequeue(i int) {
+	a.queuedCost -= a.queue[i].cost
 	a.queue = append(a.queue[:i], a.queue[i+1:]...)
 	if len(a.queue) == 0 {
-		a.queued = 0
+		a.queuedCost = 0
 	}
 }
 
-// Cancel gives a ticket up and tells whether it had been served before.
+// Cancel removes a ticket from the queue and reports whether it had already
+// been served.
 func (a *Account) Cancel(t *Ticket, now time.Time) bool {
 	a.advance(now)
 	a.serve()
 	for i, x := range a.queue {
 		if x == t {
-			a.leave(i)
-			t.end(ticketRefused)
+			a.dequeue(i)
+			t.finish(ticketRefused)
 			break
 		}
 	}
 	return t.state == ticketServed
 }
 
-// ServeDelay is how long until a ticket's turn may have come, as far as this
-// account knows. Each waiter asks for its own turn, so that a long queue does
-// not wake as a whole.
+// ServeDelay returns the time after which the ticket may be served, as far as
+// this account knows. Each waiter sleeps until its own turn, so that a long
+// queue does not wake up all at once.
 func (a *Account) ServeDelay(t *Ticket) time.Duration {
-	ahead := 0.0
+	costAhead := 0.0
 	for _, x := range a.queue {
-		ahead += x.cost
+		costAhead += x.cost
 		if x == t {
 			break
 		}
 	}
-	wait := max(0, t.until.Sub(a.at)) + wakeSlack
-	if s := a.shape(); s.Rate > 0 && s.Burst >= t.cost {
-		wait = min(wait, seconds(max(0, ahead-a.level)/s.Rate)+wakeSlack)
+	wait := max(0, t.deadline.Sub(a.updatedAt)) + wakeSlack
+	if s := a.effectiveShare(); s.Rate > 0 && s.Burst >= t.cost {
+		wait = min(wait, seconds(max(0, costAhead-a.level)/s.Rate)+wakeSlack)
 	}
 	return wait
 }
 
-// Refund gives back what was taken for a request that certainly did not run.
+// Refund returns the tokens that were taken for a request that certainly did
+// not run.
 func (a *Account) Refund(cost float64, now time.Time) {
 	a.advance(now)
-	a.level = math.Min(a.shape().Burst, a.level+cost)
+	a.level = math.Min(a.effectiveShare().Burst, a.level+cost)
 	a.serve()
 }
 
-// Level is the tokens in the account.
+// Level returns the number of tokens in the account.
 func (a *Account) Level(now time.Time) float64 {
 	a.advance(now)
 	return a.level
 }
 
-func (a *Account) note(cost float64, now time.Time) {
-	a.usedAt = now
-	a.demand = a.Demand(now) + cost/demandMemory.Seconds()
-	a.demandAt = now
+func (a *Account) recordDemand(cost float64, now time.Time) {
+	a.lastUsed = now
+	a.demand = a.Demand(now) + cost/demandTimeConstant.Seconds()
+	a.demandUpdatedAt = now
 }
 
-// Demand is the rate at which takers come, in tokens per second.
+// Demand returns the average rate of requests for tokens, in tokens per
+// second.
 func (a *Account) Demand(now time.Time) float64 {
-	passed := max(0, now.Sub(a.demandAt).Seconds())
-	return a.demand * math.Exp(-passed/demandMemory.Seconds())
+	elapsed := max(0, now.Sub(a.demandUpdatedAt).Seconds())
+	return a.demand * math.Exp(-elapsed/demandTimeConstant.Seconds())
 }
 
-// wants tells whether a Plan now would ask for tokens.
-func (a *Account) wants() bool {
-	source := a.source()
-	return source != "" && a.need(source) >= 1 && a.pulls() < maxPulls
+// wantsTokens reports whether a Plan now would request tokens.
+func (a *Account) wantsTokens() bool {
+	source := a.tokenSource()
+	return source != "" && a.tokensNeeded(source) >= 1 && a.pendingTokenRequests() < maxTokenRequests
 }
 
-// idle: nothing is lent, borrowed, asked or waited for, and the level is full.
-func (a *Account) idle(now time.Time) bool {
+// isIdle reports whether the account is full, has not been used recently, and
+// has no loans, pending requests or queued tickets.
+func (a *Account) isIdle(now time.Time) bool {
 	a.advance(now)
-	quiet := len(a.lender.loans)+len(a.borrower.loans)+len(a.borrower.pending)+len(a.queue) == 0
-	return quiet && a.level >= a.own.Burst && now.Sub(a.usedAt) > idleAfter
+	inactive := len(a.lent.loans)+len(a.borrowed.loans)+len(a.borrowed.pending)+len(a.queue) == 0
+	return inactive && a.level >= a.own.Burst && now.Sub(a.lastUsed) > idleTimeout
 }
 
 func seconds(s float64) time.Duration {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -9,28 +9,28 @@
 type Bucket struct {
 	rate, burst float64
 	level       float64
-	at          time.Time
+	updatedAt   time.Time
 }
 
-// NewBucket returns a bucket that fills at rate per second up to burst and
-// starts at level.
+// NewBucket returns a bucket that starts with level tokens and refills at rate
+// tokens per second up to burst.
 func NewBucket(rate, burst, level float64, now time.Time) *Bucket {
-	return &Bucket{rate: rate, burst: burst, level: math.Min(level, burst), at: now}
+	return &Bucket{rate: rate, burst: burst, level: math.Min(level, burst), updatedAt: now}
 }
 
-// fill adds what has come in since the last call. Time that goes back adds
-// nothing, and the next call counts from the latest time seen.
-func (b *Bucket) fill(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level = math.Min(b.burst, b.level+passed*b.rate)
-		b.at = now
+// refill adds the tokens accrued since the last call. A time before the last
+// call adds nothing, and the next call counts from the latest time seen.
+func (b *Bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
+		b.level = math.Min(b.burst, b.level+elapsed*b.rate)
+		b.updatedAt = now
 	}
 }
 
-// Take spends cost if the bucket holds it. If not, it returns how long until
-// it will; a negative time means never.
+// Take removes cost tokens if the bucket holds them. Otherwise it returns the
+// time until it will hold them, or a negative time if it never will.
 func (b *Bucket) Take(cost float64, now time.Time) (bool, time.Duration) {
-	b.fill(now)
+	b.refill(now)
 	if b.level >= cost {
 		b.level -= cost
 		return true, 0
@@ -41,8 +41,8 @@
 	return false, time.Duration((cost - b.level) / b.rate * float64(time.Second))
 }
 
-// Level returns the tokens in the bucket.
+// Level returns the number of tokens in the bucket.
 func (b *Bucket) Level(now time.Time) float64 {
-	b.fill(now)
+	b.refill(now)
 	return b.level
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,10 +1,14 @@
-// Package quota admits requests against everything that counts over the whole
-// fleet: a customer's rate and burst, a link's bits per second, a shift's cap.
+// Package quota enforces limits that count over the whole fleet: the rate and
+// burst of a customer, the bits per second of a link, the cap of a shift and
+// the limit of a region.
 //
-// Each quota is cut over the slots of all zones (Cuts, Shape). A daemon spends
-// from an Account over the shares of the slots it holds, less what it lends
-// and plus what it borrows (Lender, Borrower). Rates, capacities and tokens
-// only ever move between daemons, so their sums over the fleet never exceed
-// the quota, without any leader. Plan decides who asks whom; a wrong plan
-// costs goodput and never admits too much.
+// Each quota is split over the slots of all zones (Split, HeldSlots). A daemon
+// spends from an Account that holds the shares of its slots, less the loans it
+// has made to other daemons and plus the loans it has received (LentLoans,
+// BorrowedLoans). Loans move rates, capacities and tokens between daemons and
+// never create any, so the sums over the fleet never exceed the quota, without
+// a leader. For each quota, the daemon with the most demand is the hub, which
+// borrows the unused shares of the others; Plan decides which daemon borrows
+// from which. A wrong plan lowers throughput but never admits more than the
+// quota.
 package quota
--- a/internal/quota/fence.go
+++ b/internal/quota/fence.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Fence stops all spending when the control thread has not run for a while.
+// Fence blocks all spending when the control thread has not run for a while.
 //
-// The failure it guards against: the process is paused (SIGSTOP, a frozen
-// virtual machine) for so long that another daemon takes its slots. When it
-// wakes, traffic threads may run before the control thread notices. Each spend
+// A process may be paused (SIGSTOP, a suspended virtual machine) for so long
+// that another daemon acquires its slots. When the process resumes, traffic
+// threads may run before the control thread notices the pause. Each spend
 // therefore compares its own time with the fence, which only the control
-// thread moves. It is safe for concurrent use. A new one is open: a ledger has
-// no shares before the control thread first runs.
-type Fence struct{ until atomic.Pointer[time.Time] }
+// thread extends. A new fence is open, because a ledger has no shares before
+// the control thread first runs. A Fence is safe for concurrent use.
+type Fence struct{ openUntil atomic.Pointer[time.Time] }
 
-// Extend lets spending go on until a time.
-func (f *Fence) Extend(until time.Time) { f.until.Store(&until) }
+// Extend allows spending until the given time.
+func (f *Fence) Extend(until time.Time) { f.openUntil.Store(&until) }
 
-// Open tells whether spending is allowed at now.
+// Open reports whether spending is allowed at now.
 func (f *Fence) Open(now time.Time) bool {
-	until := f.until.Load()
+	until := f.openUntil.Load()
 	return until == nil || now.Before(*until)
 }
--- a/internal/quota/fence_test.go
+++ b/internal/quota/fence_test.go
@@ -10,9 +10,10 @@
 	"balsambarrow/internal/quota"
 )
 
-// A daemon is frozen for so long that a mate takes its slots, and woken. A
-// request that runs before the control thread does must not be admitted.
-func TestFenceStopsSpendingAfterAPause(t *testing.T) {
+// A daemon is paused for so long that another daemon acquires its slots, and
+// then resumes. A request that runs before the control thread does must not be
+// admitted.
+func TestFenceStopsSpendingAfterPause(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1e9, 0)
 	l := quota.NewLedger()
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -6,48 +6,54 @@
 	"time"
 )
 
-// Bounds of what a ledger keeps.
+// Limits of a ledger.
 const (
-	// maxEpochs is how many earlier shapes are kept to tell what an account
-	// that is made later holds. Older ones count as empty.
+	// maxEpochs is the number of earlier sets of held slots that are kept to
+	// compute the level of an account that is created later. Older sets count
+	// as empty.
 	maxEpochs = 8
-	// idleAfter is when an account that is full, unused and without loans is
-	// dropped. It is made again with the same level when it is needed.
-	idleAfter = time.Minute
-	// wakeSize bounds the quotas noted for the planner; what does not fit is
-	// found at its next tick.
-	wakeSize = 256
+	// idleTimeout is the time after which an account that is full, unused and
+	// without loans is dropped. It is created again with the same level when
+	// it is needed.
+	idleTimeout = time.Minute
+	// planRequestsSize is the capacity of the queue of quotas that need a
+	// plan. A quota that does not fit is planned at the next tick.
+	planRequestsSize = 256
 )
 
-// Ledger holds this daemon's account of each quota that is in use here.
-// Traffic threads take from it; the control thread sets shape and situation.
-// It is safe for concurrent use: each account has a lock of its own.
+// Ledger holds this daemon's account for each quota in use. Traffic threads
+// take tokens from it, and the control thread sets the held slots and the
+// fleet state. A Ledger is safe for concurrent use: each account has its own
+// lock.
 type Ledger struct {
-	// Fence stops spending and lending after a pause.
+	// Fence blocks spending and lending after a pause of the process.
 	Fence Fence
 
-	accounts sync.Map // name -> *entry
-	wake     chan string
+	accounts     sync.Map // name -> *entry
+	planRequests chan string
 
-	mu     sync.Mutex // guards epochs and the making and dropping of accounts
+	mu     sync.Mutex // guards epochs and the creation and removal of accounts
 	epochs []epoch
 }
 
+// entry is an account with its lock.
 type entry struct {
 	mu      sync.Mutex
 	account *Account
-	// dropped: a taker that found this entry just before must look again, or
-	// it would spend from it and others from the account made anew.
+	// dropped is set when the entry has been removed from the ledger. A caller
+	// that loaded the entry before its removal must load it again; otherwise
+	// it would spend from this account while others spend from a new one.
 	dropped bool
 }
 
+// epoch holds the slots that the daemon held from a time on.
 type epoch struct {
-	from  time.Time
-	shape *HeldSlots
+	from time.Time
+	held *HeldSlots
 }
 
-// NewLedger returns a ledger without a shape: it admits nothing.
-func NewLedger() *Ledger { return &Ledger{wake: make(chan string, wakeSize)} }
+// NewLedger returns a ledger without held slots, which admits nothing.
+func NewLedger() *Ledger { return &Ledger{planRequests: make(chan string, planRequestsSize)} }
 
 // SetHeldSlots sets the slots that this daemon holds from now on.
 func (l *Ledger) SetHeldSlots(s *HeldSlots, now time.Time) {
@@ -57,13 +63,13 @@
 	if len(l.epochs) > maxEpochs {
 		l.epochs = l.epochs[1:]
 	}
-	l.each(func(name string, a *Account) {
-		own, whole, _ := s.Share(name)
-		a.SetShares(own, whole, now)
+	l.forEach(func(name string, a *Account) {
+		own, total, _ := s.Share(name)
+		a.SetShares(own, total, now)
 	})
 }
 
-func (l *Ledger) each(f func(name string, a *Account)) {
+func (l *Ledger) forEach(f func(name string, a *Account)) {
 	l.accounts.Range(func(name, e any) bool {
 		en := e.(*entry)
 		en.mu.Lock()
@@ -73,9 +79,9 @@
 	})
 }
 
-// with runs f on a quota's account, made if there is none yet; false if the
-// quota is not known.
-func (l *Ledger) with(name string, now time.Time, f func(*Account)) bool {
+// withAccount runs f on the account of a quota and creates the account if
+// needed. It returns false if the quota is not known.
+func (l *Ledger) withAccount(name string, now time.Time, f func(*Account)) bool {
 	for {
 		e, ok := l.accounts.Load(name)
 		if !ok {
@@ -83,13 +89,15 @@
 				return false
 			}
 		}
-		if l.run(e, now, f) {
+		if l.withEntry(e, now, f) {
 			return true
 		}
 	}
 }
 
-func (l *Ledger) run(found any, now time.Time, f func(*Account)) bool {
+// withEntry runs f on the account of an entry. It returns false if the entry
+// has been dropped.
+func (l *Ledger) withEntry(found any, now time.Time, f func(*Account)) bool {
 	e := found.(*entry)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,8 +109,8 @@
 	return true
 }
 
-// make creates the account with the level that it would have had it been kept
-// since the oldest epoch: nobody has taken from it or borrowed of it.
+// make creates an account with the level it would have if it had existed since
+// the oldest epoch: nothing was taken from it and nothing of it was lent.
 func (l *Ledger) make(name string, now time.Time) (any, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,124 +120,128 @@
 	if len(l.epochs) == 0 {
 		return nil, false
 	}
-	if _, _, known := l.epochs[len(l.epochs)-1].shape.Share(name); !known {
+	if _, _, known := l.epochs[len(l.epochs)-1].held.Share(name); !known {
 		return nil, false
 	}
 	a := NewAccount(name, Share{}, Share{}, 0, l.epochs[0].from)
 	for _, e := range l.epochs {
-		own, whole, _ := e.shape.Share(name)
-		a.SetShares(own, whole, e.from)
+		own, total, _ := e.held.Share(name)
+		a.SetShares(own, total, e.from)
 	}
 	a.advance(now)
-	a.usedAt, a.demandAt = now, now
+	a.lastUsed, a.demandUpdatedAt = now, now
 	e := &entry{account: a}
 	l.accounts.Store(name, e)
 	return e, true
 }
 
-// Take spends cost of a quota. If it cannot, it returns how long until it
-// could; a negative time means that it is not known.
+// Take removes cost tokens of a quota. If it cannot, it returns the expected
+// wait; a negative wait means that it is not known.
 func (l *Ledger) Take(name string, cost float64, now time.Time) (bool, time.Duration) {
-	ok, wait, wants := false, never, false
-	l.with(name, now, func(a *Account) {
+	ok, wait, needsPlan := false, unknownWait, false
+	l.withAccount(name, now, func(a *Account) {
 		ok, wait = a.Take(cost, now)
-		wants = a.wants()
+		needsPlan = a.wantsTokens()
 	})
-	if wants {
-		l.nudge(name)
+	if needsPlan {
+		l.requestPlan(name)
 	}
 	return ok, wait
 }
 
-// ExpectedWait is how long until a taker that comes now would be served; false if
-// the quota is not known.
+// ExpectedWait returns the time after which a request that arrives now would
+// get its tokens, and false if the quota is not known.
 func (l *Ledger) ExpectedWait(name string, cost float64, now time.Time) (known bool, wait time.Duration) {
-	wait = never
-	known = l.with(name, now, func(a *Account) {
+	wait = unknownWait
+	known = l.withAccount(name, now, func(a *Account) {
 		a.advance(now)
-		wait = a.expected(cost)
+		wait = a.expectedWait(cost)
 	})
 	return known, wait
 }
 
-// JoinQueue queues for cost; see Account.JoinQueue.
-func (l *Ledger) JoinQueue(name string, cost float64, patience time.Duration, now time.Time) (*Ticket, time.Duration) {
+// JoinQueue queues a request for cost tokens; see Account.JoinQueue.
+func (l *Ledger) JoinQueue(name string, cost float64, maxWait time.Duration, now time.Time) (*Ticket, time.Duration) {
 	var t *Ticket
-	wait := never
-	l.with(name, now, func(a *Account) { t, wait = a.JoinQueue(cost, patience, now) })
+	wait := unknownWait
+	l.withAccount(name, now, func(a *Account) { t, wait = a.JoinQueue(cost, maxWait, now) })
 	if t != nil {
-		l.nudge(name)
+		l.requestPlan(name)
 	}
 	return t, wait
 }
 
-func (l *Ledger) nudge(name string) {
+// requestPlan asks for a plan before the next tick.
+func (l *Ledger) requestPlan(name string) {
 	select {
-	case l.wake <- name:
+	case l.planRequests <- name:
 	default:
 	}
 }
 
-// PlanRequests delivers the names of quotas that want a Plan before the next tick.
-func (l *Ledger) PlanRequests() <-chan string { return l.wake }
+// PlanRequests delivers the names of quotas that need a plan before the next
+// tick.
+func (l *Ledger) PlanRequests() <-chan string { return l.planRequests }
 
-// Await waits until a ticket was served (true) or refused, or ctx has ended;
-// then the place is given up.
+// Await waits until a ticket is served (true) or refused (false). When ctx
+// ends, the ticket is canceled, unless it has been served.
 func (l *Ledger) Await(ctx context.Context, name string, t *Ticket) bool {
 	for {
-		wait := never
-		l.with(name, time.Now(), func(a *Account) { wait = a.ServeDelay(t) })
+		wait := unknownWait
+		l.withAccount(name, time.Now(), func(a *Account) { wait = a.ServeDelay(t) })
 		select {
 		case <-t.done:
 			return t.state == ticketServed
 		case <-ctx.Done():
 			served := false
-			l.with(name, time.Now(), func(a *Account) { served = a.Cancel(t, time.Now()) })
+			l.withAccount(name, time.Now(), func(a *Account) { served = a.Cancel(t, time.Now()) })
 			return served
 		case <-time.After(max(wait, 0)):
 			now := time.Now()
-			l.with(name, now, func(a *Account) { a.ServeQueue(now) })
+			l.withAccount(name, now, func(a *Account) { a.ServeQueue(now) })
 		}
 	}
 }
 
-// Refund gives back what was taken for a request that certainly did not run.
+// Refund returns the tokens that were taken for a request that certainly did
+// not run.
 func (l *Ledger) Refund(name string, cost float64, now time.Time) {
-	l.with(name, now, func(a *Account) { a.Refund(cost, now) })
+	l.withAccount(name, now, func(a *Account) { a.Refund(cost, now) })
 }
 
-// Plan returns what to ask peers for one quota.
+// Plan returns the loan requests to send for one quota.
 func (l *Ledger) Plan(name string, now time.Time) []OutgoingRequest {
 	var out []OutgoingRequest
 	if e, ok := l.accounts.Load(name); ok {
-		l.run(e, now, func(a *Account) { out = a.Plan(now) })
+		l.withEntry(e, now, func(a *Account) { out = a.Plan(now) })
 	}
 	return out
 }
 
-// Lend answers a peer's ask; see Account.Lend.
-func (l *Ledger) Lend(ask LoanRequest, now time.Time) (g Grant, t *Ticket) {
-	l.with(ask.Quota, now, func(a *Account) { g, t = a.Lend(ask, now) })
+// Lend handles a loan request of a peer; see Account.Lend.
+func (l *Ledger) Lend(req LoanRequest, now time.Time) (g Grant, t *Ticket) {
+	l.withAccount(req.Quota, now, func(a *Account) { g, t = a.Lend(req, now) })
 	return g, t
 }
 
-// TicketGrant is the response that a ticket of Lend came to.
+// TicketGrant returns the response for a ticket of Lend that has ended.
 func (l *Ledger) TicketGrant(name string, t *Ticket, now time.Time) (g Grant) {
-	l.with(name, now, func(a *Account) { g = a.TicketGrant(t) })
+	l.withAccount(name, now, func(a *Account) { g = a.TicketGrant(t) })
 	return g
 }
 
-// ApplyGrant applies a peer's response to a loan request; see Account.ApplyGrant.
+// ApplyGrant applies the response of a peer to a loan request; see
+// Account.ApplyGrant.
 func (l *Ledger) ApplyGrant(o OutgoingRequest, g Grant, now time.Time) {
-	l.with(o.Request.Quota, now, func(a *Account) { a.ApplyGrant(o.Request.Loan, g, o.SentAt, now) })
+	l.withAccount(o.Request.Quota, now, func(a *Account) { a.ApplyGrant(o.Request.Loan, g, o.SentAt, now) })
 }
 
 // DropRequest removes a loan request that failed.
 func (l *Ledger) DropRequest(o OutgoingRequest, now time.Time) {
-	l.with(o.Request.Quota, now, func(a *Account) { a.DropRequest(o.Request.Loan, o.SentAt) })
+	l.withAccount(o.Request.Quota, now, func(a *Account) { a.DropRequest(o.Request.Loan, o.SentAt) })
 }
 
-// Names are the quotas in use here.
+// Names returns the names of the quotas that have an account.
 func (l *Ledger) Names() []string {
 	var names []string
 	l.accounts.Range(func(name, _ any) bool {
@@ -239,28 +251,29 @@
 	return names
 }
 
-// SetFleetState sets what is known of the fleet for one quota.
+// SetFleetState sets the fleet state of one quota.
 func (l *Ledger) SetFleetState(name string, s FleetState) {
 	if e, ok := l.accounts.Load(name); ok {
-		l.run(e, time.Now(), func(a *Account) { a.SetFleetState(s) })
+		l.withEntry(e, time.Now(), func(a *Account) { a.SetFleetState(s) })
 	}
 }
 
-// Score is what to tell peers of a quota's demand here.
+// Score returns the demand score of a quota to report to peers.
 func (l *Ledger) Score(name string, now time.Time) (score float64) {
 	if e, ok := l.accounts.Load(name); ok {
-		l.run(e, now, func(a *Account) { score = a.Score(now) })
+		l.withEntry(e, now, func(a *Account) { score = a.Score(now) })
 	}
 	return score
 }
 
-// DropIdle forgets accounts that would be made again as they are now.
+// DropIdle removes idle accounts. An account created again later has the same
+// level.
 func (l *Ledger) DropIdle(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.accounts.Range(func(name, e any) bool {
-		l.run(e, now, func(a *Account) {
-			if a.idle(now) {
+		l.withEntry(e, now, func(a *Account) {
+			if a.isIdle(now) {
 				e.(*entry).dropped = true
 				l.accounts.Delete(name)
 			}
--- a/internal/quota/level.go
+++ b/internal/quota/level.go
@@ -2,48 +2,52 @@
 
 import "time"
 
-// Level is the tokens of one quota, for a hand-over.
+// Level is the number of tokens of one quota, for a transfer to another
+// daemon.
 type Level struct {
 	Quota  string
 	Tokens float64
 }
 
-// ReleaseLevels empties the ledger before its slots pass to a zone peer, and
-// returns the levels to pass with them. If clean is false, parts of the
-// shares are still lent out: then the slots must not be used by the peer
-// before Quarantine has passed, and the levels are lost.
+// ReleaseLevels empties the ledger before its slots are transferred to another
+// daemon of the zone, and returns the levels to transfer with the slots. If
+// clean is false, parts of the shares are still lent; the other daemon must
+// then not use the slots before Quarantine has passed, and the levels are
+// lost.
 //
-// Accounts are made when they are first used. One that never was has saved
-// tokens all the same, so all are made first: otherwise a customer that did
-// not call here would lose its burst with every stop.
+// Accounts are created on first use. A quota without an account has
+// accumulated tokens as well, so all accounts are created first. Otherwise a
+// customer that sent no request to this daemon would lose its burst at every
+// stop.
 func (l *Ledger) ReleaseLevels(now time.Time) (levels []Level, clean bool) {
-	for _, name := range l.declared() {
-		l.with(name, now, func(*Account) {})
+	for _, name := range l.declaredQuotas() {
+		l.withAccount(name, now, func(*Account) {})
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clean = true
 	l.epochs = []epoch{{now, &HeldSlots{}}}
-	l.each(func(name string, a *Account) {
+	l.forEach(func(name string, a *Account) {
 		a.advance(now)
-		clean = clean && len(a.lender.loans) == 0
+		clean = clean && len(a.lent.loans) == 0
 		if a.level > 0 {
 			levels = append(levels, Level{name, a.level})
 		}
 		a.level = 0
-		a.SetShares(Share{}, a.whole, now)
+		a.SetShares(Share{}, a.total, now)
 	})
 	return levels, clean
 }
 
-// declared lists every quota of the newest version in use.
-func (l *Ledger) declared() []string {
+// declaredQuotas returns the names of all quotas in the newest configuration
+// version.
+func (l *Ledger) declaredQuotas() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.epochs) == 0 {
 		return nil
 	}
-	versions := l.epochs[len(l.epochs)-1].shape.Versions
+	versions := l.epochs[len(l.epochs)-1].held.Versions
 	if len(versions) == 0 {
 		return nil
 	}
@@ -58,10 +62,11 @@
 	return names
 }
 
-// AddLevels adds levels that came with slots from a zone peer, as far as the
-// capacity, which must be set before, holds them.
+// AddLevels adds the levels that were transferred with slots from another
+// daemon of the zone. Tokens above the capacity of the account are dropped, so
+// the slots must be set before.
 func (l *Ledger) AddLevels(levels []Level, now time.Time) {
 	for _, x := range levels {
-		l.with(x.Quota, now, func(a *Account) { a.Refund(x.Tokens, now) })
+		l.withAccount(x.Quota, now, func(a *Account) { a.Refund(x.Tokens, now) })
 	}
 }
--- a/internal/quota/loan.go
+++ b/internal/quota/loan.go
@@ -4,54 +4,61 @@
 
 // Timing of loans.
 const (
-	// ShareLoanTerm is the term of a loan of a share. A dead hub's lenders have
-	// their shares again after it; a renewal at ShareLoanRenewal leaves three
-	// tries.
+	// ShareLoanTerm is the term of a loan of a share. If the hub stops, its
+	// sources have their shares back after this time. Renewal every
+	// ShareLoanRenewal leaves three attempts.
 	ShareLoanTerm = 2 * time.Second
-	// ShareLoanRenewal is the time after which the borrower renews it.
+	// ShareLoanRenewal is the time after which the borrower renews a loan of a
+	// share.
 	ShareLoanRenewal = 500 * time.Millisecond
-	// TokenLoanTerm is the term of a loan of tokens: above the round trip between
-	// the farthest regions (110 ms) and the longest wait in the lender's queue
-	// (MaxWait) together, and well under what is left of a standing loan
-	// between renewals, since the hub lends on what it borrowed.
+	// TokenLoanTerm is the term of a loan of tokens. It is longer than the
+	// round trip between the farthest regions (110 ms) and the longest wait in
+	// the queue of the source (MaxWait) together. It is well below the
+	// remaining term of a share loan between renewals, because the hub lends
+	// from what it has borrowed.
 	TokenLoanTerm = 800 * time.Millisecond
-	// ExpiryMargin is added by the lender to every term: drift of the clocks over a
-	// term (under 1 ms at 500 ppm) and the time between a taker's reading of
-	// the clock and its take.
+	// ExpiryMargin is added to every term by the source. It covers clock drift
+	// during a term (under 1 ms at 500 ppm) and the time between a request's
+	// reading of the clock and its spending of tokens.
 	ExpiryMargin = 100 * time.Millisecond
-	// Quarantine is how long a slot taken over without a hand-over stays
-	// unused: until every loan of its earlier holder has ended everywhere.
+	// Quarantine is the time for which a slot acquired without a transfer
+	// stays unused, until every loan of its previous holder has expired
+	// everywhere.
 	Quarantine = ShareLoanTerm + 2*ExpiryMargin
 )
 
-// LoanRequest is a daemon's request to borrow. The borrower chooses Loan, and never
-// uses an id again that it has closed.
+// LoanRequest is a request to borrow from a peer. The borrower chooses Loan
+// and never reuses the id of a loan that it has closed.
 type LoanRequest struct {
 	Quota, Borrower string
 	Loan            uint64
-	// ShareLoan asks for (or renews) a loan of the lender's free share; else
-	// Tokens are asked for, 0 for none.
+	// ShareLoan requests or renews a loan of the unlent share of the peer.
+	// Otherwise Tokens are requested; 0 requests none.
 	ShareLoan bool
 	Tokens    float64
-	// MaxDelay is how long the lender may delay the response.
+	// MaxDelay is the time for which the peer may delay its response.
 	MaxDelay time.Duration
-	// ClosedLoans are loans that the borrower has ended early.
+	// ClosedLoans lists loans that the borrower has closed before their
+	// expiry.
 	ClosedLoans []LoanClosing
 }
 
-// LoanClosing ends a loan early. Tokens are those that the borrower gave up.
+// LoanClosing closes a loan before its expiry. Tokens are the unspent tokens
+// that the borrower returns.
 type LoanClosing struct {
 	Loan   uint64
 	Tokens float64
 }
 
-// Grant answers a LoanRequest: the loan as it now stands and the tokens that move
-// with this answer. A Share of zero grants nothing.
+// Grant is the response to a LoanRequest: the loan after the request, and the
+// tokens transferred with this response. A zero Share means that nothing is
+// granted.
 type Grant struct {
 	Share  Share
 	Tokens float64
 	Term   time.Duration
-	// RetryAfter is when the lender expects to have tokens; 0 if it granted.
+	// RetryAfter is the time after which the source expects to have tokens; 0
+	// if it granted the request.
 	RetryAfter time.Duration
 }
 
@@ -60,30 +67,32 @@
 	id       uint64
 }
 
+// lentLoan is a loan as recorded by its source.
 type lentLoan struct {
-	key   loanKey
-	share Share
-	until time.Time
-	// worth bounds the tokens that the loan can hold, as of since: what moved
-	// with it and what its rate brought.
-	worth float64
-	since time.Time
+	key       loanKey
+	share     Share
+	expiresAt time.Time
+	// maxTokens is the largest number of tokens that the loan can hold at
+	// maxTokensAt: the tokens transferred with it and those accrued at its
+	// rate.
+	maxTokens   float64
+	maxTokensAt time.Time
 }
 
-func (l *lentLoan) settle(now time.Time) {
-	if passed := now.Sub(l.since).Seconds(); passed > 0 {
-		l.worth = min(l.share.Burst, l.worth+passed*l.share.Rate)
-		l.since = now
+func (l *lentLoan) accrue(now time.Time) {
+	if elapsed := now.Sub(l.maxTokensAt).Seconds(); elapsed > 0 {
+		l.maxTokens = min(l.share.Burst, l.maxTokens+elapsed*l.share.Rate)
+		l.maxTokensAt = now
 	}
 }
 
-// LentLoans are what a daemon has lent of one quota. Its owner's rate and
-// capacity are lower by it. A record is removed when its term and the margin
-// have passed, or when the borrower closes it; before that it never shrinks,
-// because the borrower may be spending it.
+// LentLoans holds the loans that a daemon has made of one quota. They reduce
+// the rate and capacity of its account. A record is removed when its term and
+// ExpiryMargin have passed or when the borrower closes the loan. It never
+// shrinks before that, because the borrower may be spending from it.
 type LentLoans struct{ loans []lentLoan }
 
-// Sum is the sum of the loans.
+// Sum returns the sum of the loans.
 func (l *LentLoans) Sum() Share {
 	var sum Share
 	for _, x := range l.loans {
@@ -92,115 +101,119 @@
 	return sum
 }
 
-// lend records a loan, or adds to it and extends it.
-func (l *LentLoans) lend(key loanKey, more Share, tokens float64, term time.Duration, now time.Time) Share {
+// lend records a loan, or enlarges and extends an existing one.
+func (l *LentLoans) lend(key loanKey, added Share, tokens float64, term time.Duration, now time.Time) Share {
 	until := now.Add(term + ExpiryMargin)
 	for i := range l.loans {
 		x := &l.loans[i]
 		if x.key != key {
 			continue
 		}
-		x.settle(now)
-		x.share = x.share.plus(more)
-		x.worth += tokens
-		if until.After(x.until) {
-			x.until = until
+		x.accrue(now)
+		x.share = x.share.plus(added)
+		x.maxTokens += tokens
+		if until.After(x.expiresAt) {
+			x.expiresAt = until
 		}
 		return x.share
 	}
-	l.loans = append(l.loans, lentLoan{key: key, share: more, until: until, worth: tokens, since: now})
-	return more
+	l.loans = append(l.loans, lentLoan{key: key, share: added, expiresAt: until, maxTokens: tokens, maxTokensAt: now})
+	return added
 }
 
-// close ends a loan early and returns the tokens to take back. A closing that
-// comes twice or after the term finds no record and brings nothing. One that
-// follows a repeated LoanRequest finds a record that nobody spends from; what comes
-// back is bounded by what that record can hold, so no token is made.
+// close ends a loan before its expiry and returns the tokens to take back. A
+// closing that is delivered twice, or after the expiry, finds no record and
+// returns nothing. A closing that follows a repeated LoanRequest finds a
+// record from which nobody spends; the tokens returned are limited to what
+// that record can hold, so no token is created.
 func (l *LentLoans) close(key loanKey, tokens float64, now time.Time) float64 {
 	for i := range l.loans {
 		x := &l.loans[i]
 		if x.key != key {
 			continue
 		}
-		x.settle(now)
-		back := max(0, min(tokens, x.worth))
+		x.accrue(now)
+		returned := max(0, min(tokens, x.maxTokens))
 		l.loans = append(l.loans[:i], l.loans[i+1:]...)
-		return back
+		return returned
 	}
 	return 0
 }
 
-// nextEnd is the earliest end of a loan at or before now.
-func (l *LentLoans) nextEnd(now time.Time) time.Time {
+// nextExpiry returns the earliest expiry of a loan, or now if no loan expires
+// before now.
+func (l *LentLoans) nextExpiry(now time.Time) time.Time {
 	for _, x := range l.loans {
-		if !x.until.After(now) {
-			now = x.until
+		if !x.expiresAt.After(now) {
+			now = x.expiresAt
 		}
 	}
 	return now
 }
 
 func (l *LentLoans) expire(now time.Time) {
-	kept := l.loans[:0]
+	remaining := l.loans[:0]
 	for _, x := range l.loans {
-		if x.until.After(now) {
-			kept = append(kept, x)
+		if x.expiresAt.After(now) {
+			remaining = append(remaining, x)
 		}
 	}
-	l.loans = kept
+	l.loans = remaining
 }
 
+// borrowedLoan is a loan as recorded by its borrower.
 type borrowedLoan struct {
-	id       uint64
-	lender   string
-	standing bool
-	share    Share
-	// sent is when the request left that the loan was last granted to; the
+	id        uint64
+	source    string
+	shareLoan bool
+	share     Share
+	// requestedAt is the time at which the last granted request was sent. The
 	// term counts from it.
-	sent, until time.Time
+	requestedAt, expiresAt time.Time
 }
 
-type pendingAsk struct {
-	lender   string
-	standing bool
-	tokens   float64
-	sent     time.Time
+type pendingRequest struct {
+	source    string
+	shareLoan bool
+	tokens    float64
+	sentAt    time.Time
 }
 
-// BorrowedLoans are what a daemon has borrowed of one quota and has asked for. Its
-// owner's rate and capacity are higher by it until the term has passed.
+// BorrowedLoans holds the loans that a daemon has received of one quota and
+// its pending requests. A loan raises the rate and capacity of the account
+// until its term has passed.
 type BorrowedLoans struct {
 	loans   []borrowedLoan
-	pending map[uint64]pendingAsk
+	pending map[uint64]pendingRequest
 	lastID  uint64
 }
 
-// SumAfter is the sum of the loans that end after t.
+// SumAfter returns the sum of the loans that expire after t.
 func (b *BorrowedLoans) SumAfter(t time.Time) Share {
 	var sum Share
 	for _, x := range b.loans {
-		if x.until.After(t) {
+		if x.expiresAt.After(t) {
 			sum = sum.plus(x.share)
 		}
 	}
 	return sum
 }
 
-// asked notes a request that is about to leave.
-func (b *BorrowedLoans) asked(id uint64, p pendingAsk) {
+// addPending records a request that is about to be sent.
+func (b *BorrowedLoans) addPending(id uint64, p pendingRequest) {
 	if b.pending == nil {
-		b.pending = map[uint64]pendingAsk{}
+		b.pending = map[uint64]pendingRequest{}
 	}
 	b.pending[id] = p
 }
 
-// granted notes an answer to the request sent at sent, and returns the tokens
-// that it brings. An answer that nobody waits for any more, because the loan
-// was closed or asked for again meanwhile, or that comes after its term,
-// brings nothing: the lender may have its capacity back.
-func (b *BorrowedLoans) granted(id uint64, g Grant, sent, now time.Time) float64 {
-	p, waiting := b.pending[id]
-	if !waiting || !p.sent.Equal(sent) {
+// applyGrant applies the response to the request sent at sent and returns the
+// tokens it transfers. A response is ignored if its request is no longer
+// pending, because the loan was closed or requested again, or if the term has
+// already passed: the source may have its capacity back.
+func (b *BorrowedLoans) applyGrant(id uint64, g Grant, sent, now time.Time) float64 {
+	p, found := b.pending[id]
+	if !found || !p.sentAt.Equal(sent) {
 		return 0
 	}
 	delete(b.pending, id)
@@ -210,19 +223,19 @@
 	}
 	for i := range b.loans {
 		if x := &b.loans[i]; x.id == id {
-			x.share, x.sent, x.until = g.Share, sent, until
+			x.share, x.requestedAt, x.expiresAt = g.Share, sent, until
 			return g.Tokens
 		}
 	}
 	b.loans = append(b.loans, borrowedLoan{
-		id: id, lender: p.lender, standing: p.standing, share: g.Share, sent: sent, until: until,
+		id: id, source: p.source, shareLoan: p.shareLoan, share: g.Share, requestedAt: sent, expiresAt: until,
 	})
 	return g.Tokens
 }
 
-// drop forgets a loan and any request about it, so that a late answer cannot
-// bring it back.
-func (b *BorrowedLoans) drop(id uint64) {
+// remove deletes a loan and its pending request, so that a late response
+// cannot restore the loan.
+func (b *BorrowedLoans) remove(id uint64) {
 	delete(b.pending, id)
 	for i := range b.loans {
 		if b.loans[i].id == id {
@@ -232,25 +245,27 @@
 	}
 }
 
-func (b *BorrowedLoans) nextEnd(now time.Time) time.Time {
+// nextExpiry returns the earliest expiry of a loan, or now if no loan expires
+// before now.
+func (b *BorrowedLoans) nextExpiry(now time.Time) time.Time {
 	for _, x := range b.loans {
-		if !x.until.After(now) {
-			now = x.until
+		if !x.expiresAt.After(now) {
+			now = x.expiresAt
 		}
 	}
 	return now
 }
 
 func (b *BorrowedLoans) expire(now time.Time) {
-	kept := b.loans[:0]
+	remaining := b.loans[:0]
 	for _, x := range b.loans {
-		if x.until.After(now) {
-			kept = append(kept, x)
+		if x.expiresAt.After(now) {
+			remaining = append(remaining, x)
 		}
 	}
-	b.loans = kept
+	b.loans = remaining
 	for id, p := range b.pending {
-		if now.Sub(p.sent) > ShareLoanTerm {
+		if now.Sub(p.sentAt) > ShareLoanTerm {
 			delete(b.pending, id)
 		}
 	}
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -5,53 +5,60 @@
 	"time"
 )
 
-// Grounds of the plan.
+// Constants of the plan.
 const (
-	// firstRoundTrip is assumed until one was measured.
-	firstRoundTrip = 80 * time.Millisecond
-	// maxPulls bounds the asks for tokens under way at once for one quota:
-	// enough that a taker need not wait for an earlier ask's answer.
-	maxPulls = 8
-	// aheadPart bounds the tokens fetched ahead of demand, of the whole
-	// burst over all daemons: what lies elsewhere is missing at the hub.
-	aheadPart = 0.35
-	// lead is how far ahead another daemon must be to become hub, in parts of
-	// the fleet's demand. Less, and chance moves the hub among even daemons;
-	// more, and a hub stays whose callers have left.
-	lead = 0.25
-	// minDemand is the demand, in tokens per second, from which a daemon is
-	// worth a hub: one request in 20 s.
-	minDemand = 0.05
-	// overFactor is how far above the rate the demand of the fleet must be for
-	// the customer to count as over its whole rate.
-	overFactor = 1.25
+	// initialRoundTrip is the round-trip time assumed before the first
+	// measurement.
+	initialRoundTrip = 80 * time.Millisecond
+	// maxTokenRequests limits the pending token requests for one quota. It is
+	// high enough that a caller need not wait for the response to an earlier
+	// request.
+	maxTokenRequests = 8
+	// prefetchFraction limits the tokens that all daemons together request
+	// ahead of demand, as a fraction of the total burst. Tokens held by other
+	// daemons are missing at the hub.
+	prefetchFraction = 0.35
+	// hubAdvantage is the lead in demand that another daemon needs to become
+	// the hub, as a fraction of the fleet's demand. With a smaller value,
+	// random fluctuation moves the hub among daemons with equal demand. With a
+	// larger value, a daemon stays the hub although its callers have left.
+	hubAdvantage = 0.25
+	// minHubDemand is the demand, in tokens per second, from which a daemon
+	// can be the hub: one request in 20 s.
+	minHubDemand = 0.05
+	// overRateFactor is the ratio of the fleet's demand to the total rate
+	// above which the customer counts as over its rate.
+	overRateFactor = 1.25
 )
 
-// FleetState is what the control thread knows of the fleet for one quota.
+// FleetState is what the control thread knows about the fleet for one quota.
 type FleetState struct {
-	// Self and Hub are instances; no hub is "".
+	// Self and Hub are instances; Hub is empty if there is no hub.
 	Self, Hub string
-	// LoanSources hold slots of the quota, without this daemon.
+	// LoanSources lists the other daemons that hold slots with a share of the
+	// quota.
 	LoanSources []string
-	// Demand of the fleet in tokens per second.
+	// Demand is the demand of the fleet in tokens per second.
 	Demand float64
-	// OverRate: the fleet's demand is above the whole rate.
+	// OverRate is set if the fleet's demand exceeds the total rate by
+	// overRateFactor.
 	OverRate bool
-	// Leaving: this daemon is at its planned stop. It is no hub, and lends and
-	// keeps no share; callers that have not looked elsewhere yet are served with
-	// tokens of the hub.
+	// Leaving is set during the planned stop of this daemon. It cannot be the
+	// hub, does not lend and keeps no borrowed share. Callers that still send
+	// to it are served with tokens borrowed from the hub.
 	Leaving bool
 }
 
-// Score is one daemon's account of its demand for a quota, with the hub's
-// lead; 0 for none.
+// Score is the demand of one daemon for a quota, including the hub's
+// advantage; 0 if there is no demand.
 type Score struct {
 	Instance string
 	Value    float64
 }
 
-// ElectHub returns the hub, the daemon with the highest score ("" if there is
-// none), and the fleet's demand in tokens per second, the hub's lead taken out.
+// ElectHub returns the hub, which is the daemon with the highest score ("" if
+// there is none), and the fleet's demand in tokens per second without the
+// hub's advantage.
 func ElectHub(scores []Score) (hub string, demand float64) {
 	best := Score{}
 	for _, s := range scores {
@@ -60,28 +67,29 @@
 			best = s
 		}
 	}
-	return best.Instance, demand / (1 + lead)
+	return best.Instance, demand / (1 + hubAdvantage)
 }
 
-// Score is what a daemon tells others of its demand. The hub adds its lead,
-// so that another must be clearly ahead, and so that two daemons which both
-// take themselves for the hub come to agree: each compares the same numbers.
+// Score returns the demand that this daemon reports to its peers. The hub adds
+// its advantage, so that another daemon needs a clear lead to become the hub.
+// Two daemons that both consider themselves the hub come to agree, because
+// each compares the same numbers.
 func (a *Account) Score(now time.Time) float64 {
 	d := a.Demand(now)
-	if d < minDemand {
+	if d < minHubDemand {
 		return 0
 	}
-	if a.situation.Hub != "" && a.isHub() {
-		return d + lead*a.situation.Demand
+	if a.fleet.Hub != "" && a.isHub() {
+		return d + hubAdvantage*a.fleet.Demand
 	}
 	return d
 }
 
-// SetFleetState sets the state of the fleet. A hub that is one no longer gives its standing
-// loans back at the next Plan.
+// SetFleetState sets the state of the fleet. A daemon that is no longer the
+// hub closes its share loans at the next Plan.
 func (a *Account) SetFleetState(s FleetState) {
-	s.OverRate = s.Demand > overFactor*a.whole.Rate
-	a.situation = s
+	s.OverRate = s.Demand > overRateFactor*a.total.Rate
+	a.fleet = s
 }
 
 // OutgoingRequest is a LoanRequest to send.
@@ -91,196 +99,210 @@
 	SentAt  time.Time
 }
 
-// Plan returns what to send now. The load pattern answered: one customer's
-// requests enter by few daemons, or by all in small numbers, or move from one
-// to another. Without it every daemon refuses what is above its own part
-// though others' parts lie idle. The hub gathers the shares (standing loans);
-// the others take tokens from it, as many as wait and a round trip's demand
-// ahead.
+// Plan returns the requests to send now. The requests of one customer may
+// arrive at a few daemons, or in small numbers at all of them, or move from
+// one daemon to another. Without loans, every daemon would refuse requests
+// above its own share although the shares of other daemons are unused. The hub
+// borrows the shares of the others. The other daemons borrow tokens from the
+// hub, enough for the queued requests and for the demand of one round trip.
 func (a *Account) Plan(now time.Time) []OutgoingRequest {
 	a.advance(now)
 	a.serve()
 	switch {
-	case a.situation.Hub == "":
-		// Nobody asks, or this daemon leaves: its lenders need their shares.
-		return a.closings(func(borrowedLoan) bool { return true })
+	case a.fleet.Hub == "":
+		// There is no demand, or this daemon is leaving. Its sources need
+		// their shares.
+		return a.closeLoansWhere(func(borrowedLoan) bool { return true })
 	case a.isHub():
 		return a.planHub()
 	default:
-		return a.planOther()
+		return a.planNonHub()
 	}
 }
 
 func (a *Account) planHub() []OutgoingRequest {
 	var out []OutgoingRequest
-	for _, lender := range a.situation.LoanSources {
-		id, due := a.standingWith(lender)
+	for _, source := range a.fleet.LoanSources {
+		id, due := a.dueShareLoan(source)
 		if due {
-			out = append(out, a.ask(lender, LoanRequest{Loan: id, ShareLoan: true}))
+			out = append(out, a.newRequest(source, LoanRequest{Loan: id, ShareLoan: true}))
 		}
 	}
-	source := a.source()
-	out = append(out, a.closings(func(l borrowedLoan) bool { return !l.standing && l.lender != source })...)
-	return append(out, a.pullFrom(source)...)
+	source := a.tokenSource()
+	out = append(out, a.closeLoansWhere(func(l borrowedLoan) bool { return !l.shareLoan && l.source != source })...)
+	return append(out, a.requestTokens(source)...)
 }
 
-// source is the daemon to take tokens from; "" if there is none: the hub, or,
-// for a daemon that has just become the hub, the one that still has its share.
+// tokenSource returns the daemon to borrow tokens from, or "" if there is
+// none. It is the hub or, for the hub itself, the daemon to which most of its
+// own share is lent.
 //
-// The failure it guards against: the hub changes, the new hub's own share is
-// still lent to the earlier one, which has not heard of the change and lends
-// it no share before a heartbeat and a renewal have passed (up to a second).
-// Callers inside their rate are refused at the new hub, though the earlier one
-// has tokens: it goes on giving them to whoever asks.
-func (a *Account) source() string {
+// The hub needs a source just after the election. Its own share is still lent
+// to the previous hub. The previous hub does not yet know of the change and
+// lends its share to the new hub only after a heartbeat and a renewal (up to a
+// second), but it still lends tokens to any daemon that requests them. Without
+// this source, the new hub would refuse callers within their rate although the
+// previous hub has tokens.
+func (a *Account) tokenSource() string {
 	if !a.isHub() {
-		return a.situation.Hub
+		return a.fleet.Hub
 	}
-	var most lentLoan
-	for _, l := range a.lender.loans {
-		if l.share.Rate > most.share.Rate {
-			most = l
+	var largest lentLoan
+	for _, l := range a.lent.loans {
+		if l.share.Rate > largest.share.Rate {
+			largest = l
 		}
 	}
-	return most.key.borrower
+	return largest.key.borrower
 }
 
-// standingWith finds the loan to renew or a new id, and whether to ask now.
-func (a *Account) standingWith(lender string) (uint64, bool) {
-	for _, p := range a.borrower.pending {
-		if p.standing && p.lender == lender && a.at.Sub(p.sent) < ShareLoanRenewal {
+// dueShareLoan returns the id of the share loan to renew, or a new id, and
+// whether to send the request now.
+func (a *Account) dueShareLoan(source string) (uint64, bool) {
+	for _, p := range a.borrowed.pending {
+		if p.shareLoan && p.source == source && a.updatedAt.Sub(p.sentAt) < ShareLoanRenewal {
 			return 0, false
 		}
 	}
-	for _, l := range a.borrower.loans {
-		if l.standing && l.lender == lender {
-			return l.id, a.at.Sub(l.sent) >= ShareLoanRenewal
+	for _, l := range a.borrowed.loans {
+		if l.shareLoan && l.source == source {
+			return l.id, a.updatedAt.Sub(l.requestedAt) >= ShareLoanRenewal
 		}
 	}
-	a.borrower.lastID++
-	return a.borrower.lastID, true
+	a.borrowed.lastID++
+	return a.borrowed.lastID, true
 }
 
-func (a *Account) planOther() []OutgoingRequest {
-	out := a.closings(func(l borrowedLoan) bool { return l.standing || l.lender != a.situation.Hub })
-	return append(out, a.pullFrom(a.situation.Hub)...)
+func (a *Account) planNonHub() []OutgoingRequest {
+	out := a.closeLoansWhere(func(l borrowedLoan) bool { return l.shareLoan || l.source != a.fleet.Hub })
+	return append(out, a.requestTokens(a.fleet.Hub)...)
 }
 
-// pullFrom asks a daemon for the tokens needed, and closes what was spent of
-// those it gave before.
-func (a *Account) pullFrom(source string) []OutgoingRequest {
+// requestTokens requests the tokens needed from a daemon and closes the spent
+// loans that it made before.
+func (a *Account) requestTokens(source string) []OutgoingRequest {
 	if source == "" {
 		return nil
 	}
 	var out []OutgoingRequest
-	spent := a.spentLoans(source)
-	for pulls := a.pulls(); pulls < maxPulls; pulls++ {
-		n := a.need(source)
-		if n < 1 || a.blockedUntil.After(a.at) {
+	spent := a.closeSpentLoans(source)
+	for pending := a.pendingTokenRequests(); pending < maxTokenRequests; pending++ {
+		n := a.tokensNeeded(source)
+		if n < 1 || a.blockedUntil.After(a.updatedAt) {
 			break
 		}
-		a.borrower.lastID++
-		out = append(out, a.ask(source, LoanRequest{
-			Loan: a.borrower.lastID, Tokens: n, MaxDelay: MaxWait, ClosedLoans: spent,
+		a.borrowed.lastID++
+		out = append(out, a.newRequest(source, LoanRequest{
+			Loan: a.borrowed.lastID, Tokens: n, MaxDelay: MaxWait, ClosedLoans: spent,
 		}))
 		spent = nil
 	}
 	if len(spent) > 0 {
-		out = append(out, a.ask(source, LoanRequest{ClosedLoans: spent}))
+		out = append(out, a.newRequest(source, LoanRequest{ClosedLoans: spent}))
 	}
 	return out
 }
 
-func (a *Account) ask(to string, ask LoanRequest) OutgoingRequest {
-	ask.Quota, ask.Borrower = a.name, a.situation.Self
-	if ask.ShareLoan || ask.Tokens > 0 {
-		a.borrower.asked(ask.Loan, pendingAsk{lender: to, standing: ask.ShareLoan, tokens: ask.Tokens, sent: a.at})
+// newRequest returns a request addressed to a daemon and records it as pending
+// if it requests a loan.
+func (a *Account) newRequest(to string, req LoanRequest) OutgoingRequest {
+	req.Quota, req.Borrower = a.name, a.fleet.Self
+	if req.ShareLoan || req.Tokens > 0 {
+		a.borrowed.addPending(req.Loan, pendingRequest{source: to, shareLoan: req.ShareLoan, tokens: req.Tokens, sentAt: a.updatedAt})
 	}
-	return OutgoingRequest{To: to, Request: ask, SentAt: a.at}
+	return OutgoingRequest{To: to, Request: req, SentAt: a.updatedAt}
 }
 
-func (a *Account) pulls() int {
+// pendingTokenRequests returns the number of pending requests for tokens.
+func (a *Account) pendingTokenRequests() int {
 	n := 0
-	for _, p := range a.borrower.pending {
-		if !p.standing {
+	for _, p := range a.borrowed.pending {
+		if !p.shareLoan {
 			n++
 		}
 	}
 	return n
 }
 
-// need is how many whole tokens to ask for: those waited for and those ahead,
-// less what is here and under way, in pieces that do not drain the hub.
-func (a *Account) need(source string) float64 {
-	need := a.queued + a.ahead() - a.level
-	for _, p := range a.borrower.pending {
-		// What waits at an earlier hub may never come: it gave its loans back.
-		if p.lender == source {
+// tokensNeeded returns the number of whole tokens to request: those for queued
+// requests and those to prefetch, less the tokens held and requested. One
+// request is limited to an eighth of the total burst, so that it does not
+// empty the hub.
+func (a *Account) tokensNeeded(source string) float64 {
+	need := a.queuedCost + a.prefetch() - a.level
+	for _, p := range a.borrowed.pending {
+		// A previous hub may never respond to a pending request, because it
+		// has closed its loans.
+		if p.source == source {
 			need -= p.tokens
 		}
 	}
-	if a.queued == 0 {
+	if a.queuedCost == 0 {
 		need = math.Floor(need)
 	}
-	return math.Min(math.Ceil(need), max(1, math.Floor(a.whole.Burst/8)))
+	return math.Min(math.Ceil(need), max(1, math.Floor(a.total.Burst/8)))
 }
 
-// ahead is the demand of a round trip in whole tokens, bounded by this
-// daemon's part of what may lie outside the hub.
-func (a *Account) ahead() float64 {
-	if a.situation.OverRate || a.situation.Demand <= 0 {
+// prefetch returns the demand during one and a half round trips in whole
+// tokens, limited to this daemon's part of the tokens that may be held outside
+// the hub.
+func (a *Account) prefetch() float64 {
+	if a.fleet.OverRate || a.fleet.Demand <= 0 {
 		return 0
 	}
-	d := a.Demand(a.at)
-	part := aheadPart * a.whole.Burst * d / a.situation.Demand
-	return math.Floor(math.Min(d*a.roundTrip.Seconds()*1.5, part))
+	d := a.Demand(a.updatedAt)
+	limit := prefetchFraction * a.total.Burst * d / a.fleet.Demand
+	return math.Floor(math.Min(d*a.roundTrip.Seconds()*1.5, limit))
 }
 
-// spentLoans closes the loans of tokens whose capacity is empty, so that the
-// hub has it again, and those about to end, with what is left in them.
-func (a *Account) spentLoans(source string) []LoanClosing {
+// closeSpentLoans closes the token loans from a source whose tokens are spent,
+// so that the source has their capacity back, and the loans that are about to
+// expire, with their unspent tokens.
+func (a *Account) closeSpentLoans(source string) []LoanClosing {
 	var out []LoanClosing
-	for i := 0; i < len(a.borrower.loans); {
-		l := a.borrower.loans[i]
-		over := max(0, a.level-(a.shape().Burst-l.share.Burst))
-		ending := l.until.Sub(a.at) < 2*a.roundTrip
-		if l.standing || l.lender != source || (over > 0 && !ending) || !a.spare(l) {
+	for i := 0; i < len(a.borrowed.loans); {
+		l := a.borrowed.loans[i]
+		unspent := max(0, a.level-(a.effectiveShare().Burst-l.share.Burst))
+		expiring := l.expiresAt.Sub(a.updatedAt) < 2*a.roundTrip
+		if l.shareLoan || l.source != source || (unspent > 0 && !expiring) || !a.canClose(l) {
 			i++
 			continue
 		}
-		out = append(out, a.closeLoan(l, over))
+		out = append(out, a.closeLoan(l, unspent))
 	}
 	return out
 }
 
-// spare tells whether this account holds enough without a loan for what it
-// has lent on. If a hub gave back the shares that its peers' tokens stand on,
-// their lenders would spend the same capacity again before those tokens end.
-func (a *Account) spare(l borrowedLoan) bool {
-	rest := a.own.minus(a.lender.Sum()).plus(a.borrower.SumAfter(a.at)).minus(l.share)
-	return rest.Burst >= 0
+// canClose reports whether this account has enough capacity without a loan to
+// back the loans that it has made itself. If a hub closed the share loans that
+// back its token loans, the sources would spend the same capacity again before
+// the token loans end.
+func (a *Account) canClose(l borrowedLoan) bool {
+	remaining := a.own.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt)).minus(l.share)
+	return remaining.Burst >= 0
 }
 
+// closeLoan removes a borrowed loan and returns the closing to send to its
+// source.
 func (a *Account) closeLoan(l borrowedLoan, tokens float64) LoanClosing {
 	a.level -= tokens
-	a.borrower.drop(l.id)
-	a.cut()
+	a.borrowed.remove(l.id)
+	a.capLevel()
 	return LoanClosing{Loan: l.id, Tokens: tokens}
 }
 
-// closings ends the loans that no longer fit the situation, with the tokens
-// that sit in them.
-func (a *Account) closings(which func(borrowedLoan) bool) []OutgoingRequest {
+// closeLoansWhere closes the loans that match, with the tokens held in them.
+func (a *Account) closeLoansWhere(match func(borrowedLoan) bool) []OutgoingRequest {
 	var out []OutgoingRequest
-	for i := 0; i < len(a.borrower.loans); {
-		l := a.borrower.loans[i]
-		if !which(l) || !a.spare(l) {
+	for i := 0; i < len(a.borrowed.loans); {
+		l := a.borrowed.loans[i]
+		if !match(l) || !a.canClose(l) {
 			i++
 			continue
 		}
-		part := l.share.Burst / max(a.shape().Burst, l.share.Burst, roundingSlack)
-		tokens := max(0, min(a.level*part, l.share.Burst))
-		out = append(out, a.ask(l.lender, LoanRequest{ClosedLoans: []LoanClosing{a.closeLoan(l, tokens)}}))
+		fraction := l.share.Burst / max(a.effectiveShare().Burst, l.share.Burst, roundingTolerance)
+		tokens := max(0, min(a.level*fraction, l.share.Burst))
+		out = append(out, a.newRequest(l.source, LoanRequest{ClosedLoans: []LoanClosing{a.closeLoan(l, tokens)}}))
 	}
 	return out
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -11,15 +11,15 @@
 	"balsambarrow/internal/config"
 )
 
-// MaxQuotaSlots bounds the slots that one quota is cut over, and with them the
-// lenders that a hub asks.
+// MaxQuotaSlots limits the slots over which one quota is split, and with them
+// the daemons from which a hub borrows.
 const MaxQuotaSlots = 64
 
 // Share is a part of one quota.
 type Share struct {
-	// Rate in tokens per second.
+	// Rate is in tokens per second.
 	Rate float64
-	// Burst in tokens.
+	// Burst is in tokens.
 	Burst float64
 }
 
@@ -31,21 +31,21 @@
 
 const customerPrefix = "customer/"
 
-// CustomerQuota names a customer's quota, in requests.
+// CustomerQuota returns the name of a customer's quota, which counts requests.
 func CustomerQuota(customer string) string { return customerPrefix + customer }
 
-// Total is a quota as a version of the configuration gives it; false if the
-// version does not name it.
+// Total returns a quota as declared in a configuration, and false if the
+// configuration does not declare it.
 func Total(c *config.Config, name string) (Share, bool) {
 	if customer, ok := strings.CutPrefix(name, customerPrefix); ok {
 		cu, known := c.Customers[customer]
 		return Share{Rate: cu.Rate, Burst: cu.Burst}, known
 	}
-	q, known := find(c, name)
+	q, known := findQuota(c, name)
 	return Share{Rate: q.Rate, Burst: q.Burst}, known
 }
 
-func find(c *config.Config, name string) (config.Quota, bool) {
+func findQuota(c *config.Config, name string) (config.Quota, bool) {
 	for _, q := range c.Quotas() {
 		if q.Name == name {
 			return q, true
@@ -54,10 +54,10 @@
 	return config.Quota{}, false
 }
 
-// weights are the zones' parts in a quota, relative to each other: a
-// customer's zone weights, else the zones' own; only the zones that a quota
-// names, where it names any.
-func weights(c *config.Config, name string) map[string]float64 {
+// zoneWeights returns the relative weights of the zones in a quota. A
+// customer's own zone weights take precedence over the weights of the zones. A
+// quota that lists zones is split over these only.
+func zoneWeights(c *config.Config, name string) map[string]float64 {
 	out := map[string]float64{}
 	for zone, z := range c.Zones {
 		out[zone] = z.Weight
@@ -68,22 +68,23 @@
 		}
 		return out
 	}
-	if q, ok := find(c, name); ok && len(q.Zones) > 0 {
+	if q, ok := findQuota(c, name); ok && len(q.Zones) > 0 {
 		maps.DeleteFunc(out, func(zone string, _ float64) bool { return !slices.Contains(q.Zones, zone) })
 	}
 	return out
 }
 
-// slotKey names a slot over the fleet.
+// slotKey identifies a slot in the fleet.
 type slotKey struct {
 	zone string
 	slot int
 }
 
-// Split is each slot's fraction of a quota; slots without one have no part.
+// Split maps each slot to its fraction of a quota. Slots that are not in the
+// map have no share.
 type Split map[slotKey]float64
 
-// HasShare tells whether slots of a zone have a part.
+// HasShare reports whether any of the given slots of a zone has a share.
 func (c Split) HasShare(zone string, slots []int) bool {
 	for _, slot := range slots {
 		if c[slotKey{zone, slot}] > 0 {
@@ -93,39 +94,40 @@
 	return false
 }
 
-// SplitOf splits a quota over the slots. The fractions sum to 1. Over
-// more than MaxQuotaSlots slots, that many are chosen by weighted rendezvous
-// hashing, so that all daemons choose the same ones and a changed zone moves
-// only its own.
+// SplitOf splits a quota over the slots. The fractions sum to 1. If there are
+// more than MaxQuotaSlots slots, that many are selected by weighted rendezvous
+// hashing, so that all daemons select the same slots and a change of one zone
+// affects only the slots of that zone.
 func SplitOf(c *config.Config, name string) Split {
-	cut := Split{}
-	parts := weights(c, name)
+	split := Split{}
+	weights := zoneWeights(c, name)
 	for zone, z := range c.Zones {
-		w := parts[zone] / float64(z.Slots)
+		w := weights[zone] / float64(z.Slots)
 		for slot := 0; w > 0 && slot < z.Slots; slot++ {
-			cut[slotKey{zone, slot}] = w
+			split[slotKey{zone, slot}] = w
 		}
 	}
-	if len(cut) > MaxQuotaSlots {
-		choose(cut, name)
+	if len(split) > MaxQuotaSlots {
+		limitSlots(split, name)
 	}
 	sum := 0.0
-	for _, w := range cut {
+	for _, w := range split {
 		sum += w
 	}
-	for k := range cut {
-		cut[k] /= sum
+	for k := range split {
+		split[k] /= sum
 	}
-	return cut
+	return split
 }
 
-func choose(cut Split, name string) {
+// limitSlots reduces a split to the MaxQuotaSlots slots with the best scores.
+func limitSlots(split Split, name string) {
 	type scored struct {
 		key   slotKey
 		score float64
 	}
-	all := make([]scored, 0, len(cut))
-	for k, w := range cut {
+	all := make([]scored, 0, len(split))
+	for k, w := range split {
 		h := xxhash.Sum64String(name + "\x00" + k.zone + "\x00" + string(rune(k.slot)))
 		u := (float64(h>>11) + 0.5) / (1 << 53)
 		all = append(all, scored{k, -math.Log(u) / w})
@@ -140,48 +142,49 @@
 		return strings.Compare(x.key.zone, y.key.zone)
 	})
 	for _, x := range all[MaxQuotaSlots:] {
-		delete(cut, x.key)
+		delete(split, x.key)
 	}
 }
 
-// HeldSlots is what this daemon holds: usable slots of its zone, under versions of
-// the configuration. It is never modified.
+// HeldSlots holds the usable slots of this daemon's zone and the configuration
+// versions that apply to them. It is never modified.
 type HeldSlots struct {
 	Zone  string
 	Slots []int
-	// Versions that may be in force somewhere, the newest last.
+	// Versions lists the versions that may be in force somewhere, the newest
+	// last.
 	Versions []*config.Active
 }
 
-// Share is this daemon's own share of a quota, and the whole quota by the
-// newest version. A slot's fraction is the least of all versions': where the
-// cut changes, a daemon with the old version still spends the old fraction of
-// its slots, and a raised one elsewhere would exceed the quota together with
-// it.
-func (s *HeldSlots) Share(name string) (own, whole Share, known bool) {
+// Share returns this daemon's own share of a quota, and the total quota of the
+// newest version. The fraction of a slot is the smallest over all versions.
+// While the split changes, a daemon with the old version still spends the old
+// fraction of its slots, and together with a raised fraction of other slots it
+// would exceed the quota.
+func (s *HeldSlots) Share(name string) (own, total Share, known bool) {
 	if len(s.Versions) == 0 {
 		return Share{}, Share{}, false
 	}
-	whole, known = Total(s.Versions[len(s.Versions)-1].Config, name)
+	total, known = Total(s.Versions[len(s.Versions)-1].Config, name)
 	if !known {
 		return Share{}, Share{}, false
 	}
-	least := map[int]float64{}
+	fractions := map[int]float64{}
 	for _, slot := range s.Slots {
-		least[slot] = 1
+		fractions[slot] = 1
 	}
 	for _, v := range s.Versions {
 		if _, named := Total(v.Config, name); !named {
 			continue
 		}
-		cut := SplitOf(v.Config, name)
-		for slot := range least {
-			least[slot] = min(least[slot], cut[slotKey{s.Zone, slot}])
+		split := SplitOf(v.Config, name)
+		for slot := range fractions {
+			fractions[slot] = min(fractions[slot], split[slotKey{s.Zone, slot}])
 		}
 	}
 	sum := 0.0
-	for _, f := range least {
+	for _, f := range fractions {
 		sum += f
 	}
-	return whole.times(sum), whole, true
+	return total.times(sum), total, true
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// sim runs one quota over daemons in simulated time. It is deterministic for
-// a seed.
+// sim runs one quota on a fleet of daemons in simulated time. It is
+// deterministic for a seed.
 type sim struct {
 	now       time.Time
 	start     time.Time
@@ -18,22 +18,22 @@
 	rng       *rand.Rand
 	nodes     []*simNode
 	oneWay    time.Duration
-	whole     Share
-	central   *Bucket // admits what one bucket for the fleet would
-	reference *Bucket // must hold every token that is spent
+	total     Share
+	central   *Bucket // admits what a single bucket for the fleet would
+	reference *Bucket // must cover every spent token
 	measureAt time.Time
 	policy    simPolicy
 	loss      float64
 
-	sent, refused, wrongful, centralAdmitted, admitted, overshoot int
-	waits                                                         []time.Duration
-	messages, bytes                                               int
-	perSecond                                                     map[int][2]int // wrongful, sent
-	retries, retriesServed                                        int
-	honest                                                        bool // callers come back when told
+	sent, refused, wrongRefusals, centralAdmitted, admitted, overshoot int
+	waits                                                              []time.Duration
+	messages, bytes                                                    int
+	perSecond                                                          map[int][2]int // wrong refusals, sent
+	retries, retriesServed                                             int
+	honorRetryAfter                                                    bool // callers retry after the time they were given
 }
 
-// simPolicy is a strategy of how daemons get tokens.
+// simPolicy selects how daemons obtain tokens.
 type simPolicy int
 
 const (
@@ -71,22 +71,22 @@
 }
 
 type simNode struct {
-	s       *sim
-	name    string
-	region  int
-	account *Account
-	scores  map[string]float64
-	local   []*simWaiter
-	remote  []*simRemote
-	wakeAt  time.Time
-	down    bool
+	s             *sim
+	name          string
+	region        int
+	account       *Account
+	scores        map[string]float64
+	waiters       []*simWaiter
+	remoteTickets []*simRemote
+	wakeAt        time.Time
+	down          bool
 }
 
 type simWaiter struct {
-	ticket  *Ticket
-	came    time.Time
-	central bool
-	retry   bool
+	ticket    *Ticket
+	arrivedAt time.Time
+	central   bool
+	retry     bool
 }
 
 type simRemote struct {
@@ -95,35 +95,37 @@
 	out    OutgoingRequest
 }
 
-// simRegions places ten daemons: zones of 2, 2, 2, 2, 1 and 1 in 3 regions.
+// simRegions maps ten daemons to 3 regions. Their zones have 2, 2, 2, 2, 1 and
+// 1 daemons.
 var simRegions = []int{0, 0, 0, 0, 1, 1, 1, 1, 2, 2}
 
-// simParts are the parts of the quota: 24 slots, 4 for each zone.
-var simParts = []float64{2, 2, 2, 2, 2, 2, 2, 2, 4, 4}
+// simWeights are the shares of the daemons in slots: 24 slots, 4 for each
+// zone.
+var simWeights = []float64{2, 2, 2, 2, 2, 2, 2, 2, 4, 4}
 
-func newSim(seed uint64, whole Share, oneWay time.Duration, p simPolicy) *sim {
-	return newSimOver(simParts, seed, whole, oneWay, p)
+func newSim(seed uint64, total Share, oneWay time.Duration, p simPolicy) *sim {
+	return newSimWithWeights(simWeights, seed, total, oneWay, p)
 }
 
-func newSimOver(parts []float64, seed uint64, whole Share, oneWay time.Duration, p simPolicy) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), whole: whole, oneWay: oneWay, policy: p, perSecond: map[int][2]int{}}
+func newSimWithWeights(weights []float64, seed uint64, total Share, oneWay time.Duration, p simPolicy) *sim {
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), total: total, oneWay: oneWay, policy: p, perSecond: map[int][2]int{}}
 	s.start = time.Unix(1000, 0)
 	s.now = s.start
-	s.central = NewBucket(whole.Rate, whole.Burst, whole.Burst, s.now)
-	s.reference = NewBucket(whole.Rate, whole.Burst, whole.Burst, s.now)
+	s.central = NewBucket(total.Rate, total.Burst, total.Burst, s.now)
+	s.reference = NewBucket(total.Rate, total.Burst, total.Burst, s.now)
 	for i, region := range simRegions {
-		own := whole.times(parts[i] / 24)
+		own := total.times(weights[i] / 24)
 		if p == policyAllocator || p == policyStore {
 			own = Share{}
 			if i == 0 {
-				own = whole
+				own = total
 			}
 		}
 		n := &simNode{s: s, name: fmt.Sprint("d", i), region: region, scores: map[string]float64{}}
-		n.account = NewAccount("q", own, whole, own.Burst, s.now)
+		n.account = NewAccount("q", own, total, own.Burst, s.now)
 		s.nodes = append(s.nodes, n)
 		s.after(time.Duration(i)*5*time.Millisecond, n.tick)
-		s.after(time.Duration(i)*50*time.Millisecond, n.beat)
+		s.after(time.Duration(i)*50*time.Millisecond, n.heartbeat)
 	}
 	return s
 }
@@ -150,7 +152,8 @@
 	return s.oneWay
 }
 
-// load sends Poisson arrivals at perSecond to a node picked by weights.
+// load generates Poisson arrivals at perSecond, each at a node picked by
+// weight.
 func (s *sim) load(perSecond float64, weights func(since time.Duration) []float64) {
 	var next func()
 	next = func() {
@@ -190,9 +193,9 @@
 		c[1]++
 		s.perSecond[s.second()] = c
 	}
-	w := &simWaiter{came: s.now, central: central, retry: retry}
+	w := &simWaiter{arrivedAt: s.now, central: central, retry: retry}
 	if s.policy == policyAllocator || s.policy == policyStore {
-		n.fetch(w)
+		n.fetchToken(w)
 		return
 	}
 	if ok, _ := n.account.Take(1, s.now); ok {
@@ -206,18 +209,19 @@
 		return
 	}
 	w.ticket = t
-	n.local = append(n.local, w)
+	n.waiters = append(n.waiters, w)
 	n.plan()
 }
 
-// fetch asks the one allocator (or the store) for each request.
-func (n *simNode) fetch(w *simWaiter) {
+// fetchToken requests the token of each request from the single allocator (or
+// the store).
+func (n *simNode) fetchToken(w *simWaiter) {
 	s, hub := n.s, n.s.nodes[0]
-	way := s.delay(n, hub)
-	s.note(2, 60)
-	s.after(way, func() {
+	oneWay := s.delay(n, hub)
+	s.countMessages(2, 60)
+	s.after(oneWay, func() {
 		ok, wait := hub.account.Take(1, s.now)
-		s.after(way, func() {
+		s.after(oneWay, func() {
 			if ok {
 				w.admitted(n)
 				return
@@ -227,7 +231,7 @@
 	})
 }
 
-func (s *sim) note(messages, bytes int) {
+func (s *sim) countMessages(messages, bytes int) {
 	if s.measured() {
 		s.messages += messages
 		s.bytes += bytes
@@ -247,7 +251,7 @@
 	}
 	if s.measured() {
 		s.admitted++
-		s.waits = append(s.waits, s.now.Sub(w.came))
+		s.waits = append(s.waits, s.now.Sub(w.arrivedAt))
 	}
 }
 
@@ -258,53 +262,54 @@
 	}
 	s.refused++
 	if w.central {
-		s.wrongful++
+		s.wrongRefusals++
 		c := s.perSecond[s.second()]
 		c[0]++
 		s.perSecond[s.second()] = c
 	}
-	if s.honest && wait >= 0 {
+	if s.honorRetryAfter && wait >= 0 {
 		s.retries++
 		s.after(wait+time.Millisecond, func() { n.arrive(true) })
 	}
 }
 
-// pump looks after every event at what came of the waiters.
-func (n *simNode) pump() {
-	n.local = slices.DeleteFunc(n.local, func(w *simWaiter) bool {
+// handleTickets handles the tickets that have ended. It runs after every
+// event.
+func (n *simNode) handleTickets() {
+	n.waiters = slices.DeleteFunc(n.waiters, func(w *simWaiter) bool {
 		switch w.ticket.state {
 		case ticketServed:
 			w.admitted(n)
 		case ticketRefused:
-			w.refused(n, n.account.expected(1))
+			w.refused(n, n.account.expectedWait(1))
 		default:
 			return false
 		}
 		return true
 	})
-	n.remote = slices.DeleteFunc(n.remote, func(r *simRemote) bool {
+	n.remoteTickets = slices.DeleteFunc(n.remoteTickets, func(r *simRemote) bool {
 		if r.ticket.state == ticketWaiting {
 			return false
 		}
-		n.answer(r.from, r.out, n.account.TicketGrant(r.ticket))
+		n.respond(r.from, r.out, n.account.TicketGrant(r.ticket))
 		return true
 	})
 	n.wake()
 }
 
 func (n *simNode) wake() {
-	wait := never
+	wait := unknownWait
 	if len(n.account.queue) > 0 {
 		wait = n.account.ServeDelay(n.account.queue[0])
 	}
 	at := n.s.now.Add(wait)
-	if wait == never || (n.wakeAt.After(n.s.now) && !n.wakeAt.After(at)) {
+	if wait == unknownWait || (n.wakeAt.After(n.s.now) && !n.wakeAt.After(at)) {
 		return
 	}
 	n.wakeAt = at
 	n.s.after(wait, func() {
 		n.account.ServeQueue(n.s.now)
-		n.pump()
+		n.handleTickets()
 	})
 }
 
@@ -316,47 +321,48 @@
 	}
 	switch s.policy {
 	case policyLoans:
-		n.situate()
+		n.updateFleetState()
 		n.plan()
 	case policyProportional:
-		n.proportion()
+		n.splitByDemand()
 		n.account.ServeQueue(s.now)
-		n.pump()
+		n.handleTickets()
 	default:
 		n.account.ServeQueue(s.now)
-		n.pump()
+		n.handleTickets()
 	}
 }
 
-func (n *simNode) situate() {
+func (n *simNode) updateFleetState() {
 	s := n.s
 	var scores []Score
-	var lenders []string
+	var sources []string
 	for _, p := range s.nodes {
 		scores = append(scores, Score{p.name, n.scores[p.name]})
 		if p != n {
-			lenders = append(lenders, p.name)
+			sources = append(sources, p.name)
 		}
 	}
 	hub, demand := ElectHub(scores)
-	n.account.SetFleetState(FleetState{Self: n.name, Hub: hub, LoanSources: lenders, Demand: demand})
+	n.account.SetFleetState(FleetState{Self: n.name, Hub: hub, LoanSources: sources, Demand: demand})
 }
 
-// proportion is the rival: shares in proportion to the demand last heard.
-// It is kinder to it than a protocol would be: no loan is ever in the way.
-func (n *simNode) proportion() {
+// splitByDemand sets the shares of the compared policy, which are proportional
+// to the demand last reported. The policy is simulated without the delays of a
+// protocol, to its advantage.
+func (n *simNode) splitByDemand() {
 	s := n.s
 	sum := 0.0
 	for _, p := range s.nodes {
-		sum += n.scores[p.name] + 0.01*s.whole.Rate
+		sum += n.scores[p.name] + 0.01*s.total.Rate
 	}
-	mine := n.scores[n.name] + 0.01*s.whole.Rate
-	n.account.SetShares(s.whole.times(mine/sum), s.whole, s.now)
+	ownDemand := n.scores[n.name] + 0.01*s.total.Rate
+	n.account.SetShares(s.total.times(ownDemand/sum), s.total, s.now)
 }
 
-func (n *simNode) beat() {
+func (n *simNode) heartbeat() {
 	s := n.s
-	s.after(500*time.Millisecond, n.beat)
+	s.after(500*time.Millisecond, n.heartbeat)
 	if n.down {
 		return
 	}
@@ -375,7 +381,7 @@
 			n.send(out)
 		}
 	}
-	n.pump()
+	n.handleTickets()
 }
 
 func (s *sim) find(name string) *simNode {
@@ -387,12 +393,13 @@
 	return nil
 }
 
-// Sizes of messages with the framing of the stream, from TestMessageSizes.
-const askBytes, grantBytes = 60, 45
+// requestBytes and grantBytes are the sizes of messages with the framing of
+// the stream; TestMeasureSizes prints the sizes without framing.
+const requestBytes, grantBytes = 60, 45
 
 func (n *simNode) send(out OutgoingRequest) {
 	s, to := n.s, n.s.find(out.To)
-	s.note(1, askBytes)
+	s.countMessages(1, requestBytes)
 	if s.rng.Float64() < s.loss {
 		return
 	}
@@ -403,17 +410,17 @@
 		grant, ticket := to.account.Lend(out.Request, s.now)
 		switch {
 		case ticket != nil:
-			to.remote = append(to.remote, &simRemote{ticket, n, out})
+			to.remoteTickets = append(to.remoteTickets, &simRemote{ticket, n, out})
 		case out.Request.ShareLoan || out.Request.Tokens > 0:
-			to.answer(n, out, grant)
+			to.respond(n, out, grant)
 		}
-		to.pump()
+		to.handleTickets()
 	})
 }
 
-func (n *simNode) answer(to *simNode, out OutgoingRequest, g Grant) {
+func (n *simNode) respond(to *simNode, out OutgoingRequest, g Grant) {
 	s := n.s
-	s.note(1, grantBytes)
+	s.countMessages(1, grantBytes)
 	if s.rng.Float64() < s.loss {
 		return
 	}
--- a/internal/quota/splitversions.go
+++ b/internal/quota/splitversions.go
@@ -8,59 +8,64 @@
 	"balsambarrow/internal/membership"
 )
 
-// maxVersions bounds the versions with different cuts that are kept while a
-// zone has not confirmed: more than operators change weights or slots while a
-// zone is cut off.
+// maxVersions limits the versions with different splits that are kept while a
+// zone has not confirmed the newest one. Operators make fewer changes of
+// weights or slots than this while a zone is partitioned.
 const maxVersions = 16
 
-// SplitVersions tracks which versions of the configuration may be in force somewhere, as
-// far as they cut quotas differently. A share raised by a new cut is used only
-// when every slot's holder has the new version and its loans under the old
-// one have ended; a lowered one at once. Without this, a zone that adopts new
-// weights early and one that adopts them late exceed the quota together, for
-// as long as the late one is cut off.
+// SplitVersions tracks the configuration versions that may be in force
+// somewhere, as far as they split quotas differently. A share that a new split
+// raises is used only when the holder of every slot has the new version and
+// its loans under the old version have ended. A share that a new split lowers
+// applies at once. Otherwise a zone that applies new weights early and a zone
+// that applies them late would together exceed the quota for as long as the
+// late zone is partitioned.
 //
-// A rate or burst that changes under the same cut needs no delay: each slot
-// then holds its fraction of either the old or the new quota, and the sum is
-// at most the greater of the two.
+// A change of rate or burst under the same split needs no delay. Each slot
+// then holds its fraction of either the old or the new quota, so the sum is at
+// most the greater of the two.
 //
-// What does not hold: a daemon that starts while an older cut is still in
-// force somewhere knows only the new one; and of more than maxVersions cuts
-// the oldest is forgotten.
+// There are two exceptions. A daemon that starts while an older split is still
+// in force somewhere knows only the new split. With more than maxVersions
+// splits, the oldest is dropped.
 type SplitVersions struct {
 	versions []*config.Active
-	// confirmed is when every holder was first seen with the newest version.
-	confirmed time.Time
+	// confirmedAt is the time at which every slot holder was first seen with
+	// the newest version.
+	confirmedAt time.Time
 }
 
-// Observe notes the version in force here and what members have told, this
-// daemon included. It returns the versions to cut by, the newest last.
+// Observe records the version in force on this daemon and the versions
+// reported by members, including this daemon. It returns the versions that
+// apply to the splits, the newest last.
 func (c *SplitVersions) Observe(active *config.Active, members []membership.Member, now time.Time) []*config.Active {
 	c.add(active)
 	if len(c.versions) == 1 {
 		return c.versions
 	}
-	if !holdersHave(active, members) {
-		c.confirmed = time.Time{}
+	if !allHoldersHave(active, members) {
+		c.confirmedAt = time.Time{}
 		return c.versions
 	}
-	if c.confirmed.IsZero() {
-		c.confirmed = now
+	if c.confirmedAt.IsZero() {
+		c.confirmedAt = now
 	}
-	if now.Sub(c.confirmed) >= Quarantine {
+	if now.Sub(c.confirmedAt) >= Quarantine {
 		c.versions = []*config.Active{active}
 	}
 	return c.versions
 }
 
+// add appends a version, or replaces the newest one if both split quotas
+// equally.
 func (c *SplitVersions) add(active *config.Active) {
 	n := len(c.versions)
 	if n > 0 && c.versions[n-1].Version == active.Version {
 		return
 	}
-	c.confirmed = time.Time{}
+	c.confirmedAt = time.Time{}
 	next := append([]*config.Active(nil), c.versions...)
-	if n > 0 && sameCut(next[n-1].Config, active.Config) {
+	if n > 0 && sameSplit(next[n-1].Config, active.Config) {
 		next[n-1] = active
 	} else {
 		next = append(next, active)
@@ -71,10 +76,11 @@
 	c.versions = next
 }
 
-// holdersHave tells whether every slot of every zone is held by a member with
-// at least the version. A zone that was taken out of the configuration is not
-// waited for: the operators say by it that its daemons are gone.
-func holdersHave(active *config.Active, members []membership.Member) bool {
+// allHoldersHave reports whether every slot of every zone is held by a member
+// with at least the given version. A zone that was removed from the
+// configuration is not waited for: by removing it, the operators state that
+// its daemons no longer run.
+func allHoldersHave(active *config.Active, members []membership.Member) bool {
 	seen := map[slotKey]bool{}
 	for _, m := range members {
 		for _, slot := range m.Slots {
@@ -93,9 +99,9 @@
 	return true
 }
 
-// sameCut tells whether both versions give every slot the same fraction of
-// every quota that both name.
-func sameCut(a, b *config.Config) bool {
+// sameSplit reports whether two configurations give every slot the same
+// fraction of every quota that both declare.
+func sameSplit(a, b *config.Config) bool {
 	same := maps.EqualFunc(a.Zones, b.Zones, func(x, y config.Zone) bool {
 		return x.Slots == y.Slots && x.Weight == y.Weight && x.Region == y.Region
 	})
@@ -103,9 +109,9 @@
 		return false
 	}
 	for name, x := range a.Customers {
-		// A customer that is taken out may come back with other weights.
-		y, kept := b.Customers[name]
-		if !kept || !maps.Equal(x.ZoneWeights, y.ZoneWeights) {
+		// A customer that is removed may be added again with other weights.
+		y, found := b.Customers[name]
+		if !found || !maps.Equal(x.ZoneWeights, y.ZoneWeights) {
 			return false
 		}
 	}
--- a/internal/quota/splitversions_test.go
+++ b/internal/quota/splitversions_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func ledgerOf(tb testing.TB, c *config.Config) *Ledger {
+func newTestLedger(tb testing.TB, c *config.Config) *Ledger {
 	tb.Helper()
 	l := NewLedger()
 	shape := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1, 2, 3}, Versions: []*config.Active{config.NewActive(1, c)}}
@@ -29,19 +29,19 @@
 	return l
 }
 
-func memberOf(zone string, version uint64, slots ...int) membership.Member {
+func slotHolder(zone string, version uint64, slots ...int) membership.Member {
 	return membership.Member{Instance: zone, Zone: zone, ConfigVersion: version, Slots: slots}
 }
 
-// An operator moves a customer's weight from Maine to Vermont. Maine is cut
-// off and serves on with the old version. Vermont, which has the new one at
-// once, must not spend Maine's part as well: the customer would get half
-// again its rate for as long as the cut lasts.
-func TestRaisedShareWaitsForTheZoneThatLosesIt(t *testing.T) {
+// An operator shifts a customer's weight from Maine to Vermont while Maine is
+// partitioned and still runs the old version. Vermont has the new version at
+// once but must not spend Maine's share as well. Otherwise the customer would
+// get one and a half times its rate for as long as the partition lasts.
+func TestRaisedShareWaitsForZoneWithLoweredShare(t *testing.T) {
 	g := NewWithT(t)
-	heavier := twoZones(100, 40)
-	heavier.Zones["vt-a"] = config.Zone{Region: "vermont", Slots: 4, Weight: 3}
-	v1, v2 := config.NewActive(1, twoZones(100, 40)), config.NewActive(2, heavier)
+	reweighted := twoZones(100, 40)
+	reweighted.Zones["vt-a"] = config.Zone{Region: "vermont", Slots: 4, Weight: 3}
+	v1, v2 := config.NewActive(1, twoZones(100, 40)), config.NewActive(2, reweighted)
 	all := []int{0, 1, 2, 3}
 	var vt, me SplitVersions
 	vt.Observe(v1, nil, start)
@@ -51,19 +51,19 @@
 		own, _, _ := s.Share(CustomerQuota("farm"))
 		return own.Rate
 	}
-	lagging := []membership.Member{memberOf("vt-a", 2, all...), memberOf("me-a", 1, all...)}
+	lagging := []membership.Member{slotHolder("vt-a", 2, all...), slotHolder("me-a", 1, all...)}
 	g.Expect(share(&vt, v2, "vt-a", time.Hour, lagging...)).To(Equal(50.0))
 	g.Expect(share(&me, v1, "me-a", time.Hour)).To(Equal(50.0))
 
-	g.Expect(share(&me, v2, "me-a", time.Hour)).To(Equal(25.0), "a lowered share counts at once")
-	agreed := []membership.Member{memberOf("vt-a", 2, all...), memberOf("me-a", 2, all...)}
-	g.Expect(share(&vt, v2, "vt-a", time.Hour, agreed...)).To(Equal(50.0), "Maine's loans still run")
-	g.Expect(share(&vt, v2, "vt-a", time.Hour+Quarantine, agreed...)).To(Equal(75.0))
+	g.Expect(share(&me, v2, "me-a", time.Hour)).To(Equal(25.0), "a lowered share applies at once")
+	upToDate := []membership.Member{slotHolder("vt-a", 2, all...), slotHolder("me-a", 2, all...)}
+	g.Expect(share(&vt, v2, "vt-a", time.Hour, upToDate...)).To(Equal(50.0), "loans of Maine's share have not expired yet")
+	g.Expect(share(&vt, v2, "vt-a", time.Hour+Quarantine, upToDate...)).To(Equal(75.0))
 }
 
-// Every quota is cut into fractions that sum to 1, over 64 slots at most, and
-// links and shifts over the sending region only.
-func TestCutsSumToOne(t *testing.T) {
+// The fractions of every quota must sum to 1 over at most 64 slots, and quotas
+// of links and shifts are split over the sending region only.
+func TestSplitSumsToOne(t *testing.T) {
 	g := NewWithT(t)
 	c := twoZones(100, 40)
 	c.Links = map[string]config.Link{"vt-me": {From: "vermont", To: "maine", BitsPerSecond: 1e6}}
@@ -72,21 +72,22 @@
 		c.Zones[fmt.Sprint("z", i)] = config.Zone{Region: "maine", Slots: 16, Weight: 1 + float64(i%3)}
 	}
 	for _, name := range []string{CustomerQuota("farm"), config.LinkQuota("vermont", "maine"), config.ShiftQuota("lookup", "vermont", "maine")} {
-		cut := SplitOf(c, name)
+		split := SplitOf(c, name)
 		sum := 0.0
-		for _, f := range cut {
+		for _, f := range split {
 			sum += f
 		}
 		g.Expect(sum).To(BeNumerically("~", 1, 1e-9))
-		g.Expect(len(cut)).To(BeNumerically("<=", MaxQuotaSlots))
+		g.Expect(len(split)).To(BeNumerically("<=", MaxQuotaSlots))
 	}
 	g.Expect(SplitOf(c, config.LinkQuota("vermont", "maine"))).To(HaveLen(4))
 }
 
-// A daemon keeps no account of a customer that does not call it. When one
-// calls after a while it finds what would have been there all along; and an
-// account that was spent from is not made anew with more.
-func TestAccountsAreMadeWhenNeededAndDroppedWhenFull(t *testing.T) {
+// A daemon keeps no account for a customer that sends it no requests. When the
+// customer sends one later, its account must have the level that it would have
+// had all along. An account that was spent from must not be created again with
+// more tokens.
+func TestAccountsAreCreatedOnUseAndDroppedWhenIdle(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLedger()
 	shape := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1}, Versions: []*config.Active{config.NewActive(1, twoZones(100, 40))}}
@@ -98,7 +99,7 @@
 	g.Expect(ok).To(BeTrue())
 	l.DropIdle(start.Add(300 * time.Millisecond))
 	g.Expect(l.Names()).To(HaveLen(1))
-	l.DropIdle(start.Add(2 * idleAfter))
+	l.DropIdle(start.Add(2 * idleTimeout))
 	g.Expect(l.Names()).To(BeEmpty())
 	g.Expect(l.Plan(CustomerQuota("nobody"), start)).To(BeEmpty())
 	ok, _ = l.Take(CustomerQuota("nobody"), 1, start)
