--- a/internal/quota/measure_test.go
+++ b/internal/quota/measure_test.go
@@ -19,6 +19,7 @@
 	weights    func(since time.Duration) []float64
 }
 
+// moveAt is the time at which the callers of a scenario move.
 const moveAt = 20 * time.Second
 
 func mostlyOneZone(at int) []float64 {
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -99,12 +99,14 @@
 	SentAt  time.Time
 }
 
-// Plan returns the requests to send now. The requests of one customer may
-// arrive at a few daemons, or in small numbers at all of them, or move from
-// one daemon to another. Without loans, every daemon would refuse requests
-// above its own share although the shares of other daemons are unused. The hub
-// borrows the shares of the others. The other daemons borrow tokens from the
-// hub, enough for the queued requests and for the demand of one round trip.
+// Plan returns the requests to send now.
+//
+// The requests of one customer may arrive at a few daemons, or in small
+// numbers at all of them, or move from one daemon to another. Without loans,
+// every daemon would refuse requests above its own share although the shares
+// of other daemons are unused. The hub borrows the shares of the others. The
+// other daemons borrow tokens from the hub for their queued requests and for
+// the demand of the next one and a half round trips.
 func (a *Account) Plan(now time.Time) []OutgoingRequest {
 	a.advance(now)
 	a.serve()
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -82,6 +82,7 @@
 	down          bool
 }
 
+// simWaiter is a request that waits for a token at its entry node.
 type simWaiter struct {
 	ticket    *Ticket
 	arrivedAt time.Time
@@ -89,6 +90,7 @@
 	retry     bool
 }
 
+// simRemote is a loan request that waits in the queue of its source.
 type simRemote struct {
 	ticket *Ticket
 	from   *simNode
--- a/internal/steer/table.go
+++ b/internal/steer/table.go
@@ -58,6 +58,7 @@
 	localDrain *config.Drain
 }
 
+// activeMove is a move of traffic out of the local region.
 type activeMove struct {
 	to   string
 	move config.Move
@@ -85,6 +86,7 @@
 	sent       map[sentKey]*sentCount
 }
 
+// sentKey identifies a handler of a service.
 type sentKey struct{ instance, service string }
 
 // sentCount counts the requests sent to a handler. It is kept across tables
