--- a/internal/fairqueue/class.go
+++ b/internal/fairqueue/class.go
@@ -2,55 +2,60 @@
 
 import "time"
 
-// Class keeps short and long work of one service apart.
+// Class separates the short and the long requests of one service.
 type Class int
 
-// Classes of work.
+// Classes of requests.
 const (
 	Short Class = iota
 	Long
-	classes
+	classCount
 )
 
-// Parts of the slots for long work. Slots are not preempted, so short work
-// finds a free one soon only if long work cannot hold them all.
+// Limits of long requests, as fractions of the slots. Slots are not preempted,
+// so short requests find a free slot soon only if long ones cannot hold them
+// all.
 const (
-	// longFloor is the part that long work gets before short work, so that a
-	// flood of short work does not starve it.
-	longFloor = 0.25
-	// longCeiling is the most it may hold while short work comes.
-	longCeiling = 0.5
-	// shortMemory is how long after the last short request the ceiling holds:
-	// a few of the 2-second reports.
-	shortMemory = 10 * time.Second
+	// longMinFraction is the fraction of the slots that long requests receive
+	// before short ones, so that a flood of short requests does not starve
+	// them.
+	longMinFraction = 0.25
+	// longMaxFraction is the largest fraction that long requests may hold
+	// while short requests arrive.
+	longMaxFraction = 0.5
+	// shortActiveWindow is how long longMaxFraction applies after the last
+	// short request arrived. It spans a few long requests of 2 seconds.
+	shortActiveWindow = 10 * time.Second
 )
 
-// longSlots returns how many slots long work may hold: for certain, and at most.
-func (q *Queue) longSlots(now time.Time) (floor, ceiling int) {
-	if now.Sub(q.lastShort) > shortMemory {
-		return q.room, q.room
+// longSlotBounds returns how many slots long requests receive before short
+// ones (floor) and how many they may hold at most (ceiling).
+func (q *Queue) longSlotBounds(now time.Time) (floor, ceiling int) {
+	if now.Sub(q.lastShortArrival) > shortActiveWindow {
+		return q.slots, q.slots
 	}
-	floor = max(1, int(longFloor*float64(q.room)))
-	ceiling = max(1, int(longCeiling*float64(q.room)))
+	floor = max(1, int(longMinFraction*float64(q.slots)))
+	ceiling = max(1, int(longMaxFraction*float64(q.slots)))
 	return floor, ceiling
 }
 
-// capacity is how many slots a class can count on.
-func (q *Queue) capacity(class Class, now time.Time) float64 {
-	floor, ceiling := q.longSlots(now)
+// classCapacity returns the number of slots that a class can rely on.
+func (q *Queue) classCapacity(class Class, now time.Time) float64 {
+	floor, ceiling := q.longSlotBounds(now)
 	if class == Long {
-		if q.parts[Short].count > 0 {
+		if q.classes[Short].count > 0 {
 			return float64(max(floor, 1))
 		}
 		return float64(max(ceiling, 1))
 	}
-	return float64(max(q.room-max(q.running[Long], min(floor, q.parts[Long].count)), 1))
+	return float64(max(q.slots-max(q.running[Long], min(floor, q.classes[Long].count)), 1))
 }
 
-// choose picks the class to serve next; false if nothing may be served.
-func (q *Queue) choose(now time.Time) (Class, bool) {
-	floor, ceiling := q.longSlots(now)
-	long, short := q.parts[Long].count > 0, q.parts[Short].count > 0
+// nextClass returns the class to serve next. It returns false if no request
+// may be served.
+func (q *Queue) nextClass(now time.Time) (Class, bool) {
+	floor, ceiling := q.longSlotBounds(now)
+	long, short := q.classes[Long].count > 0, q.classes[Short].count > 0
 	switch {
 	case long && q.running[Long] < floor:
 		return Long, true
--- a/internal/fairqueue/costs.go
+++ b/internal/fairqueue/costs.go
@@ -5,69 +5,77 @@
 	"time"
 )
 
-// Learning of service times.
+// Parameters of the service time estimates.
 const (
-	// cells bounds the kinds of work told apart; kinds that share a cell share
-	// an estimate.
-	cells = 256
-	// learnRate is the weight of a new sample.
-	learnRate = 0.1
-	// knownAfter is how many requests of a kind must have been answered before
-	// one that takes long is held against its upstream: the first 2-second
-	// report of a service of 5 ms would otherwise count as 400 times slower.
-	knownAfter = 8
-	// longFactor is how much longer than usual work must take to be long, and
-	// longAtLeast the least: shorter work does not hold a slot long enough to
-	// be worth setting apart.
-	longFactor  = 8
-	longAtLeast = 100 * time.Millisecond
+	// estimateCells is the number of separate estimates. Kinds of requests
+	// whose hashes fall into the same cell share an estimate.
+	estimateCells = 256
+	// sampleWeight is the weight of a new sample in a moving average.
+	sampleWeight = 0.1
+	// minSamples is the number of responses of a kind that are required
+	// before a slow response of that kind counts against its upstream.
+	// Otherwise the first 2-second report of a service with 5 ms requests
+	// would count as 400 times slower.
+	minSamples = 8
+	// Requests are long if they take at least longCostFactor times the
+	// typical service time and at least minLongCost. Shorter requests do not
+	// hold a slot long enough to need separate treatment.
+	longCostFactor = 8
+	minLongCost    = 100 * time.Millisecond
 )
 
-// Costs learns how long each kind of work takes at one service.
+// CostEstimator estimates the service time of each kind of request of one
+// service from moving averages.
 //
-// Load pattern: reports of 2 s among lookups of 5 ms at the same upstreams.
-// Without it a report counts as one request like a lookup, its customer gets
-// 400 times the others' share, and the reports hold all slots.
-type Costs struct {
-	expected float64
-	mean     [cells]float64
-	samples  [cells]uint8
-	usualLog float64
+// Without estimates, 2-second reports among 5 ms lookups on the same
+// upstreams would count as one request each: a customer that sends reports
+// would get 400 times the share of the others, and reports would hold all
+// slots.
+type CostEstimator struct {
+	defaultMs    float64
+	meanMs       [estimateCells]float64
+	samples      [estimateCells]uint8
+	typicalLogMs float64
 }
 
-// NewCosts returns an estimator that assumes expected until it knows better.
-func NewCosts(expected time.Duration) *Costs {
+// NewCostEstimator returns an estimator that returns expected for kinds
+// without samples.
+func NewCostEstimator(expected time.Duration) *CostEstimator {
 	ms := max(milliseconds(expected), 1)
-	return &Costs{expected: ms, usualLog: math.Log(ms)}
+	return &CostEstimator{defaultMs: ms, typicalLogMs: math.Log(ms)}
 }
 
-// Estimate returns the service time to expect of a kind of work, and its class.
-// kind is any hash, such as of method and path prefix.
-func (c *Costs) Estimate(kind uint64) (time.Duration, Class) {
-	ms := c.mean[kind%cells]
+// Estimate returns the expected service time and the class of a kind of
+// request. kind is a hash, for example of the method and path prefix.
+func (c *CostEstimator) Estimate(kind uint64) (time.Duration, Class) {
+	ms := c.meanMs[kind%estimateCells]
 	if ms == 0 {
-		return duration(c.expected), Short
+		return duration(c.defaultMs), Short
 	}
-	if ms >= longFactor*math.Exp(c.usualLog) && ms >= milliseconds(longAtLeast) {
+	if ms >= longCostFactor*math.Exp(c.typicalLogMs) && ms >= milliseconds(minLongCost) {
 		return duration(ms), Long
 	}
 	return duration(ms), Short
 }
 
-// Known tells whether enough of a kind was seen to judge an upstream by it.
-func (c *Costs) Known(kind uint64) bool { return c.samples[kind%cells] >= knownAfter }
+// HasEnoughSamples reports whether the estimate of a kind is reliable enough
+// to judge upstreams by it.
+func (c *CostEstimator) HasEnoughSamples(kind uint64) bool {
+	return c.samples[kind%estimateCells] >= minSamples
+}
 
-// Learn takes a measured service time. The usual time is the geometric mean
-// over requests: a tenth of long ones hardly moves it.
-func (c *Costs) Learn(kind uint64, took time.Duration) {
+// Record adds a measured service time. The typical service time is a
+// geometric mean over all requests, so that 10% of long requests hardly
+// change it.
+func (c *CostEstimator) Record(kind uint64, took time.Duration) {
 	ms := max(milliseconds(took), 0.01)
-	if c.samples[kind%cells] < knownAfter {
-		c.samples[kind%cells]++
+	if c.samples[kind%estimateCells] < minSamples {
+		c.samples[kind%estimateCells]++
 	}
-	cell := &c.mean[kind%cells]
+	cell := &c.meanMs[kind%estimateCells]
 	if *cell == 0 {
 		*cell = ms
 	}
-	*cell += learnRate * (ms - *cell)
-	c.usualLog += learnRate / 10 * (math.Log(ms) - c.usualLog)
+	*cell += sampleWeight * (ms - *cell)
+	c.typicalLogMs += sampleWeight / 10 * (math.Log(ms) - c.typicalLogMs)
 }
--- a/internal/fairqueue/flow.go
+++ b/internal/fairqueue/flow.go
@@ -5,50 +5,54 @@
 	"time"
 )
 
-// position is an entity's place among its siblings: the virtual time, in
-// milliseconds of service per unit of weight, at which it is served next.
-type position struct {
-	tag   float64
-	index int
+// heapEntry is the position of a customer or flow in its heap. startTag is
+// the start tag of start-time fair queueing: the virtual time, in
+// milliseconds of service per unit of weight, at which the customer or flow
+// is served next.
+type heapEntry struct {
+	startTag float64
+	index    int
 }
 
-func (p *position) at() *position { return p }
+func (e *heapEntry) entry() *heapEntry { return e }
 
-type entity interface{ at() *position }
+// schedulable is a customer or a flow.
+type schedulable interface{ entry() *heapEntry }
 
-// byTag is a heap of the siblings that have something waiting.
-type byTag[E entity] []E
+// tagHeap orders the customers or flows that have queued requests by start
+// tag.
+type tagHeap[E schedulable] []E
 
-func (h byTag[E]) Len() int           { return len(h) }
-func (h byTag[E]) Less(i, j int) bool { return h[i].at().tag < h[j].at().tag }
-func (h byTag[E]) Swap(i, j int) {
+func (h tagHeap[E]) Len() int           { return len(h) }
+func (h tagHeap[E]) Less(i, j int) bool { return h[i].entry().startTag < h[j].entry().startTag }
+func (h tagHeap[E]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at().index, h[j].at().index = i, j
+	h[i].entry().index, h[j].entry().index = i, j
 }
 
 // Push implements heap.Interface.
-func (h *byTag[E]) Push(x any) {
+func (h *tagHeap[E]) Push(x any) {
 	e := x.(E)
-	e.at().index = len(*h)
+	e.entry().index = len(*h)
 	*h = append(*h, e)
 }
 
 // Pop implements heap.Interface.
-func (h *byTag[E]) Pop() any {
+func (h *tagHeap[E]) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
-	e.at().index = -1
+	e.entry().index = -1
 	return e
 }
 
-// flow is what one key of a customer has waiting, oldest first.
+// flow is the queue of one API key of a customer, oldest request first.
 type flow struct {
-	position
+	heapEntry
 	owner      *customer
 	key        uint64
 	head, tail *Item
-	backlog    float64
+	backlogMs  float64
 	usage      usage
 }
 
@@ -76,34 +80,36 @@
 	it.prev, it.next = nil, nil
 }
 
-// keptFlows bounds the keys remembered of a customer that has nothing waiting:
-// more than one uses at a time, so that a quiet customer allocates nothing.
-const keptFlows = 8
+// maxIdleFlows is the largest number of flows kept for a customer that has no
+// queued requests. It exceeds the number of keys that a customer usually has
+// in use, so that low traffic allocates no flows.
+const maxIdleFlows = 8
 
-// customer is one customer's part of a class.
+// customer is the queue of one customer within a class.
 type customer struct {
-	position
+	heapEntry
 	name   string
 	weight float64
-	// flows are its keys that were in use lately.
-	flows   []*flow
-	waiting byTag[*flow]
-	virtual float64
-	// backlog is the estimated service time that waits, in milliseconds.
-	backlog float64
-	count   int
-	running int
-	usage   usage
-	// standingSince is when the queue was last seen empty.
-	standingSince time.Time
-	// bias is how much longer its requests waited than predicted.
-	bias float64
-	// promised is the time up to which refused requests were told to return.
-	promised time.Time
-	seen     time.Time
+	// flows are the flows of the keys used recently.
+	flows       []*flow
+	waiting     tagHeap[*flow]
+	virtualTime float64
+	// backlogMs is the estimated service time of the queued requests.
+	backlogMs float64
+	count     int
+	running   int
+	usage     usage
+	// nonEmptySince is when a request last arrived at an empty queue.
+	nonEmptySince time.Time
+	// waitBias is a moving average of the ratio of actual to predicted
+	// queueing delay.
+	waitBias float64
+	// nextRetryAt is the earliest time announced to the next refused caller.
+	nextRetryAt time.Time
+	lastArrival time.Time
 }
 
-func (c *customer) flowOf(key uint64) *flow {
+func (c *customer) flowFor(key uint64) *flow {
 	for _, f := range c.flows {
 		if f.key == key {
 			return f
@@ -115,31 +121,32 @@
 	return f
 }
 
-// push queues an item behind its key's others. A key that had nothing waiting
-// starts at the present virtual time: what it did not use is not saved up.
+// push appends a request to its flow. A flow that was empty starts at the
+// current virtual time, so that a key cannot save up service it did not use.
 func (c *customer) push(f *flow, it *Item) {
 	if f.head == nil {
-		f.tag = max(f.tag, c.virtual)
+		f.startTag = max(f.startTag, c.virtualTime)
 		heap.Push(&c.waiting, f)
 	}
 	f.append(it)
 	cost := milliseconds(it.Cost)
-	f.backlog += cost
-	c.backlog += cost
+	f.backlogMs += cost
+	c.backlogMs += cost
 	c.count++
 }
 
-// take removes an item. Served ones are charged to their key.
-func (c *customer) take(it *Item, served bool, now time.Time) {
+// remove removes a queued request. A request removed to be served is charged
+// to its flow.
+func (c *customer) remove(it *Item, served bool, now time.Time) {
 	f := it.flow
 	f.unlink(it)
 	cost := milliseconds(it.Cost)
 	c.count--
-	c.backlog = emptied(c.count == 0, c.backlog-cost)
-	f.backlog = emptied(f.head == nil, f.backlog-cost)
+	c.backlogMs = remainingSum(c.count == 0, c.backlogMs-cost)
+	f.backlogMs = remainingSum(f.head == nil, f.backlogMs-cost)
 	if served {
-		c.virtual = max(c.virtual, f.tag)
-		f.tag += cost
+		c.virtualTime = max(c.virtualTime, f.startTag)
+		f.startTag += cost
 		f.usage.add(cost, now)
 	}
 	if f.head != nil {
@@ -147,14 +154,15 @@
 		return
 	}
 	heap.Remove(&c.waiting, f.index)
-	if len(c.waiting) == 0 && len(c.flows) > keptFlows {
+	if len(c.waiting) == 0 && len(c.flows) > maxIdleFlows {
 		clear(c.flows)
 		c.flows = c.flows[:0]
 	}
 }
 
-// emptied keeps rounding errors from piling up in a sum that should be zero.
-func emptied(empty bool, sum float64) float64 {
+// remainingSum returns 0 for an empty queue and never a negative value, so
+// that rounding errors do not accumulate in a sum of costs.
+func remainingSum(empty bool, sum float64) float64 {
 	if empty {
 		return 0
 	}
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -2,146 +2,154 @@
 
 import "time"
 
-// Bounds of waiting.
+// Limits of queueing.
 const (
-	// MaxWaiting bounds the requests that wait at one service of one handler:
-	// at 5 ms and 12 slots a third of a second of work, at 10 ms and a
-	// 5-second budget a sixth of what the budget allows; memory stays under 1 MB.
+	// MaxWaiting is the maximum number of queued requests of one service at
+	// one handling daemon. With 12 slots, that many requests take 1.7 s at 5
+	// ms each, and 3.4 s of a 5-second budget at 10 ms each. The queue uses
+	// less than 1 MB of memory.
 	MaxWaiting = 4096
-	// waitPart is the part of the remaining budget that may pass in the queue.
-	// The rest covers the error of the estimate.
-	waitPart = 0.75
-	// standingAfter is how long a customer's queue may stand before it is kept
-	// short: the burst that is to be absorbed lasts two seconds.
-	standingAfter = 2 * time.Second
-	// standingWait is the wait allowed in a queue that stands. A longer one
-	// serves nobody more, it only makes all of them late.
-	standingWait = 100 * time.Millisecond
-	// standingCosts is the same for long work, in multiples of its own cost.
-	standingCosts = 2
+	// maxWaitFraction is the fraction of the remaining budget that may be
+	// spent in the queue. The rest is a margin for the error of the
+	// estimates.
+	maxWaitFraction = 0.75
+	// standingQueueAge is how long a customer's queue may be non-empty before
+	// it counts as a standing queue. Bursts to be absorbed last up to 2
+	// seconds.
+	standingQueueAge = 2 * time.Second
+	// standingQueueMaxWait is the longest predicted delay at which a standing
+	// queue accepts requests. A longer queue does not increase throughput; it
+	// only delays all requests.
+	standingQueueMaxWait = 100 * time.Millisecond
+	// standingQueueMaxCosts is the same limit for long requests, as a
+	// multiple of their own cost.
+	standingQueueMaxCosts = 2
 )
 
-// Times told to refused callers.
+// Parameters of Refusal.RetryAfter.
 const (
-	// promiseShare is the part of a customer's share that is promised to those
-	// told to come back; the rest serves those who come anew.
-	promiseShare = 0.5
-	// maxRetry bounds the time told. It is what it takes to serve all who were
-	// refused in 10 s of three times the capacity.
-	maxRetry = time.Minute
+	// retryShare is the fraction of a customer's capacity that is reserved
+	// for announced retries; the rest serves new requests.
+	retryShare = 0.5
+	// maxRetryAfter is the longest delay announced. It is the time needed to
+	// serve all requests refused during 10 s at three times the capacity.
+	maxRetryAfter = time.Minute
 )
 
-// Queue is the queue of one service at one handler.
+// Queue is the queue of one service at one handling daemon.
 type Queue struct {
-	parts     [classes]*part
-	running   [classes]int
-	room      int
-	lastShort time.Time
+	classes          [classCount]*classQueue
+	running          [classCount]int
+	slots            int
+	lastShortArrival time.Time
 }
 
 // New returns an empty queue.
 func New() *Queue {
 	q := &Queue{}
-	for class := range q.parts {
-		q.parts[class] = newPart()
+	for class := range q.classes {
+		q.classes[class] = newClassQueue()
 	}
 	return q
 }
 
-// SetRoom tells how many requests may run at once.
-func (q *Queue) SetRoom(slots int) { q.room = slots }
+// SetSlots sets the number of requests that may run at once.
+func (q *Queue) SetSlots(slots int) { q.slots = slots }
 
-// Len is how many requests wait.
-func (q *Queue) Len() int { return q.parts[Short].count + q.parts[Long].count }
+// Len returns the number of queued requests.
+func (q *Queue) Len() int { return q.classes[Short].count + q.classes[Long].count }
 
-// Push queues a request, or refuses it at once.
+// Push queues a request, or refuses it immediately.
 func (q *Queue) Push(it *Item, now time.Time) *Refusal {
 	if it.Class == Short {
-		q.lastShort = now
+		q.lastShortArrival = now
 	}
-	p := q.parts[it.Class]
-	c := p.customerOf(it, now)
+	cq := q.classes[it.Class]
+	c := cq.customerFor(it, now)
 	if !q.contended() && now.Before(it.Deadline) {
-		p.push(it, c, now)
+		cq.push(it, c, now)
 		return nil
 	}
 	budget := it.Deadline.Sub(now) - it.Cost
 	if budget < 0 {
 		return &Refusal{Reason: ReasonDeadline}
 	}
-	// A customer may hold as many places as are left to all: one alone gets
-	// half of them, and another always finds some.
+	// A customer may queue at most as many requests as there are free places:
+	// a single customer can use half of the queue, and others always find
+	// free places.
 	if free := MaxWaiting - q.Len(); c.count >= free {
-		return q.refuse(ReasonFull, it, c, duration(c.backlog/q.capacity(it.Class, now)), now)
+		return q.newRefusal(ReasonQueueFull, it, c, duration(c.backlogMs/q.classCapacity(it.Class, now)), now)
 	}
-	allowed := allowedWait(it, c, budget, now)
-	wait := duration(max(c.bias, 1) * p.ahead(c, it.Key, allowed, now) / q.capacity(it.Class, now))
-	if wait > allowed {
-		return q.refuse(ReasonNoRoom, it, c, wait-allowed, now)
+	allowed := maxWait(it, c, budget, now)
+	predicted := duration(max(c.waitBias, 1) * cq.workAhead(c, it.Key, allowed, now) / q.classCapacity(it.Class, now))
+	if predicted > allowed {
+		return q.newRefusal(ReasonWaitTooLong, it, c, predicted-allowed, now)
 	}
-	it.predicted = wait
-	p.push(it, c, now)
+	it.predictedWait = predicted
+	cq.push(it, c, now)
 	return nil
 }
 
-// contended tells whether a request would take room that another one wants.
-// Where it would not, it runs whatever its budget: an estimate is an estimate,
-// and one that a slow spell has raised above all budgets could never be
-// corrected if nothing were served by it.
+// contended reports whether a request competes with others for a slot.
+// Without competition a request runs whatever its budget: estimates can be
+// wrong, and one that exceeds every budget after a slow period could never be
+// corrected if no request ran.
 func (q *Queue) contended() bool {
-	return q.Len() > 0 || q.running[Short]+q.running[Long] >= q.room
+	return q.Len() > 0 || q.running[Short]+q.running[Long] >= q.slots
 }
 
-// allowedWait is the longest wait that the request is admitted to.
-func allowedWait(it *Item, c *customer, budget time.Duration, now time.Time) time.Duration {
-	allowed := time.Duration(waitPart * float64(budget))
-	if c.count > 0 && now.Sub(c.standingSince) > standingAfter {
-		allowed = min(allowed, max(standingWait, standingCosts*it.Cost))
+// maxWait returns the longest predicted queueing delay at which a request is
+// queued.
+func maxWait(it *Item, c *customer, budget time.Duration, now time.Time) time.Duration {
+	allowed := time.Duration(maxWaitFraction * float64(budget))
+	if c.count > 0 && now.Sub(c.nonEmptySince) > standingQueueAge {
+		allowed = min(allowed, max(standingQueueMaxWait, standingQueueMaxCosts*it.Cost))
 	}
 	return allowed
 }
 
-// refuse makes a refusal with the time at which coming back makes sense. All
-// who are refused come back; so each is told a later time than the one before,
-// at the pace at which the customer's share can serve them.
-func (q *Queue) refuse(reason Reason, it *Item, c *customer, drain time.Duration, now time.Time) *Refusal {
-	at := now.Add(max(drain, it.Cost))
-	if c.promised.After(at) {
-		at = c.promised
+// newRefusal returns a refusal with the delay after which a retry makes
+// sense. drain is the time until the queue has a place. All refused callers
+// are expected to retry, so each receives a later time than the previous one,
+// spaced at the rate at which the customer's share can serve them.
+func (q *Queue) newRefusal(reason Reason, it *Item, c *customer, drain time.Duration, now time.Time) *Refusal {
+	retryAt := now.Add(max(drain, it.Cost))
+	if c.nextRetryAt.After(retryAt) {
+		retryAt = c.nextRetryAt
 	}
-	p := q.parts[it.Class]
-	pace := milliseconds(it.Cost) * p.weights() / (c.weight * q.capacity(it.Class, now) * promiseShare)
-	if at.Sub(now) >= maxRetry {
-		return &Refusal{Reason: reason, RetryAfter: maxRetry}
+	cq := q.classes[it.Class]
+	spacing := milliseconds(it.Cost) * cq.totalWeight() / (c.weight * q.classCapacity(it.Class, now) * retryShare)
+	if retryAt.Sub(now) >= maxRetryAfter {
+		return &Refusal{Reason: reason, RetryAfter: maxRetryAfter}
 	}
-	c.promised = at.Add(duration(pace))
-	return &Refusal{Reason: reason, RetryAfter: at.Sub(now)}
+	c.nextRetryAt = retryAt.Add(duration(spacing))
+	return &Refusal{Reason: reason, RetryAfter: retryAt.Sub(now)}
 }
 
-// Pop takes the request to be served now; nil if none may be. Requests that
-// can no longer be done in time are taken out and passed to late: serving
-// them would cost room that others can use.
-func (q *Queue) Pop(now time.Time, late func(*Item)) *Item {
+// Pop removes and returns the request to serve now, or nil if none may be
+// served. Requests that can no longer meet their deadline are removed and
+// passed to onExpired: serving them would use slots that other requests need.
+func (q *Queue) Pop(now time.Time, onExpired func(*Item)) *Item {
 	for {
-		class, ok := q.choose(now)
+		class, ok := q.nextClass(now)
 		if !ok {
 			return nil
 		}
-		p := q.parts[class]
-		it := p.first()
+		cq := q.classes[class]
+		it := cq.head()
 		if q.tooLate(it, now) {
-			p.take(it, false, now)
-			late(it)
+			cq.remove(it, false, now)
+			onExpired(it)
 			continue
 		}
-		p.take(it, true, now)
+		cq.remove(it, true, now)
 		q.running[class]++
 		return it
 	}
 }
 
-// tooLate tells whether serving a request would waste room: its deadline has
-// passed, or will while it runs and another one waits.
+// tooLate reports whether serving a request would waste a slot: its deadline
+// has passed, or will pass while it runs and another request is queued.
 func (q *Queue) tooLate(it *Item, now time.Time) bool {
 	if q.Len() > 1 {
 		return now.Add(it.Cost).After(it.Deadline)
@@ -149,25 +157,27 @@
 	return !now.Before(it.Deadline)
 }
 
-// Done settles a popped request after it took some time; 0 if it did not run.
+// Done ends a request returned by Pop and charges the measured service time
+// took, which is 0 if the request did not run.
 func (q *Queue) Done(it *Item, took time.Duration, now time.Time) {
 	q.running[it.Class]--
-	q.parts[it.Class].settle(it, took, now)
+	q.classes[it.Class].correctCharge(it, took, now)
 }
 
-// Remove takes a waiting request out whose caller gave up; false if it does
-// not wait.
+// Remove removes a queued request whose caller no longer waits. It returns
+// false if the request is not queued.
 func (q *Queue) Remove(it *Item, now time.Time) bool {
-	if !it.waits {
+	if !it.queued {
 		return false
 	}
-	q.parts[it.Class].take(it, false, now)
+	q.classes[it.Class].remove(it, false, now)
 	return true
 }
 
-// RetryAfter is what to tell a caller whose request left the queue unserved.
+// RetryAfter returns the retry delay to announce for a request that left the
+// queue unserved.
 func (q *Queue) RetryAfter(it *Item, now time.Time) time.Duration {
 	c := it.flow.owner
-	wait := duration(c.backlog / q.capacity(it.Class, now))
-	return q.refuse(ReasonNoRoom, it, c, wait, now).RetryAfter
+	wait := duration(c.backlogMs / q.classCapacity(it.Class, now))
+	return q.newRefusal(ReasonWaitTooLong, it, c, wait, now).RetryAfter
 }
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -16,15 +16,15 @@
 	return &Item{Customer: customer, Cost: cost, Deadline: start.Add(time.Hour)}
 }
 
-func none(*Item) {}
+func ignoreExpired(*Item) {}
 
-// A large customer's requests stand in the queue when a small one's arrive.
-// Each must get half of the slots' time, although the large one's requests
-// take three times as long and came first.
+// Guards against sharing by request count or arrival order: a customer whose
+// requests take three times as long and arrive first must still receive half
+// of the service time.
 func TestCustomersShareByServiceTime(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(4)
+	q.SetSlots(4)
 	for range 100 {
 		g.Expect(q.Push(item("large", 30*time.Millisecond), start)).To(BeNil())
 	}
@@ -33,42 +33,42 @@
 	}
 	served := map[string]time.Duration{}
 	for range 200 {
-		it := q.Pop(start, none)
+		it := q.Pop(start, ignoreExpired)
 		served[it.Customer] += it.Cost
 		q.Done(it, it.Cost, start)
 	}
 	g.Expect(float64(served["large"])).To(BeNumerically("~", float64(served["small"]), float64(60*time.Millisecond)))
 }
 
-// The estimate of a customer's work is a tenth of what it takes. The charge is
-// settled when the work is done, so the customer must not get ten times its
-// share by it.
-func TestChargeIsSettledByWhatWorkTook(t *testing.T) {
+// Guards against charging only the estimated cost: a customer whose requests
+// are estimated at a tenth of their service time must not receive ten times
+// its share.
+func TestChargeIsCorrectedToMeasuredTime(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(1)
+	q.SetSlots(1)
 	for range 200 {
 		g.Expect(q.Push(item("cheat", time.Millisecond), start)).To(BeNil())
 		g.Expect(q.Push(item("honest", 10*time.Millisecond), start)).To(BeNil())
 	}
 	served := map[string]int{}
 	for range 100 {
-		it := q.Pop(start, none)
+		it := q.Pop(start, ignoreExpired)
 		served[it.Customer]++
 		q.Done(it, 10*time.Millisecond, start)
 	}
 	g.Expect(served["cheat"]).To(BeNumerically("~", 50, 2))
 }
 
-// A request whose budget is shorter than its work would hold a slot for an
-// answer that nobody waits for. It is refused at once, on arrival or, if it
-// has waited too long, when its turn comes.
-func TestWhatCannotFinishInTimeIsRefused(t *testing.T) {
+// Guards against slots held by requests whose response would come after the
+// deadline. Such a request is refused when it arrives, or dropped when it
+// would be served after too long a wait.
+func TestRequestThatCannotMeetDeadlineIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(1)
+	q.SetSlots(1)
 	g.Expect(q.Push(item("b", 50*time.Millisecond), start)).To(BeNil())
-	running := q.Pop(start, none)
+	running := q.Pop(start, ignoreExpired)
 	short := item("a", 50*time.Millisecond)
 	short.Deadline = start.Add(40 * time.Millisecond)
 	g.Expect(q.Push(short, start)).To(HaveField("Reason", ReasonDeadline))
@@ -84,45 +84,47 @@
 	g.Expect(q.Len()).To(BeZero())
 }
 
-// For a minute an upstream took a second instead of 10 ms. The estimate is
-// above every budget now. With a slot free, requests must run all the same, or
-// none would ever show that the upstream is quick again.
-func TestEstimateAboveTheBudgetDoesNotLockOut(t *testing.T) {
+// Guards against an estimate that can no longer be corrected: after a slow
+// period the estimate exceeds every budget. On a free slot requests must run
+// anyway, so that new samples lower the estimate.
+func TestRequestRunsOnFreeSlotDespiteHighEstimate(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(1)
+	q.SetSlots(1)
 	it := item("a", time.Second)
 	it.Deadline = start.Add(300 * time.Millisecond)
 	g.Expect(q.Push(it, start)).To(BeNil())
-	g.Expect(q.Pop(start, none)).To(Equal(it))
+	g.Expect(q.Pop(start, ignoreExpired)).To(Equal(it))
 }
 
-// Ten seconds of work wait before a request with a budget of two. The answer
-// must be immediate, and the time told must be at least what has to drain.
-func TestRefusalTellsWhenThereIsRoom(t *testing.T) {
+// A request with a budget of 2 s arrives behind 10 s of queued work. It must
+// be refused immediately, with a retry delay of at least the time until the
+// queue has a place.
+func TestRefusalRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(1)
+	q.SetSlots(1)
 	for range 100 {
 		g.Expect(q.Push(item("a", 100*time.Millisecond), start)).To(BeNil())
 	}
 	late := item("a", 100*time.Millisecond)
 	late.Deadline = start.Add(2 * time.Second)
 	first := q.Push(late, start)
-	g.Expect(first).To(HaveField("Reason", ReasonNoRoom))
+	g.Expect(first).To(HaveField("Reason", ReasonWaitTooLong))
 	g.Expect(first.RetryAfter).To(BeNumerically(">", 8*time.Second))
-	g.Expect(q.Push(late, start).RetryAfter).To(BeNumerically(">", first.RetryAfter), "the next one is told a later time")
+	g.Expect(q.Push(late, start).RetryAfter).To(BeNumerically(">", first.RetryAfter), "the next retry is scheduled later")
 	other := item("b", 100*time.Millisecond)
 	other.Deadline = late.Deadline
-	g.Expect(q.Push(other, start)).To(BeNil(), "another customer has room")
+	g.Expect(q.Push(other, start)).To(BeNil(), "another customer is still accepted")
 }
 
-// A customer without deadline pressure sends without end. It may hold half of
-// the places, so that another one's request still finds some.
+// Guards against a customer without deadline pressure filling the queue: it
+// may use half of the places, so that requests of other customers are still
+// accepted.
 func TestOneCustomerCannotFillTheQueue(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(4)
+	q.SetSlots(4)
 	for range 2 * MaxWaiting {
 		_ = q.Push(item("flood", time.Microsecond), start)
 	}
@@ -130,13 +132,13 @@
 	g.Expect(q.Push(item("other", time.Microsecond), start)).To(BeNil())
 }
 
-// Long requests arrive first and could hold all slots for seconds. While
-// short ones come they may hold half; a flood of short ones leaves them a
-// quarter.
-func TestLongWorkHoldsAPartOfTheSlots(t *testing.T) {
+// Guards against long requests holding all slots for seconds. While short
+// requests arrive, long ones may hold half of the slots, and a flood of short
+// ones leaves them a quarter.
+func TestLongWorkIsLimitedToAFractionOfSlots(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
-	q.SetRoom(8)
+	q.SetSlots(8)
 	push := func(class Class, cost time.Duration, n int) {
 		for range n {
 			it := item("a", cost)
@@ -145,30 +147,31 @@
 		}
 	}
 	push(Short, time.Millisecond, 1)
-	g.Expect(q.Pop(start, none).Class).To(Equal(Short))
+	g.Expect(q.Pop(start, ignoreExpired).Class).To(Equal(Short))
 	push(Long, time.Second, 20)
 	for range 4 {
-		g.Expect(q.Pop(start, none).Class).To(Equal(Long))
+		g.Expect(q.Pop(start, ignoreExpired).Class).To(Equal(Long))
 	}
-	g.Expect(q.Pop(start, none)).To(BeNil())
-	calm := start.Add(shortMemory + time.Second)
-	g.Expect(q.Pop(calm, none).Class).To(Equal(Long), "no short work comes any more")
+	g.Expect(q.Pop(start, ignoreExpired)).To(BeNil())
+	idle := start.Add(shortActiveWindow + time.Second)
+	g.Expect(q.Pop(idle, ignoreExpired).Class).To(Equal(Long), "no short requests have arrived recently")
 }
 
-// Kinds of work that are not yet known must not be judged by; a kind that is
-// many times longer than usual is long.
-func TestCostsLearnLongKinds(t *testing.T) {
+// A kind without enough samples must not be used to judge upstreams, and a
+// kind that takes many times the typical service time must be classified as
+// long.
+func TestCostEstimatorClassifiesLongKinds(t *testing.T) {
 	g := NewWithT(t)
-	c := NewCosts(5 * time.Millisecond)
-	g.Expect(c.Known(1)).To(BeFalse())
+	c := NewCostEstimator(5 * time.Millisecond)
+	g.Expect(c.HasEnoughSamples(1)).To(BeFalse())
 	for range 100 {
-		c.Learn(0, 5*time.Millisecond)
-		c.Learn(1, 2*time.Second)
+		c.Record(0, 5*time.Millisecond)
+		c.Record(1, 2*time.Second)
 		for range 8 {
-			c.Learn(0, 6*time.Millisecond)
+			c.Record(0, 6*time.Millisecond)
 		}
 	}
-	g.Expect(c.Known(1)).To(BeTrue())
+	g.Expect(c.HasEnoughSamples(1)).To(BeTrue())
 	cost, class := c.Estimate(1)
 	g.Expect(class).To(Equal(Long))
 	g.Expect(cost).To(BeNumerically("~", 2*time.Second, 50*time.Millisecond))
@@ -176,15 +179,16 @@
 	g.Expect(class).To(Equal(Short))
 }
 
-// Whatever comes and goes in whatever order, the counts of the queue hold, and
-// each request is served, late, removed or still waiting, once.
+// After any sequence of operations the counters of the queue must be
+// consistent, and each request must be exactly one of served, expired,
+// removed or still queued.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := New()
 		now := start
 		waiting := map[*Item]bool{}
 		var running []*Item
-		drop := func(it *Item) { delete(waiting, it) }
+		onExpired := func(it *Item) { delete(waiting, it) }
 		rt.Repeat(map[string]func(*rapid.T){
 			"push": func(rt *rapid.T) {
 				it := &Item{
@@ -200,7 +204,7 @@
 				}
 			},
 			"pop": func(*rapid.T) {
-				if it := q.Pop(now, drop); it != nil {
+				if it := q.Pop(now, onExpired); it != nil {
 					delete(waiting, it)
 					running = append(running, it)
 				}
@@ -214,7 +218,7 @@
 			"remove": func(*rapid.T) {
 				for it := range waiting {
 					if !q.Remove(it, now) || q.Remove(it, now) {
-						rt.Fatal("a waiting request is removed once")
+						rt.Fatal("a queued request must be removable exactly once")
 					}
 					delete(waiting, it)
 					return
@@ -222,7 +226,7 @@
 			},
 			"time": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 800).Draw(rt, "passed")) * time.Millisecond)
-				q.SetRoom(rapid.IntRange(0, 6).Draw(rt, "room"))
+				q.SetSlots(rapid.IntRange(0, 6).Draw(rt, "room"))
 			},
 			"": func(rt *rapid.T) { checkCounts(rt, q, len(waiting), len(running)) },
 		})
@@ -231,28 +235,28 @@
 
 func checkCounts(rt *rapid.T, q *Queue, waiting, running int) {
 	if q.Len() != waiting {
-		rt.Fatalf("%d wait, the queue says %d", waiting, q.Len())
+		rt.Fatalf("%d requests are queued, Len returns %d", waiting, q.Len())
 	}
-	count, runs := 0, 0
-	for class, p := range q.parts {
-		runs += q.running[class]
-		for _, c := range p.customers {
+	count, runningCount := 0, 0
+	for class, cq := range q.classes {
+		runningCount += q.running[class]
+		for _, c := range cq.customers {
 			count += c.count
-			if (c.count > 0) != (c.index >= 0) || c.backlog < 0 {
-				rt.Fatalf("customer %s: %d wait, index %d, backlog %v", c.name, c.count, c.index, c.backlog)
+			if (c.count > 0) != (c.index >= 0) || c.backlogMs < 0 {
+				rt.Fatalf("customer %s: %d queued, heap index %d, backlog %v ms", c.name, c.count, c.index, c.backlogMs)
 			}
 		}
 	}
-	if count != waiting || runs != running {
-		rt.Fatalf("%d wait, %d counted; %d run, %d counted", waiting, count, running, runs)
+	if count != waiting || runningCount != running {
+		rt.Fatalf("%d queued, %d counted; %d running, %d counted", waiting, count, running, runningCount)
 	}
 }
 
-// BenchmarkRound is one push and one pop among 8 customers with 32 waiting
-// each.
+// BenchmarkRound measures one Pop, Done and Push with 8 customers that have
+// 32 queued requests each.
 func BenchmarkRound(b *testing.B) {
 	q := New()
-	q.SetRoom(12)
+	q.SetSlots(12)
 	rng := rand.New(rand.NewPCG(1, 1))
 	items := make([]*Item, 256)
 	for i := range items {
@@ -264,7 +268,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		it := q.Pop(start, none)
+		it := q.Pop(start, ignoreExpired)
 		q.Done(it, it.Cost, start)
 		if q.Push(it, start) != nil {
 			b.Fatal("refused")
--- a/internal/fairqueue/usage.go
+++ b/internal/fairqueue/usage.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// usageWindow is the time over which a customer's use of the slots is
-// averaged: long against the service times of short work (5 to 10 ms), short
-// against a budget of two seconds.
+// usageWindow is the time constant over which slot usage is averaged. It is
+// long compared with short requests (5 to 10 ms) and short compared with a
+// budget of 2 seconds.
 const usageWindow = 500 * time.Millisecond
 
-// usageStep is the shortest time for which decay is worked out: an error of
-// 2% at most, for an exponential less on most requests.
-const usageStep = usageWindow / 64
+// minDecayInterval is the shortest interval for which the decay is computed.
+// Skipping shorter intervals avoids computing an exponential for most
+// requests; the error is at most 2%.
+const minDecayInterval = usageWindow / 64
 
-// usage is an exponentially decaying average of service time used per time:
-// the mean number of slots held.
+// usage is an exponentially decaying average of the service time used, that
+// is, of the number of slots held.
 type usage struct {
-	sum float64
-	at  time.Time
+	usedMs    float64
+	updatedAt time.Time
 }
 
 func (u *usage) add(ms float64, now time.Time) {
 	u.decay(now)
-	u.sum += ms
+	u.usedMs += ms
 }
 
-func (u *usage) slots(now time.Time) float64 {
+func (u *usage) meanSlots(now time.Time) float64 {
 	u.decay(now)
-	return u.sum / milliseconds(usageWindow)
+	return u.usedMs / milliseconds(usageWindow)
 }
 
 func (u *usage) decay(now time.Time) {
-	if u.sum == 0 {
-		u.at = now
+	if u.usedMs == 0 {
+		u.updatedAt = now
 		return
 	}
-	if passed := now.Sub(u.at); passed > usageStep {
-		u.sum *= math.Exp(-float64(passed) / float64(usageWindow))
-		u.at = now
+	if elapsed := now.Sub(u.updatedAt); elapsed > minDecayInterval {
+		u.usedMs *= math.Exp(-float64(elapsed) / float64(usageWindow))
+		u.updatedAt = now
 	}
 }
--- a/internal/upstream/assign.go
+++ b/internal/upstream/assign.go
@@ -12,16 +12,16 @@
 // sibling where the zone has none. "" means that nobody does.
 func HandlerOf(c *config.Config, name string, ready []membership.Member) string {
 	u := c.Upstreams[name]
-	if in := highest(name, u.Zone, ready); in != "" {
+	if in := highestHash(name, u.Zone, ready); in != "" {
 		return in
 	}
 	if sibling := c.Zones[u.Zone].Sibling; sibling != "" {
-		return highest(name, sibling, ready)
+		return highestHash(name, sibling, ready)
 	}
 	return ""
 }
 
-func highest(name, zone string, ready []membership.Member) string {
+func highestHash(name, zone string, ready []membership.Member) string {
 	best, bestHash := "", uint64(0)
 	for _, m := range ready {
 		if m.Zone != zone {
@@ -39,15 +39,15 @@
 	// byInstance holds each handler's upstreams by name.
 	byInstance map[string]map[string]config.Upstream
 	// slots holds each handler's slots of each service.
-	slots map[handled]int
+	slots map[instanceService]int
 }
 
-type handled struct{ instance, service string }
+type instanceService struct{ instance, service string }
 
 // Assign gives every upstream its handler by rendezvous hashing over the ready
 // daemons. Daemons that know the same ready ones agree without a message.
 func Assign(c *config.Config, ready []membership.Member) *Assignment {
-	a := &Assignment{byInstance: map[string]map[string]config.Upstream{}, slots: map[handled]int{}}
+	a := &Assignment{byInstance: map[string]map[string]config.Upstream{}, slots: map[instanceService]int{}}
 	for name, u := range c.Upstreams {
 		instance := HandlerOf(c, name, ready)
 		if instance == "" {
@@ -57,8 +57,8 @@
 			a.byInstance[instance] = map[string]config.Upstream{}
 		}
 		a.byInstance[instance][name] = u
-		if !planOf(c, name).active {
-			a.slots[handled{instance, u.Service}] += u.Slots
+		if !plannedDrain(c, name).active {
+			a.slots[instanceService{instance, u.Service}] += u.Slots
 		}
 	}
 	return a
@@ -71,4 +71,6 @@
 
 // Slots returns how many slots of a service an instance handles, without those
 // of upstreams that are drained.
-func (a *Assignment) Slots(instance, service string) int { return a.slots[handled{instance, service}] }
+func (a *Assignment) Slots(instance, service string) int {
+	return a.slots[instanceService{instance, service}]
+}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -12,10 +12,10 @@
 
 // Bounds of the connections to upstreams and relay listeners.
 const (
-	dialTimeout  = time.Second
-	idlePerHost  = 8
-	idleTime     = 30 * time.Second
-	headerBounds = 64 << 10
+	dialTimeout    = time.Second
+	maxIdlePerHost = 8
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 64 << 10
 )
 
 // Dialer opens a connection; tests use it to cut an upstream off.
@@ -43,20 +43,20 @@
 	protocols.SetHTTP1(true)
 	transport := &http.Transport{
 		Protocols:              &protocols,
-		DialContext:            countedDialer(dial),
-		MaxIdleConnsPerHost:    idlePerHost,
-		IdleConnTimeout:        idleTime,
-		MaxResponseHeaderBytes: headerBounds,
+		DialContext:            countingDialer(dial),
+		MaxIdleConnsPerHost:    maxIdlePerHost,
+		IdleConnTimeout:        idleTimeout,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
 	}
 	if conf != nil {
-		transport.DialTLSContext = secureDialer(dial, conf)
+		transport.DialTLSContext = tlsDialer(dial, conf)
 	}
 	return &Client{transport: transport}
 }
 
-func secureDialer(dial Dialer, conf func() *tls.Config) Dialer {
-	counted := countedDialer(dial)
+func tlsDialer(dial Dialer, conf func() *tls.Config) Dialer {
+	counted := countingDialer(dial)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := counted(ctx, network, address)
 		if err != nil {
@@ -96,7 +96,7 @@
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	resp, err = c.transport.RoundTrip(req)
 	if err != nil {
-		return nil, !use.unsent(), err
+		return nil, !use.sealIfUnsent(), err
 	}
 	return resp, true, nil
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func send(t *testing.T, c *upstream.Client, method, address, body, key string) (*http.Response, bool, error) {
 	t.Helper()
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			u := newRawUpstream(t, fine, "")
+			u := newRawUpstream(t, okResponse, "")
 			client := upstream.NewClient(nil)
 			defer client.Close()
 			resp, _, err := send(t, client, http.MethodGet, u.address, "", "")
@@ -109,7 +109,7 @@
 // Workers close idle connections at the very moment at which the next posting
 // is written. Whatever the client reports, a request that it calls unsent was
 // never read, and none is read twice.
-func TestSendOnClosingConnections(t *testing.T) {
+func TestSendWhileUpstreamClosesConnections(t *testing.T) {
 	g := NewWithT(t)
 	last := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Last: 1\r\n\r\nok"
 	u := newRawUpstream(t, last, "")
@@ -147,7 +147,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			u := newRawUpstream(t, fine)
+			u := newRawUpstream(t, okResponse)
 			client := upstream.NewClient(dial)
 			defer client.Close()
 			_, sent, err := send(t, client, http.MethodPost, u.address, "w", "")
@@ -160,10 +160,10 @@
 
 // An upstream redirects, or sends interim answers before the final one: the
 // caller gets the redirect itself, and the final answer alone.
-func TestSendPassesRedirectsAndSkipsInterimAnswers(t *testing.T) {
+func TestSendReturnsRedirectsAndSkipsInterimResponses(t *testing.T) {
 	g := NewWithT(t)
 	u := newRawUpstream(t,
-		"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"+fine,
+		"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"+okResponse,
 		"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n")
 	client := upstream.NewClient(nil)
 	defer client.Close()
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -46,21 +46,21 @@
 		p := h.pool(u.Service)
 		w := p.find(name)
 		if w == nil {
-			w = newWorker(name, u)
-			p.workers = append(p.workers, w)
+			w = newUpstreamState(name, u)
+			p.upstreams = append(p.upstreams, w)
 			if shared {
 				w.takeover = NewTakeover(now)
 			}
 		}
-		w.adopt(u, planOf(c, name), now)
+		w.configure(u, plannedDrain(c, name), now)
 	}
 	for service, p := range h.pools {
-		p.release(service, mine)
-		if len(p.workers) == 0 && p.idle() {
+		p.removeUnassigned(service, mine)
+		if len(p.upstreams) == 0 && p.idle() {
 			delete(h.pools, service)
 			continue
 		}
-		h.serve(p, now)
+		h.dispatch(p, now)
 	}
 }
 
@@ -73,25 +73,25 @@
 	return p
 }
 
-func (p *pool) find(name string) *worker {
-	i := slices.IndexFunc(p.workers, func(w *worker) bool { return w.name == name })
+func (p *pool) find(name string) *upstreamState {
+	i := slices.IndexFunc(p.upstreams, func(w *upstreamState) bool { return w.name == name })
 	if i < 0 {
 		return nil
 	}
-	return p.workers[i]
+	return p.upstreams[i]
 }
 
 // adopt takes an upstream's settings over.
-func (w *worker) adopt(u config.Upstream, plan drain, now time.Time) {
+func (w *upstreamState) configure(u config.Upstream, plan drain, now time.Time) {
 	w.Upstream, w.released = u, false
 	w.limit.SetSlots(u.Slots)
-	w.drain.set(plan, w.running, now)
+	w.drain.apply(plan, w.running, now)
 }
 
 // release takes upstreams out that are no longer this daemon's, each once
 // nothing runs on it: until then its requests count if it is assigned again.
-func (p *pool) release(service string, mine map[string]config.Upstream) {
-	p.workers = slices.DeleteFunc(p.workers, func(w *worker) bool {
+func (p *pool) removeUnassigned(service string, mine map[string]config.Upstream) {
+	p.upstreams = slices.DeleteFunc(p.upstreams, func(w *upstreamState) bool {
 		u, kept := mine[w.name]
 		w.released = !kept || u.Service != service
 		return w.released && w.running == 0
@@ -100,7 +100,7 @@
 
 // Acquire waits for room and returns a ticket, or the refusal.
 func (h *Handler) Acquire(ctx context.Context, r Request) (*Ticket, *wire.Problem) {
-	t, problem := h.enter(r, time.Now())
+	t, problem := h.enqueue(r, time.Now())
 	if problem != nil || t.ready == nil {
 		return t, problem
 	}
@@ -108,45 +108,45 @@
 	case <-t.ready:
 	case <-ctx.Done():
 	}
-	return h.leave(t, time.Now())
+	return h.endWait(t, time.Now())
 }
 
 // enter queues a request and starts it if it can start now.
-func (h *Handler) enter(r Request, now time.Time) (*Ticket, *wire.Problem) {
+func (h *Handler) enqueue(r Request, now time.Time) (*Ticket, *wire.Problem) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.pools[r.Service]
-	if p == nil || !slices.ContainsFunc(p.workers, func(w *worker) bool { return w.takesWork(now) }) {
+	if p == nil || !slices.ContainsFunc(p.upstreams, func(w *upstreamState) bool { return w.acceptsRequests(now) }) {
 		return nil, wire.Refuse(wire.TypeNoRoom, "no upstream of this service is handled here", 0)
 	}
 	t := newTicket(h, p, r, h.config.Customers[r.Customer].Weight)
-	if refusal := p.offer(t, now); refusal != nil {
-		return nil, refused(refusal)
+	if refusal := p.enqueue(t, now); refusal != nil {
+		return nil, refusalProblem(refusal)
 	}
-	h.serve(p, now)
-	if t.late {
+	h.dispatch(p, now)
+	if t.expired {
 		return nil, lateProblem(p, t, now)
 	}
-	if t.worker == nil {
+	if t.upstream == nil {
 		t.ready = make(chan struct{})
 	}
 	return t, nil
 }
 
 // leave ends the wait of a request: it starts, was dropped, or gave up.
-func (h *Handler) leave(t *Ticket, now time.Time) (*Ticket, *wire.Problem) {
+func (h *Handler) endWait(t *Ticket, now time.Time) (*Ticket, *wire.Problem) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case t.worker != nil:
+	case t.upstream != nil:
 		return t, nil
-	case !t.late:
+	case !t.expired:
 		t.pool.queue.Remove(&t.item, now)
 	}
 	return nil, lateProblem(t.pool, t, now)
 }
 
-func refused(r *fairqueue.Refusal) *wire.Problem {
+func refusalProblem(r *fairqueue.Refusal) *wire.Problem {
 	if r.Reason == fairqueue.ReasonDeadline {
 		return wire.Refuse(wire.TypeDeadline, r.Reason.String(), 0)
 	}
@@ -158,14 +158,14 @@
 }
 
 // serve starts what can start. The caller holds the mutex.
-func (h *Handler) serve(p *pool, now time.Time) {
-	p.serve(now, func(t *Ticket) { t.wake() }, func(t *Ticket) {
-		t.late = true
-		t.wake()
+func (h *Handler) dispatch(p *pool, now time.Time) {
+	p.dispatch(now, func(t *Ticket) { t.signalReady() }, func(t *Ticket) {
+		t.expired = true
+		t.signalReady()
 	})
 }
 
-func (t *Ticket) wake() {
+func (t *Ticket) signalReady() {
 	if t.ready != nil {
 		close(t.ready)
 	}
@@ -175,7 +175,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t.pool.done(t, r, now)
-	h.serve(t.pool, now)
+	h.dispatch(t.pool, now)
 }
 
 // Headroom returns the room of each service handled here: Limit counts the
@@ -197,14 +197,14 @@
 func (p *pool) headroom(now time.Time) (membership.Headroom, bool) {
 	room := membership.Headroom{Queued: p.queue.Len()}
 	serves := false
-	for _, w := range p.workers {
-		serves = serves || w.takesWork(now)
-		if w.free(now) == 0 && w.health.condition != healthy {
+	for _, w := range p.upstreams {
+		serves = serves || w.acceptsRequests(now)
+		if w.freeSlots(now) == 0 && w.health.condition != healthy {
 			continue
 		}
-		if w.takesWork(now) {
-			room.Limit += w.advertised(now, w.room(now))
-			room.Free += w.advertised(now, w.free(now))
+		if w.acceptsRequests(now) {
+			room.Limit += w.advertisedSlots(now, w.slotLimit(now))
+			room.Free += w.advertisedSlots(now, w.freeSlots(now))
 		}
 	}
 	room.Free = max(room.Free-room.Queued, 0)
@@ -214,11 +214,11 @@
 // advertised is what others are told of n slots: less while the upstream
 // warms up or drains, so that a move does not fill it with cold caches, but
 // never nothing, or it would stay cold.
-func (w *worker) advertised(now time.Time, n int) int {
+func (w *upstreamState) advertisedSlots(now time.Time, n int) int {
 	if n == 0 {
 		return 0
 	}
-	return int(math.Ceil(float64(n) * w.part(now)))
+	return int(math.Ceil(float64(n) * w.trafficFraction(now)))
 }
 
 // DrainStatus is the progress of the drain of one upstream.
@@ -236,9 +236,9 @@
 	defer h.mu.Unlock()
 	var out []DrainStatus
 	for _, p := range h.pools {
-		for _, w := range p.workers {
+		for _, w := range p.upstreams {
 			if w.drain.active {
-				out = append(out, w.draining())
+				out = append(out, w.drainStatus())
 			}
 		}
 	}
@@ -246,10 +246,10 @@
 	return out
 }
 
-func (w *worker) draining() DrainStatus {
+func (w *upstreamState) drainStatus() DrainStatus {
 	d := DrainStatus{Upstream: w.name, Running: w.running, EmptyAfterMs: -1}
-	if !w.drain.emptied.IsZero() {
-		d.EmptyAfterMs = w.drain.emptied.Sub(w.drain.began).Milliseconds()
+	if !w.drain.emptiedAt.IsZero() {
+		d.EmptyAfterMs = w.drain.emptiedAt.Sub(w.drain.startedAt).Milliseconds()
 	}
 	return d
 }
--- a/internal/upstream/handler_test.go
+++ b/internal/upstream/handler_test.go
@@ -16,7 +16,7 @@
 	return &config.Config{Services: map[string]config.Service{"lookup": {ExpectedMs: 5}}, Drains: drains}
 }
 
-func workers(names ...string) map[string]config.Upstream {
+func lookupUpstreams(names ...string) map[string]config.Upstream {
 	mine := map[string]config.Upstream{}
 	for _, name := range names {
 		mine[name] = config.Upstream{Service: "lookup", Slots: 2, Address: name}
@@ -24,14 +24,14 @@
 	return mine
 }
 
-func lookup(customer string) Request {
+func lookupRequest(customer string) Request {
 	return Request{Service: "lookup", Customer: customer, Deadline: time.Now().Add(time.Minute), Safe: true}
 }
 
 func acquire(g *WithT, h *Handler) *Ticket {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	t, problem := h.Acquire(ctx, lookup("a"))
+	t, problem := h.Acquire(ctx, lookupRequest("a"))
 	g.Expect(problem).To(BeNil())
 	return t
 }
@@ -43,15 +43,15 @@
 	g := NewWithT(t)
 	h := NewHandler()
 	c := lookupConfig(nil)
-	h.Assign(c, workers("u1"), false)
+	h.Assign(c, lookupUpstreams("u1"), false)
 	one, two := acquire(g, h), acquire(g, h)
 	h.Assign(c, nil, false)
 	g.Expect(h.Headroom()).To(BeEmpty())
-	h.Assign(c, workers("u1"), false)
+	h.Assign(c, lookupUpstreams("u1"), false)
 	g.Expect(h.Headroom()["lookup"].Free).To(BeZero())
 	one.Done(Result{Took: time.Millisecond})
 	two.Done(Result{Took: time.Millisecond})
-	g.Expect(h.pools["lookup"].workers[0].running).To(BeZero())
+	g.Expect(h.pools["lookup"].upstreams[0].running).To(BeZero())
 }
 
 // A daemon joins under full load and gets an upstream on which the earlier
@@ -60,26 +60,26 @@
 func TestTakenOverUpstreamStartsWithOneSlot(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1"), true)
-	w := h.pools["lookup"].workers[0]
-	g.Expect(w.room(w.takeover.began)).To(Equal(1))
-	g.Expect(w.room(w.takeover.began.Add(TakeoverBound))).To(Equal(2))
-	h.Assign(lookupConfig(nil), workers("u1"), true)
-	g.Expect(h.pools["lookup"].workers[0]).To(BeIdenticalTo(w), "it does not begin again")
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), true)
+	w := h.pools["lookup"].upstreams[0]
+	g.Expect(w.slotLimit(w.takeover.startedAt)).To(Equal(1))
+	g.Expect(w.slotLimit(w.takeover.startedAt.Add(MaxTakeoverDuration))).To(Equal(2))
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), true)
+	g.Expect(h.pools["lookup"].upstreams[0]).To(BeIdenticalTo(w), "it does not begin again")
 }
 
 // An operator drains an upstream. It must get nothing new from then on, what
 // runs finishes, and the time until it was empty is told.
-func TestDrainedUpstreamGetsNothingNew(t *testing.T) {
+func TestDrainedUpstreamReceivesNoNewRequests(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1", "u2"), false)
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1", "u2"), false)
 	var running []*Ticket
 	for range 4 {
 		running = append(running, acquire(g, h))
 	}
 	drains := map[string]config.Drain{"d": {Kind: config.DrainUpstream, Target: "u1"}}
-	h.Assign(lookupConfig(drains), workers("u1", "u2"), false)
+	h.Assign(lookupConfig(drains), lookupUpstreams("u1", "u2"), false)
 	g.Expect(h.Drains()).To(ConsistOf(DrainStatus{Upstream: "u1", Running: 2, EmptyAfterMs: -1}))
 	for _, t := range running {
 		t.Done(Result{Took: time.Millisecond})
@@ -92,15 +92,15 @@
 
 // A waiting request's caller goes away in the moment when room is granted, or
 // before. The room must not be lost.
-func TestAbandonedWaitLosesNoRoom(t *testing.T) {
+func TestCanceledWaitDoesNotLeakSlots(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1"), false)
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), false)
 	one, two := acquire(g, h), acquire(g, h)
 	ctx, cancel := context.WithCancel(context.Background())
 	refusals := make(chan *wire.Problem)
 	go func() {
-		_, problem := h.Acquire(ctx, lookup("b"))
+		_, problem := h.Acquire(ctx, lookupRequest("b"))
 		refusals <- problem
 	}()
 	g.Eventually(func() int { return h.Headroom()["lookup"].Queued }).Should(Equal(1))
@@ -118,12 +118,12 @@
 func TestWaitingRequestStarts(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1"), false)
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), false)
 	one := acquire(g, h)
 	acquire(g, h)
 	started := make(chan *Ticket)
 	go func() {
-		t, _ := h.Acquire(context.Background(), lookup("b"))
+		t, _ := h.Acquire(context.Background(), lookupRequest("b"))
 		started <- t
 	}()
 	g.Eventually(func() int { return h.Headroom()["lookup"].Queued }).Should(Equal(1))
@@ -133,19 +133,19 @@
 
 // Every upstream fails: ejecting them all would refuse everything, although
 // the cause may be a customer's requests. Half stay.
-func TestNeverAllAreEjected(t *testing.T) {
+func TestEjectionIsLimitedToHalfOfTheUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1", "u2", "u3", "u4"), false)
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1", "u2", "u3", "u4"), false)
 	for range 100 {
 		acquire(g, h).Done(Result{Failed: true, Took: time.Millisecond})
 	}
-	g.Expect(h.pools["lookup"].limit(time.Now())).To(BeNumerically(">=", 4))
+	g.Expect(h.pools["lookup"].slotLimit(time.Now())).To(BeNumerically(">=", 4))
 }
 
 // A worker has two slots where the configuration says four: it sheds. The
 // limit must settle at two, with one more tried ever more rarely.
-func TestLimitSettlesBelowSheds(t *testing.T) {
+func TestLimitSettlesAtTrueSlots(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLimit(4)
 	now := time.Unix(0, 0)
@@ -155,10 +155,10 @@
 		tries++
 		if l.Value() > 2 {
 			sheds++
-			l.Cut(3, now)
+			l.Decrease(3, now)
 			continue
 		}
-		l.Grow(now)
+		l.Increase(now)
 	}
 	g.Expect(l.Value()).To(Equal(2))
 	g.Expect(float64(sheds) / float64(tries)).To(BeNumerically("<", 0.001))
@@ -171,9 +171,9 @@
 	for n := range 1000 {
 		now = now.Add(time.Second)
 		if n%7 == 0 {
-			l.Cut(n%5, now)
+			l.Decrease(n%5, now)
 		}
-		l.Grow(now)
+		l.Increase(now)
 		g.Expect(l.Value()).To(And(BeNumerically(">=", 1), BeNumerically("<=", 3)))
 	}
 	l.SetSlots(1)
@@ -184,9 +184,9 @@
 	h := NewHandler()
 	c := lookupConfig(nil)
 	c.Customers = map[string]config.Customer{"a": {Weight: 1}}
-	h.Assign(c, workers("u1", "u2", "u3", "u4"), false)
+	h.Assign(c, lookupUpstreams("u1", "u2", "u3", "u4"), false)
 	ctx := context.Background()
-	r := lookup("a")
+	r := lookupRequest("a")
 	b.ReportAllocs()
 	for b.Loop() {
 		t, problem := h.Acquire(ctx, r)
@@ -203,9 +203,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		l.Cut(3, now)
-		l.Grow(now)
-		h.Succeeded(1)
-		h.Trust(now)
+		l.Decrease(3, now)
+		l.Increase(now)
+		h.RecordResponse(1)
+		h.Weight(now)
 	}
 }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -6,15 +6,15 @@
 const (
 	// failureRate is the weight of one result in the share of failures: four
 	// failures in a row, or half of the last ten, eject.
-	failureRate  = 0.2
-	failureLimit = 0.5
+	failureSampleWeight = 0.2
+	maxFailureRatio     = 0.5
 	// slownessRate is the weight of one result in the slowness. At the limit,
 	// a worker ten times slower is recognised after about ten answers.
-	slownessRate = 0.1
+	slownessSampleWeight = 0.1
 	// slownessLimit lies between a cold cache (4x) and a sick worker (10x).
-	slownessLimit = 6.5
+	maxSlowness = 6.5
 	// slowByChance is more than the average of some ten service times varies by.
-	slowByChance = 2
+	slownessNoise = 2
 	// minResults are needed before an upstream is judged.
 	minResults = 5
 )
@@ -24,31 +24,31 @@
 	firstEjection = time.Second
 	maxEjection   = 32 * time.Second
 	// goodTrials in a row return an upstream to use.
-	goodTrials = 3
+	requiredTrials = 3
 	// forgiveAfter without ejection, the next one is short again.
-	forgiveAfter = time.Minute
+	ejectionResetAfter = time.Minute
 	// maxEjectedPart bounds the ejected part of a service's upstreams here.
 	// Where more look sick the cause is likely elsewhere (a customer's
 	// requests, the network), and the rest would be overloaded. A sole
 	// upstream is never ejected.
-	maxEjectedPart = 0.5
+	maxEjectedFraction = 0.5
 )
 
 // Warming up.
 const (
 	// coldTrust is the trust in an upstream that has answered nothing yet: a
 	// cold cache makes the first requests four times slower.
-	coldTrust = 0.25
+	slowStartWeight = 0.25
 	// warmResults is how many answers it takes to full trust.
-	warmResults = 64
+	slowStartResults = 64
 )
 
 // hintTrust is the trust left while the health or load endpoint complains,
 // hintTime how long a complaint counts. Endpoints lag and mislead: they may
 // lower an upstream's part of the traffic, never raise it and never eject.
 const (
-	hintTrust = 0.5
-	hintTime  = 5 * time.Second
+	warningWeight   = 0.5
+	warningDuration = 5 * time.Second
 )
 
 // condition of an upstream.
@@ -68,56 +68,56 @@
 // loaded and draws nearly all traffic. Both are ejected by their results, and
 // come back over trials. Without it: docs/UNDER-LOAD.md.
 type Health struct {
-	condition  condition
-	failures   float64
-	slowness   float64
-	results    int
-	until      time.Time
-	ejection   time.Duration
-	ejectedAt  time.Time
-	good       int
-	hintsUntil time.Time
+	condition    condition
+	failureRatio float64
+	slowness     float64
+	results      int
+	ejectedUntil time.Time
+	nextEjection time.Duration
+	ejectedAt    time.Time
+	passedTrials int
+	warnedUntil  time.Time
 	// cleared: since the ejection a probe was answered.
-	cleared bool
+	probePassed bool
 }
 
 // NewHealth returns the health of an upstream of which nothing is known.
-func NewHealth() *Health { return &Health{slowness: 1, ejection: firstEjection} }
+func NewHealth() *Health { return &Health{slowness: 1, nextEjection: firstEjection} }
 
 // Succeeded notes an answer that took slowness times what was expected.
-func (h *Health) Succeeded(slowness float64) {
+func (h *Health) RecordResponse(slowness float64) {
 	h.results++
-	h.failures -= failureRate * h.failures
-	h.slowness += slownessRate * (slowness - h.slowness)
+	h.failureRatio -= failureSampleWeight * h.failureRatio
+	h.slowness += slownessSampleWeight * (slowness - h.slowness)
 }
 
 // Failed notes a failure.
-func (h *Health) Failed() {
+func (h *Health) RecordFailure() {
 	h.results++
-	h.failures += failureRate * (1 - h.failures)
+	h.failureRatio += failureSampleWeight * (1 - h.failureRatio)
 }
 
 // Sick tells whether the upstream's results are so much worse than its peers'
 // that it should be ejected. peerSlowness and peerFailures are theirs.
-func (h *Health) Sick(peerSlowness, peerFailures float64) bool {
+func (h *Health) ShouldEject(peerSlowness, peerFailures float64) bool {
 	if h.results < minResults {
 		return false
 	}
-	failing := h.failures > failureLimit && h.failures > 2*peerFailures
-	return failing || h.slowness > slownessLimit*max(peerSlowness, 1)
+	failing := h.failureRatio > maxFailureRatio && h.failureRatio > 2*peerFailures
+	return failing || h.slowness > maxSlowness*max(peerSlowness, 1)
 }
 
 // Eject takes the upstream out of use for a while, twice as long each time.
 func (h *Health) Eject(now time.Time) {
-	if now.Sub(h.ejectedAt) > forgiveAfter+h.ejection {
-		h.ejection = firstEjection
+	if now.Sub(h.ejectedAt) > ejectionResetAfter+h.nextEjection {
+		h.nextEjection = firstEjection
 	}
 	h.condition = ejected
 	h.ejectedAt = now
-	h.until = now.Add(h.ejection)
-	h.ejection = min(2*h.ejection, maxEjection)
-	h.good = 0
-	h.cleared = false
+	h.ejectedUntil = now.Add(h.nextEjection)
+	h.nextEjection = min(2*h.nextEjection, maxEjection)
+	h.passedTrials = 0
+	h.probePassed = false
 }
 
 // TrialDue tells whether the upstream is to be tried now, and moves it to
@@ -125,37 +125,37 @@
 // elsewhere (safe is false) is risked only where a probe was answered:
 // otherwise a service of postings would lose one at each trial.
 func (h *Health) TrialDue(safe bool, now time.Time) bool {
-	if h.condition == ejected && !now.Before(h.until) {
+	if h.condition == ejected && !now.Before(h.ejectedUntil) {
 		h.condition = onTrial
 	}
-	return h.condition == onTrial && (safe || h.cleared)
+	return h.condition == onTrial && (safe || h.probePassed)
 }
 
 // Tried notes how a trial went, and tells whether the upstream is back.
-func (h *Health) Tried(ok bool, slowness, peerSlowness float64, now time.Time) bool {
-	if !ok || slowness > slownessLimit*max(peerSlowness, 1) {
+func (h *Health) RecordTrial(ok bool, slowness, peerSlowness float64, now time.Time) bool {
+	if !ok || slowness > maxSlowness*max(peerSlowness, 1) {
 		h.Eject(now)
 		return false
 	}
-	h.good++
-	if h.good < goodTrials {
+	h.passedTrials++
+	if h.passedTrials < requiredTrials {
 		return false
 	}
 	h.condition = healthy
-	h.failures, h.slowness, h.results = 0, 1, 0
+	h.failureRatio, h.slowness, h.results = 0, 1, 0
 	return true
 }
 
 // Hint notes a complaint of the health or load endpoint.
-func (h *Health) Hint(now time.Time) { h.hintsUntil = now.Add(hintTime) }
+func (h *Health) RecordWarning(now time.Time) { h.warnedUntil = now.Add(warningDuration) }
 
 // Trust is the part of an equal share that the upstream should get while it
 // warms up or its endpoints complain, 0 to 1.
-func (h *Health) Trust(now time.Time) float64 {
-	warm := min(1, float64(h.results)/warmResults)
-	trust := coldTrust + (1-coldTrust)*warm
-	if now.Before(h.hintsUntil) {
-		trust *= hintTrust
+func (h *Health) Weight(now time.Time) float64 {
+	warm := min(1, float64(h.results)/slowStartResults)
+	trust := slowStartWeight + (1-slowStartWeight)*warm
+	if now.Before(h.warnedUntil) {
+		trust *= warningWeight
 	}
 	return trust
 }
@@ -164,7 +164,7 @@
 // difference may be chance: otherwise the one that was lucky last would get all
 // requests of a quiet hour, and the others' caches would go cold.
 func (h *Health) Slowness() float64 {
-	if h.slowness < slowByChance {
+	if h.slowness < slownessNoise {
 		return 1
 	}
 	return h.slowness
--- /dev/null
+++ b/internal/upstream/loadtables_test.go
@@ -0,0 +1,80 @@
+package upstream
+
+import (
+	"fmt"
+	"os"
+	"testing"
+	"time"
+)
+
+const seed = 20260
+
+// TestMeasureUnderLoad prints the tables of docs/UNDER-LOAD.md. It judges
+// nothing; underload_test.go does.
+func TestMeasureUnderLoad(t *testing.T) {
+	if os.Getenv("BALSAM_MEASURE") != "1" {
+		t.Skip("measures only with BALSAM_MEASURE=1")
+	}
+	for _, d := range []deployment{lookups, balances, postings} {
+		printHeading(d)
+		for _, c := range comparisons(d) {
+			printComparison(c.scenario, c.baseline)
+		}
+		printRetries(d, 0.05)
+		printRetries(d, 1)
+	}
+	printHeading(reports)
+	printComparison(reports.scenario("70% load", 0.7, 10*time.Minute), leastRunning)
+	printComparison(reports.hotCustomer(10*time.Minute), leastRunning)
+	printComparison(reports.overload(3, 10*time.Minute), leastRunning)
+}
+
+type comparison struct {
+	scenario scenario
+	baseline balancing
+}
+
+func comparisons(d deployment) []comparison {
+	const few = 10 * time.Second
+	return []comparison{
+		{d.scenario("70% load", 0.7, few), leastRunning},
+		{d.burst(few), leastRunning},
+		{d.hotCustomer(few), leastRunning},
+		{d.hotKey(few), leastRunning},
+		{d.slowUpstream(few), roundRobin},
+		{d.failingUpstream(few), leastRunning},
+		{d.sheddingUpstreams(few), leastRunning},
+		{d.falseLoadReports(few), leastReported},
+		{d.scenario("70% load, base without limit", 0.7, few), roundRobinUnlimited},
+		{d.lookupsAndReports(time.Minute, false), leastRunning},
+		{d.lookupsAndReports(time.Minute, true), leastRunning},
+		{d.overload(1.5, time.Minute), leastRunning},
+		{d.overload(3, time.Minute), leastRunning},
+		{d.overload(3, time.Minute), leastRunningUnbounded},
+		{d.coldCaches(few), leastRunning},
+	}
+}
+
+var baselineNames = map[balancing]string{
+	roundRobin: "FIFO, round robin", leastRunning: "FIFO, least running", leastReported: "FIFO, least reported",
+	roundRobinUnlimited: "round robin, no limit", leastRunningUnbounded: "FIFO without bound",
+}
+
+func printHeading(d deployment) {
+	fmt.Printf("\n### %s: %d upstreams in %d zones, %v each, budget %v, seed %d\n\n", d.name, d.machines, d.zones, d.meanTime, d.timeout, seed)
+	fmt.Println("| pattern | | goodput | p50 / p99 ms by kind | p99 ms within share | worst customer | worst other key | refused | too late | failed | share of the faulty |")
+	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|")
+}
+
+func printComparison(sc scenario, base balancing) {
+	fmt.Printf("| %s | %s | %s |\n", sc.name, baselineNames[base], simulate(sc, seed, newFIFODiscipline(base)))
+	fmt.Printf("| | now | %s |\n", simulate(sc, seed, newPoolDiscipline))
+}
+
+func printRetries(d deployment, comeBack float64) {
+	o := simulate(d.overloadThenHalfLoad(3, 10*time.Second, comeBack), seed, newPoolDiscipline)
+	median, most := o.retryAfterStats()
+	fmt.Printf("\nOverload 3x for 10 s, then half load, %.0f%% of the refused come back when told (median %v, most %v): "+
+		"%d after the overload, %.1f%% of them served.\n",
+		100*comeBack, median.Round(time.Millisecond), most.Round(time.Millisecond), o.returned, 100*fraction(o.returnedServed, o.returned))
+}
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -14,19 +14,19 @@
 // Times after which a refused caller may come back.
 const (
 	// defaultRetry is used where nothing better is known.
-	defaultRetry = time.Second
+	defaultRetryAfter = time.Second
 	// maxRetry bounds what an upstream may ask for.
-	maxRetry = time.Minute
+	maxRetryAfter = time.Minute
 )
 
 // failed tells what may be concluded where an upstream sent no answer.
-func failed(ctx context.Context, sent bool, err error) *wire.Problem {
+func sendProblem(ctx context.Context, sent bool, err error) *wire.Problem {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case !sent && ctx.Err() != nil:
-		return wire.Refuse(wire.TypeDeadline, "no connection before the deadline", defaultRetry)
+		return wire.Refuse(wire.TypeDeadline, "no connection before the deadline", defaultRetryAfter)
 	case !sent:
-		return wire.Refuse(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetry)
+		return wire.Refuse(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetryAfter)
 	case errors.As(err, &tooLarge):
 		return wire.Doubt(wire.TypeTooLarge, "the body is too large; an upstream has seen a part of it")
 	case ctx.Err() != nil:
@@ -37,13 +37,13 @@
 }
 
 // unusable returns the problem of an answer that is not passed on, or nil.
-func unusable(resp *http.Response) *wire.Problem {
+func responseProblem(resp *http.Response) *wire.Problem {
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
 		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream switched protocols unasked")
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		return shed(resp)
-	case unframed(resp):
+		return shedProblem(resp)
+	case endsAtClose(resp):
 		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream's answer has no length and no chunks")
 	}
 	return nil
@@ -52,7 +52,7 @@
 // unframed tells whether an answer ends where its connection does. An
 // upstream that dies in the middle closes its connection too, and a part of
 // the answer would pass for the whole.
-func unframed(resp *http.Response) bool {
+func endsAtClose(resp *http.Response) bool {
 	if resp.Request != nil && resp.Request.Method == http.MethodHead {
 		return false
 	}
@@ -61,7 +61,7 @@
 
 // shed is the problem of an upstream that answered 503. That proves nothing
 // about what it did with the request unless it declares so.
-func shed(resp *http.Response) *wire.Problem {
+func shedProblem(resp *http.Response) *wire.Problem {
 	p := wire.Refuse(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
 	if resp.Header.Get(wire.HeaderShed) != wire.ShedNotRun {
 		p.Outcome = wire.OutcomeMayHaveRun
@@ -72,7 +72,7 @@
 func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || seconds <= 0 {
-		return defaultRetry
+		return defaultRetryAfter
 	}
-	return min(time.Duration(seconds)*time.Second, maxRetry)
+	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,41 +13,41 @@
 // pool is the upstreams of one service at this handler and the queue before
 // them. It is pure: the time is an argument, and it starts nothing.
 type pool struct {
-	workers []*worker
-	queue   *fairqueue.Queue
+	upstreams []*upstreamState
+	queue     *fairqueue.Queue
 	// costs learns how long a slot is held, answers how long until an answer
 	// begins: a caller that reads slowly holds a slot but does not make the
 	// upstream slow.
-	costs   *fairqueue.Costs
-	answers *fairqueue.Costs
-	rng     *rand.Rand
+	slotTimes     *fairqueue.CostEstimator
+	responseTimes *fairqueue.CostEstimator
+	rng           *rand.Rand
 }
 
 func newPool(service config.Service, rng *rand.Rand) *pool {
 	expected := time.Duration(service.ExpectedMs * float64(time.Millisecond))
 	return &pool{
-		queue: fairqueue.New(), costs: fairqueue.NewCosts(expected),
-		answers: fairqueue.NewCosts(expected), rng: rng,
+		queue: fairqueue.New(), slotTimes: fairqueue.NewCostEstimator(expected),
+		responseTimes: fairqueue.NewCostEstimator(expected), rng: rng,
 	}
 }
 
 // offer queues a request, or refuses it at once.
-func (p *pool) offer(t *Ticket, now time.Time) *fairqueue.Refusal {
-	t.item.Cost, t.item.Class = p.costs.Estimate(t.kind)
-	if p.answers.Known(t.kind) {
-		t.expected, _ = p.answers.Estimate(t.kind)
+func (p *pool) enqueue(t *Ticket, now time.Time) *fairqueue.Refusal {
+	t.item.Cost, t.item.Class = p.slotTimes.Estimate(t.kind)
+	if p.responseTimes.HasEnoughSamples(t.kind) {
+		t.expectedResponseTime, _ = p.responseTimes.Estimate(t.kind)
 	}
-	p.queue.SetRoom(p.limit(now))
+	p.queue.SetSlots(p.slotLimit(now))
 	return p.queue.Push(&t.item, now)
 }
 
 // serve starts waiting requests while there is room. granted is told of each
 // that starts, late of each that left the queue because it could not be done
 // in time.
-func (p *pool) serve(now time.Time, granted, late func(*Ticket)) {
-	p.queue.SetRoom(p.limit(now))
+func (p *pool) dispatch(now time.Time, granted, late func(*Ticket)) {
+	p.queue.SetSlots(p.slotLimit(now))
 	drop := func(it *fairqueue.Item) { late(it.Value.(*Ticket)) }
-	for p.queue.Len() > 0 && p.free(now) > 0 {
+	for p.queue.Len() > 0 && p.freeSlots(now) > 0 {
 		it := p.queue.Pop(now, drop)
 		if it == nil {
 			return
@@ -59,11 +59,11 @@
 }
 
 // lastResort is more than any load.
-const lastResort = 1e6
+const lastResortLoad = 1e6
 
-func (p *pool) start(t *Ticket, w *worker) {
+func (p *pool) start(t *Ticket, w *upstreamState) {
 	w.running++
-	t.worker = w
+	t.upstream = w
 	t.Upstream, t.Address = w.name, w.Address
 	t.trial = w.health.condition == onTrial
 }
@@ -74,21 +74,21 @@
 // reports, so two random choices would only be worse. One that warms up, drains
 // or has a complaint against it is considered in the part of the choices that
 // it should get, else only where no other is free. An upstream on trial comes first, one that an earlier attempt failed on comes last.
-func (p *pool) pick(t *Ticket, now time.Time) *worker {
-	var best *worker
+func (p *pool) pick(t *Ticket, now time.Time) *upstreamState {
+	var best *upstreamState
 	bestLoad := math.Inf(1)
-	offset := p.rng.IntN(len(p.workers))
-	for i := range p.workers {
-		w := p.workers[(i+offset)%len(p.workers)]
-		if w.running == 0 && w.takesWork(now) && w.health.TrialDue(t.safe, now) && w.name != t.avoid {
+	offset := p.rng.IntN(len(p.upstreams))
+	for i := range p.upstreams {
+		w := p.upstreams[(i+offset)%len(p.upstreams)]
+		if w.running == 0 && w.acceptsRequests(now) && w.health.TrialDue(t.safe, now) && w.name != t.avoid {
 			return w
 		}
-		if w.free(now) == 0 {
+		if w.freeSlots(now) == 0 {
 			continue
 		}
 		load := w.load(now)
-		if part := w.part(now); part < 1 && p.rng.Float64() >= part {
-			load += lastResort
+		if part := w.trafficFraction(now); part < 1 && p.rng.Float64() >= part {
+			load += lastResortLoad
 		}
 		if w.name == t.avoid {
 			load = math.MaxFloat64
@@ -102,58 +102,58 @@
 
 // done takes a result in.
 func (p *pool) done(t *Ticket, r Result, now time.Time) {
-	w := t.worker
-	p.judge(t, r, now)
+	w := t.upstream
+	p.recordResult(t, r, now)
 	w.running--
-	w.drain.note(w.running, now)
+	w.drain.recordRunning(w.running, now)
 	p.queue.Done(&t.item, r.Took, now)
 }
 
-func (p *pool) judge(t *Ticket, r Result, now time.Time) {
-	w := t.worker
+func (p *pool) recordResult(t *Ticket, r Result, now time.Time) {
+	w := t.upstream
 	switch r.kind() {
 	case resultUnsent:
 	case resultShed:
-		w.limit.Cut(w.running, now)
-		p.tried(t, false, 0, now)
+		w.limit.Decrease(w.running, now)
+		p.recordTrial(t, false, 0, now)
 	case resultFailed:
-		w.health.Failed()
-		p.tried(t, false, 0, now)
-		p.review(w, now)
+		w.health.RecordFailure()
+		p.recordTrial(t, false, 0, now)
+		p.ejectIfUnhealthy(w, now)
 	case resultAbandoned:
-		p.abandoned(t, r, now)
-	case resultAnswered:
-		p.answered(t, r, now)
+		p.recordAbandoned(t, r, now)
+	case resultResponded:
+		p.recordResponse(t, r, now)
 	}
 }
 
-func (p *pool) answered(t *Ticket, r Result, now time.Time) {
-	w := t.worker
-	slowness := slownessOf(r, t.expected)
-	w.health.Succeeded(slowness)
-	w.probe.answered = now
+func (p *pool) recordResponse(t *Ticket, r Result, now time.Time) {
+	w := t.upstream
+	slowness := slownessOf(r, t.expectedResponseTime)
+	w.health.RecordResponse(slowness)
+	w.probe.lastResponse = now
 	if w.health.condition == healthy {
-		p.costs.Learn(t.kind, r.Took)
-		p.answers.Learn(t.kind, r.answer())
+		p.slotTimes.Record(t.kind, r.Took)
+		p.responseTimes.Record(t.kind, r.responseTime())
 	}
 	if w.running >= w.limit.Value() {
-		w.limit.Grow(now)
+		w.limit.Increase(now)
 	}
-	p.tried(t, true, slowness, now)
-	p.review(w, now)
+	p.recordTrial(t, true, slowness, now)
+	p.ejectIfUnhealthy(w, now)
 }
 
 // abandoned: the caller gave up. An answer that had not come after many times
 // the expected time counts as slow; one that had not been given the time
 // says nothing.
-func (p *pool) abandoned(t *Ticket, r Result, now time.Time) {
-	slowness := slownessOf(r, t.expected)
-	if slowness < slownessLimit {
+func (p *pool) recordAbandoned(t *Ticket, r Result, now time.Time) {
+	slowness := slownessOf(r, t.expectedResponseTime)
+	if slowness < maxSlowness {
 		return
 	}
-	t.worker.health.Succeeded(slowness)
-	p.tried(t, false, slowness, now)
-	p.review(t.worker, now)
+	t.upstream.health.RecordResponse(slowness)
+	p.recordTrial(t, false, slowness, now)
+	p.ejectIfUnhealthy(t.upstream, now)
 }
 
 // slownessOf compares with what is usual for the kind of work; 1 if nothing is.
@@ -161,37 +161,37 @@
 	if expected <= 0 {
 		return 1
 	}
-	return float64(r.answer()) / float64(expected)
+	return float64(r.responseTime()) / float64(expected)
 }
 
 // tried settles a trial.
-func (p *pool) tried(t *Ticket, ok bool, slowness float64, now time.Time) {
-	w := t.worker
+func (p *pool) recordTrial(t *Ticket, ok bool, slowness float64, now time.Time) {
+	w := t.upstream
 	if !t.trial || w.health.condition != onTrial {
 		return
 	}
-	slow, _ := p.peers(w, now)
-	if w.health.Tried(ok, slowness, slow, now) {
-		w.limit.Restart(now)
+	slow, _ := p.peerAverages(w, now)
+	if w.health.RecordTrial(ok, slowness, slow, now) {
+		w.limit.Reset(now)
 	}
 }
 
 // review ejects an upstream that is sick beside its peers, within the bound.
-func (p *pool) review(w *worker, now time.Time) {
+func (p *pool) ejectIfUnhealthy(w *upstreamState, now time.Time) {
 	h := w.health
-	if h.condition != healthy || (h.failures <= failureLimit && h.slowness <= slownessLimit) {
+	if h.condition != healthy || (h.failureRatio <= maxFailureRatio && h.slowness <= maxSlowness) {
 		return
 	}
-	slow, failing := p.peers(w, now)
-	if h.Sick(slow, failing) && p.mayEject(now) {
+	slow, failing := p.peerAverages(w, now)
+	if h.ShouldEject(slow, failing) && p.mayEject(now) {
 		h.Eject(now)
 	}
 }
 
 func (p *pool) mayEject(now time.Time) bool {
 	out, all := 0, 0
-	for _, w := range p.workers {
-		if !w.takesWork(now) {
+	for _, w := range p.upstreams {
+		if !w.acceptsRequests(now) {
 			continue
 		}
 		all++
@@ -199,19 +199,19 @@
 			out++
 		}
 	}
-	return float64(out+1) <= maxEjectedPart*float64(all)
+	return float64(out+1) <= maxEjectedFraction*float64(all)
 }
 
 // peers returns the median slowness and the mean failures of the other
 // upstreams in use.
-func (p *pool) peers(self *worker, now time.Time) (slowness, failures float64) {
+func (p *pool) peerAverages(self *upstreamState, now time.Time) (slowness, failures float64) {
 	var slow []float64
-	for _, w := range p.workers {
-		if w == self || !w.takesWork(now) || w.health.condition != healthy {
+	for _, w := range p.upstreams {
+		if w == self || !w.acceptsRequests(now) || w.health.condition != healthy {
 			continue
 		}
 		slow = append(slow, w.health.slowness)
-		failures += w.health.failures
+		failures += w.health.failureRatio
 	}
 	if len(slow) == 0 {
 		return 1, 0
@@ -221,26 +221,26 @@
 }
 
 // limit is how many requests the pool may run at once, trials left aside.
-func (p *pool) limit(now time.Time) int {
+func (p *pool) slotLimit(now time.Time) int {
 	sum := 0
-	for _, w := range p.workers {
-		if w.takesWork(now) && w.health.condition == healthy {
-			sum += w.room(now)
+	for _, w := range p.upstreams {
+		if w.acceptsRequests(now) && w.health.condition == healthy {
+			sum += w.slotLimit(now)
 		}
 	}
 	return sum
 }
 
 // free is how many more it may start.
-func (p *pool) free(now time.Time) int {
+func (p *pool) freeSlots(now time.Time) int {
 	sum := 0
-	for _, w := range p.workers {
-		sum += w.free(now)
+	for _, w := range p.upstreams {
+		sum += w.freeSlots(now)
 	}
 	return sum
 }
 
 // idle tells whether nothing here waits or runs.
 func (p *pool) idle() bool {
-	return p.queue.Len() == 0 && !slices.ContainsFunc(p.workers, func(w *worker) bool { return w.running > 0 })
+	return p.queue.Len() == 0 && !slices.ContainsFunc(p.upstreams, func(w *upstreamState) bool { return w.running > 0 })
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -20,11 +20,11 @@
 	// probeEvery is the time between two probes of one upstream: 6 ms in 2 s
 	// is 0.3% of one worker's time and leaves room under 1% for seven new
 	// connections a second; with connections kept open there are next to none.
-	probeEvery = 2 * time.Second
+	probeInterval = 2 * time.Second
 	// quietAfter without an answer, an upstream is probed.
-	quietAfter = 10 * time.Second
+	maxResponseAge = 10 * time.Second
 	// probeTick is how often due probes are looked for.
-	probeTick = 500 * time.Millisecond
+	probeCheckInterval = 500 * time.Millisecond
 	// probeTimeout is short against probeEvery, so that probes never overlap.
 	probeTimeout = time.Second
 )
@@ -38,24 +38,24 @@
 	// loadComplaint is a reported load that counts as a complaint where this
 	// handler, which is the only one to send it work, uses less than half of
 	// its slots. A report lags and may lie: see hintTrust.
-	loadComplaint = 0.9
+	warningLoad = 0.9
 )
 
 // probe is the plan of one upstream's probes, and what they cost it.
-type probe struct {
-	next     time.Time
-	answered time.Time
+type probeSchedule struct {
+	nextAt       time.Time
+	lastResponse time.Time
 	// probes counts what the upstream paid for.
-	probes int
+	sent int
 }
 
 // due tells whether to probe now, and plans the next one.
-func (p *probe) due(usable bool, now time.Time) bool {
-	if now.Before(p.next) || usable && now.Sub(p.answered) < quietAfter {
+func (p *probeSchedule) due(usable bool, now time.Time) bool {
+	if now.Before(p.nextAt) || usable && now.Sub(p.lastResponse) < maxResponseAge {
 		return false
 	}
-	p.next = now.Add(probeEvery)
-	p.probes++
+	p.nextAt = now.Add(probeInterval)
+	p.sent++
 	return true
 }
 
@@ -72,8 +72,8 @@
 	defer h.mu.Unlock()
 	var due []ProbeTarget
 	for service, p := range h.pools {
-		for _, w := range p.workers {
-			if w.takesWork(now) && w.probe.due(w.health.condition == healthy, now) {
+		for _, w := range p.upstreams {
+			if w.acceptsRequests(now) && w.probe.due(w.health.condition == healthy, now) {
 				due = append(due, ProbeTarget{Service: service, Upstream: w.name, Address: w.Address})
 			}
 		}
@@ -90,29 +90,29 @@
 }
 
 // Probed notes a probe's result.
-func (h *Handler) Probed(target ProbeTarget, r ProbeResult, now time.Time) {
+func (h *Handler) RecordProbe(target ProbeTarget, r ProbeResult, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.pools[target.Service]
 	if p == nil {
 		return
 	}
-	for _, w := range p.workers {
+	for _, w := range p.upstreams {
 		if w.name == target.Upstream {
-			w.probed(r, now)
+			w.recordProbe(r, now)
 		}
 	}
 }
 
-func (w *worker) probed(r ProbeResult, now time.Time) {
-	full := r.Load >= loadComplaint && 2*w.running < w.limit.Value()
+func (w *upstreamState) recordProbe(r ProbeResult, now time.Time) {
+	full := r.Load >= warningLoad && 2*w.running < w.limit.Value()
 	if !r.OK || full {
-		w.health.Hint(now)
+		w.health.RecordWarning(now)
 	}
 	if w.health.condition == healthy {
 		return
 	}
-	w.health.cleared = r.OK
+	w.health.probePassed = r.OK
 }
 
 // Prober probes the upstreams that a daemon handles.
@@ -123,7 +123,7 @@
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	ticker := time.NewTicker(probeTick)
+	ticker := time.NewTicker(probeCheckInterval)
 	defer ticker.Stop()
 	var probes sync.WaitGroup
 	defer probes.Wait()
@@ -133,7 +133,7 @@
 			return
 		case now := <-ticker.C:
 			for _, target := range p.Handler.DueProbes(now) {
-				probes.Go(func() { p.Handler.Probed(target, p.probe(ctx, target.Address), time.Now()) })
+				probes.Go(func() { p.Handler.RecordProbe(target, p.probe(ctx, target.Address), time.Now()) })
 			}
 		}
 	}
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -17,13 +17,13 @@
 func TestProbesCostLessThanOnePercent(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1"), false)
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), false)
 	start := time.Now()
 	const span = 10 * time.Minute
-	for d := time.Duration(0); d < span; d += probeTick {
+	for d := time.Duration(0); d < span; d += probeCheckInterval {
 		h.DueProbes(start.Add(d))
 	}
-	cost := time.Duration(h.pools["lookup"].workers[0].probe.probes) * probeCost
+	cost := time.Duration(h.pools["lookup"].upstreams[0].probe.sent) * probeCost
 	t.Logf("probes cost %.2f%% of one worker's time", 100*cost.Seconds()/span.Seconds())
 	g.Expect(cost).To(BeNumerically("<", span/100))
 	g.Expect(cost).To(BeNumerically(">", 0))
@@ -33,15 +33,15 @@
 func TestBusyUpstreamIsNotProbed(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
-	h.Assign(lookupConfig(nil), workers("u1"), false)
+	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), false)
 	acquire(g, h).Done(Result{Took: time.Millisecond})
 	g.Expect(h.DueProbes(time.Now())).To(BeEmpty())
-	g.Expect(h.DueProbes(time.Now().Add(quietAfter + time.Second))).To(HaveLen(1))
+	g.Expect(h.DueProbes(time.Now().Add(maxResponseAge + time.Second))).To(HaveLen(1))
 }
 
 // A worker pays 1 ms for a new connection. Requests on all slots, again and
 // again, must use the first connections.
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	g := NewWithT(t)
 	var opened atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -71,34 +71,34 @@
 	callers.Wait()
 	cost := time.Duration(opened.Load()) * connectionCost
 	t.Logf("%d connections for %d requests cost %v", opened.Load(), slots*100, cost)
-	g.Expect(opened.Load()).To(BeNumerically("<=", idlePerHost))
+	g.Expect(opened.Load()).To(BeNumerically("<=", maxIdlePerHost))
 }
 
 // The health endpoint of a sick upstream says fine and its load report says
 // idle. Neither may bring it back: only its own answers do. A service of
 // postings risks one there only after a probe was answered.
-func TestEndpointsOnlyLowerTrust(t *testing.T) {
+func TestProbesOnlyLowerWeight(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHealth()
 	now := time.Unix(0, 0)
-	before := h.Trust(now)
-	h.Hint(now)
-	g.Expect(h.Trust(now)).To(BeNumerically("<", before))
-	g.Expect(h.Trust(now.Add(hintTime))).To(Equal(before))
+	before := h.Weight(now)
+	h.RecordWarning(now)
+	g.Expect(h.Weight(now)).To(BeNumerically("<", before))
+	g.Expect(h.Weight(now.Add(warningDuration))).To(Equal(before))
 
 	h.Eject(now)
 	due := now.Add(firstEjection)
 	g.Expect(h.TrialDue(true, now)).To(BeFalse())
 	g.Expect(h.TrialDue(false, due)).To(BeFalse(), "no probe was answered")
-	w := &worker{health: h, limit: NewLimit(4)}
-	w.probed(ProbeResult{OK: true}, due)
+	w := &upstreamState{health: h, limit: NewLimit(4)}
+	w.recordProbe(ProbeResult{OK: true}, due)
 	g.Expect(h.condition).To(Equal(onTrial), "a probe does not bring it back")
 	g.Expect(h.TrialDue(false, due)).To(BeTrue())
-	g.Expect(h.Tried(false, 0, 1, due)).To(BeFalse())
+	g.Expect(h.RecordTrial(false, 0, 1, due)).To(BeFalse())
 	g.Expect(h.TrialDue(true, due.Add(firstEjection))).To(BeFalse(), "the second ejection is longer")
 	back := due.Add(2 * firstEjection)
 	g.Expect(h.TrialDue(true, back)).To(BeTrue())
-	g.Expect(h.Tried(true, 1, 1, back)).To(BeFalse())
-	g.Expect(h.Tried(true, 1, 1, back)).To(BeFalse())
-	g.Expect(h.Tried(true, 1, 1, back)).To(BeTrue())
+	g.Expect(h.RecordTrial(true, 1, 1, back)).To(BeFalse())
+	g.Expect(h.RecordTrial(true, 1, 1, back)).To(BeFalse())
+	g.Expect(h.RecordTrial(true, 1, 1, back)).To(BeTrue())
 }
--- a/internal/upstream/kind.go
+++ b/internal/upstream/request.go
@@ -11,7 +11,7 @@
 // requestOf asks for room for a call. What tells kinds of work apart is method
 // and first path segment: enough to know reports from lookups, few enough
 // that each is seen often. avoid names the upstream to try last.
-func requestOf(call *wire.Call, avoid string) Request {
+func newRequest(call *wire.Call, avoid string) Request {
 	segment, _, _ := strings.Cut(strings.TrimPrefix(call.Path, "/"), "/")
 	return Request{
 		Service: call.Service, Customer: call.Customer, Deadline: call.Deadline,
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -50,7 +50,7 @@
 		}
 		span.AddEvent(latest.Type)
 		problem = latest.After(problem)
-		if !repeatable(call, latest) || !r.RetryBudgets.AllowRetryOn(call.Service, latest) {
+		if !canRetry(call, latest) || !r.RetryBudgets.AllowRetryOn(call.Service, latest) {
 			break
 		}
 	}
@@ -59,7 +59,7 @@
 
 // repeatable tells whether a call may be sent to another upstream after the
 // problem that one attempt met.
-func repeatable(call *wire.Call, p *wire.Problem) bool {
+func canRetry(call *wire.Call, p *wire.Problem) bool {
 	if p.Type != wire.TypeUpstreamFailed && p.Type != wire.TypeUpstreamShed {
 		return false
 	}
@@ -89,12 +89,12 @@
 	resp, sent, err := r.Client.Send(req) //nolint:bodyclose // the answer's reader closes it
 	if err != nil {
 		ticket.Done(Result{Failed: true, Abandoned: ctx.Err() != nil, Took: time.Since(start)})
-		return nil, ticket.Upstream, failed(ctx, sent, err)
+		return nil, ticket.Upstream, sendProblem(ctx, sent, err)
 	}
 	body := &trackedBody{ReadCloser: resp.Body, ctx: ctx, ticket: ticket, start: start, firstByte: time.Since(start)}
 	body.shed = resp.StatusCode == http.StatusServiceUnavailable
 	body.failed = resp.StatusCode >= http.StatusInternalServerError
-	if problem := unusable(resp); problem != nil {
+	if problem := responseProblem(resp); problem != nil {
 		body.failed = true
 		_ = body.Close()
 		return nil, ticket.Upstream, problem
@@ -107,7 +107,7 @@
 func (r *Runner) acquire(ctx context.Context, call *wire.Call, avoid string) (*Ticket, *wire.Problem) {
 	_, span := r.Tracer.Start(ctx, "queue")
 	defer span.End()
-	return r.Handler.Acquire(ctx, requestOf(call, avoid))
+	return r.Handler.Acquire(ctx, newRequest(call, avoid))
 }
 
 func (r *Runner) keyValid(call *wire.Call) bool {
--- a/internal/upstream/patterns_test.go
+++ b/internal/upstream/scenarios_test.go
@@ -7,7 +7,7 @@
 
 // region cuts a deployment down to the two zones of one region, which keeps the
 // tests quick; zones hardly act on each other here.
-func (d deployment) region() deployment {
+func (d deployment) oneRegion() deployment {
 	d.zones, d.machines = 2, (d.machines+2)/3
 	return d
 }
@@ -17,7 +17,7 @@
 	name     string
 	zones    int
 	machines int
-	mean     time.Duration
+	meanTime time.Duration
 	timeout  time.Duration
 	rates    []float64
 }
@@ -30,23 +30,23 @@
 )
 
 const (
-	reportTimeout = 60 * time.Second
-	reportTime    = 2 * time.Second
+	reportTimeout  = 60 * time.Second
+	reportMeanTime = 2 * time.Second
 )
 
 // scenario is a steady load of the deployment's service.
 func (d deployment) scenario(name string, load float64, end time.Duration) scenario {
 	return scenario{
-		name: name, zones: d.zones, machines: d.machines, rates: d.rates, end: end, measure: time.Second, keys: 4,
-		slots:  func(i int) int { return 3 + (i/d.zones)%2 },
-		kinds:  []kindOfWork{{mean: d.mean, timeout: d.timeout, load: load}},
-		factor: func(int, time.Duration) float64 { return 1 },
+		name: name, zones: d.zones, machines: d.machines, rates: d.rates, end: end, measureFrom: time.Second, keys: 4,
+		slots:      func(i int) int { return 3 + (i/d.zones)%2 },
+		kinds:      []kindOfWork{{meanTime: d.meanTime, timeout: d.timeout, load: load}},
+		loadFactor: func(int, time.Duration) float64 { return 1 },
 	}
 }
 
 func (d deployment) burst(end time.Duration) scenario {
 	sc := d.scenario("burst of 10x for 2 s", 0.5, end)
-	sc.factor = func(_ int, t time.Duration) float64 {
+	sc.loadFactor = func(_ int, t time.Duration) float64 {
 		if t >= 2*time.Second && t < 4*time.Second {
 			return 10
 		}
@@ -57,7 +57,7 @@
 
 func (d deployment) hotCustomer(end time.Duration) scenario {
 	sc := d.scenario("customer at 5x its rate", 0.7, end)
-	sc.factor = func(customer int, _ time.Duration) float64 {
+	sc.loadFactor = func(customer int, _ time.Duration) float64 {
 		if customer == 0 {
 			return 5
 		}
@@ -72,18 +72,18 @@
 	return sc
 }
 
-func (d deployment) slow(end time.Duration) scenario {
-	return d.faulty("upstream 10x slower", end, func(m *machine) { m.factor = 10 })
+func (d deployment) slowUpstream(end time.Duration) scenario {
+	return d.faultyUpstream("upstream 10x slower", end, func(m *machine) { m.slowdown = 10 })
 }
 
-func (d deployment) failsFast(end time.Duration) scenario {
-	return d.faulty("upstream fails at once", end, func(m *machine) { m.fails = true })
+func (d deployment) failingUpstream(end time.Duration) scenario {
+	return d.faultyUpstream("upstream fails at once", end, func(m *machine) { m.fails = true })
 }
 
 // faulty breaks machine 0 after 2 s and measures from 3 s later on.
-func (d deployment) faulty(name string, end time.Duration, fault func(*machine)) scenario {
+func (d deployment) faultyUpstream(name string, end time.Duration, fault func(*machine)) scenario {
 	sc := d.scenario(name, 0.6, end)
-	sc.measure, sc.badMachine, sc.targets = 5*time.Second, true, 3
+	sc.measureFrom, sc.faultyMachine, sc.maxHandlers = 5*time.Second, true, 3
 	sc.fault = func(m *machine, t time.Duration) {
 		if m.index == 0 && t >= 2*time.Second {
 			fault(m)
@@ -92,30 +92,30 @@
 	return sc
 }
 
-func (d deployment) lyingReports(end time.Duration) scenario {
+func (d deployment) falseLoadReports(end time.Duration) scenario {
 	sc := d.scenario("load reports 5 s old, one always idle", 0.7, end)
-	sc.badMachine = true
-	sc.fault = func(m *machine, _ time.Duration) { m.lies = m.index == 0 }
+	sc.faultyMachine = true
+	sc.fault = func(m *machine, _ time.Duration) { m.reportsIdle = m.index == 0 }
 	return sc
 }
 
-func (d deployment) shedding(end time.Duration) scenario {
+func (d deployment) sheddingUpstreams(end time.Duration) scenario {
 	sc := d.scenario("a quarter of the upstreams have one slot", 0.6, end)
 	sc.fault = func(m *machine, t time.Duration) {
 		if m.index%4 == 0 && t >= 2*time.Second {
 			m.slots = 1
 		}
 	}
-	sc.measure, sc.targets = 5*time.Second, 3
+	sc.measureFrom, sc.maxHandlers = 5*time.Second, 3
 	return sc
 }
 
-func (d deployment) withReports(end time.Duration, with bool) scenario {
+func (d deployment) lookupsAndReports(end time.Duration, with bool) scenario {
 	sc := d.scenario("lookups alone at 35%", 0.35, end)
-	sc.measure = 5 * time.Second
+	sc.measureFrom = 5 * time.Second
 	if with {
 		sc.name = "the same and 35% reports of 2 s"
-		sc.kinds = append(sc.kinds, kindOfWork{mean: reportTime, timeout: reportTimeout, load: 0.35})
+		sc.kinds = append(sc.kinds, kindOfWork{meanTime: reportMeanTime, timeout: reportTimeout, load: 0.35})
 	}
 	return sc
 }
@@ -128,10 +128,10 @@
 }
 
 // overloadThenCalm lets comeBack of the refused callers return when told to.
-func (d deployment) overloadThenCalm(times float64, end time.Duration, comeBack float64) scenario {
+func (d deployment) overloadThenHalfLoad(times float64, end time.Duration, comeBack float64) scenario {
 	sc := d.scenario("overload, then half load", times, end+min(62*time.Second, 8*end))
-	sc.loadEnds, sc.comeBack = end, comeBack
-	sc.factor = func(_ int, t time.Duration) float64 {
+	sc.loadEnds, sc.retryFraction = end, comeBack
+	sc.loadFactor = func(_ int, t time.Duration) float64 {
 		if t >= end {
 			return 0.5 / times
 		}
@@ -140,11 +140,11 @@
 	return sc
 }
 
-func (d deployment) cold(end time.Duration) scenario {
+func (d deployment) coldCaches(end time.Duration) scenario {
 	sc := d.scenario("half of the caches cold", 0.6, end)
 	sc.fault = func(m *machine, t time.Duration) {
 		if (m.index/d.zones)%2 == 1 && t == time.Second {
-			m.cold = 200
+			m.coldRequests = 200
 		}
 	}
 	return sc
--- a/internal/upstream/worker.go
+++ b/internal/upstream/state.go
@@ -7,7 +7,7 @@
 )
 
 // worker is one upstream as its handler sees it.
-type worker struct {
+type upstreamState struct {
 	config.Upstream
 	name    string
 	limit   *Limit
@@ -16,45 +16,45 @@
 	drain   drain
 	// released: another daemon handles it now; what runs here finishes.
 	released bool
-	probe    probe
+	probe    probeSchedule
 	// takeover bounds the room while an earlier handler may still use some;
 	// nil where there can be none.
 	takeover *Takeover
 }
 
-func newWorker(name string, u config.Upstream) *worker {
-	return &worker{Upstream: u, name: name, limit: NewLimit(u.Slots), health: NewHealth()}
+func newUpstreamState(name string, u config.Upstream) *upstreamState {
+	return &upstreamState{Upstream: u, name: name, limit: NewLimit(u.Slots), health: NewHealth()}
 }
 
 // takesWork tells whether the upstream may get new work at all.
-func (w *worker) takesWork(now time.Time) bool {
-	return !w.released && !w.drain.over(now)
+func (w *upstreamState) acceptsRequests(now time.Time) bool {
+	return !w.released && !w.drain.rampEnded(now)
 }
 
 // free is how many more requests it may start, trials left aside.
-func (w *worker) free(now time.Time) int {
-	if !w.takesWork(now) || w.health.condition != healthy {
+func (w *upstreamState) freeSlots(now time.Time) int {
+	if !w.acceptsRequests(now) || w.health.condition != healthy {
 		return 0
 	}
-	return max(w.room(now)-w.running, 0)
+	return max(w.slotLimit(now)-w.running, 0)
 }
 
 // room is how many requests it may run at once.
-func (w *worker) room(now time.Time) int {
+func (w *upstreamState) slotLimit(now time.Time) int {
 	if w.takeover == nil {
 		return w.limit.Value()
 	}
-	return w.takeover.Room(w.limit.Value(), now)
+	return w.takeover.SlotLimit(w.limit.Value(), now)
 }
 
 // load is what the next request would find: lower is better.
-func (w *worker) load(now time.Time) float64 {
-	return float64(w.running+1) * w.health.Slowness() / float64(w.room(now))
+func (w *upstreamState) load(now time.Time) float64 {
+	return float64(w.running+1) * w.health.Slowness() / float64(w.slotLimit(now))
 }
 
 // part is the part of an equal share that it should get, 0 to 1.
-func (w *worker) part(now time.Time) float64 {
-	return w.health.Trust(now) * w.drain.remaining(now)
+func (w *upstreamState) trafficFraction(now time.Time) float64 {
+	return w.health.Weight(now) * w.drain.trafficFraction(now)
 }
 
 // drain is a planned stop of new work at one upstream.
@@ -63,18 +63,18 @@
 	start  time.Time
 	ramp   time.Duration
 	// began is when this handler learned of it.
-	began time.Time
+	startedAt time.Time
 	// emptied is when the last request had ended; zero while some run.
-	emptied time.Time
+	emptiedAt time.Time
 }
 
 // over tells whether nothing new may start.
-func (d *drain) over(now time.Time) bool {
+func (d *drain) rampEnded(now time.Time) bool {
 	return d.active && !now.Before(d.start.Add(d.ramp))
 }
 
 // remaining is the part of its traffic that a draining upstream still gets.
-func (d *drain) remaining(now time.Time) float64 {
+func (d *drain) trafficFraction(now time.Time) float64 {
 	if !d.active || now.Before(d.start) || d.ramp <= 0 {
 		return 1
 	}
@@ -83,27 +83,27 @@
 }
 
 // set takes a plan over; it keeps what was measured of the same drain.
-func (d *drain) set(plan drain, running int, now time.Time) {
+func (d *drain) apply(plan drain, running int, now time.Time) {
 	if !plan.active {
 		*d = drain{}
 		return
 	}
 	if !d.active {
-		d.began = now
+		d.startedAt = now
 	}
 	d.active, d.start, d.ramp = true, plan.start, plan.ramp
-	d.note(running, now)
+	d.recordRunning(running, now)
 }
 
 // note records the end of the last request.
-func (d *drain) note(running int, now time.Time) {
-	if d.over(now) && running == 0 && d.emptied.IsZero() {
-		d.emptied = now
+func (d *drain) recordRunning(running int, now time.Time) {
+	if d.rampEnded(now) && running == 0 && d.emptiedAt.IsZero() {
+		d.emptiedAt = now
 	}
 }
 
 // planOf returns the drain that the configuration plans for an upstream.
-func planOf(c *config.Config, name string) drain {
+func plannedDrain(c *config.Config, name string) drain {
 	if c.Upstreams[name].Leaving {
 		return drain{active: true}
 	}
--- a/internal/upstream/takeover_test.go
+++ b/internal/upstream/takeover_test.go
@@ -9,13 +9,13 @@
 
 // handlers is an upstream that moves from one handler to another under more
 // load than it has slots. Every request takes service.
-type handlers struct {
-	slots    int
-	service  time.Duration
-	old, now []time.Time // ends of the requests that run
+type handlerMove struct {
+	slots                  int
+	serviceTime            time.Duration
+	oldRunning, newRunning []time.Time // ends of the requests that run
 }
 
-func ended(running []time.Time, at time.Time) []time.Time {
+func stillRunning(running []time.Time, at time.Time) []time.Time {
 	var still []time.Time
 	for _, end := range running {
 		if end.After(at) {
@@ -27,19 +27,19 @@
 
 // move returns the most that both ran at once, and the new one's work until
 // the bound and a service time have passed.
-func (h *handlers) move(room func(at time.Time) int, report func(running int)) (most, started int) {
+func (h *handlerMove) simulate(room func(at time.Time) int, report func(running int)) (most, started int) {
 	start := time.Unix(1e9, 0)
 	for i := range h.slots {
-		h.old = append(h.old, start.Add(h.service*time.Duration(i+1)/time.Duration(h.slots)))
+		h.oldRunning = append(h.oldRunning, start.Add(h.serviceTime*time.Duration(i+1)/time.Duration(h.slots)))
 	}
-	for at := start; at.Before(start.Add(TakeoverBound + h.service)); at = at.Add(10 * time.Millisecond) {
-		h.old, h.now = ended(h.old, at), ended(h.now, at)
-		report(len(h.old))
-		for len(h.now) < room(at) {
-			h.now = append(h.now, at.Add(h.service))
+	for at := start; at.Before(start.Add(MaxTakeoverDuration + h.serviceTime)); at = at.Add(10 * time.Millisecond) {
+		h.oldRunning, h.newRunning = stillRunning(h.oldRunning, at), stillRunning(h.newRunning, at)
+		report(len(h.oldRunning))
+		for len(h.newRunning) < room(at) {
+			h.newRunning = append(h.newRunning, at.Add(h.serviceTime))
 			started++
 		}
-		most = max(most, len(h.old)+len(h.now))
+		most = max(most, len(h.oldRunning)+len(h.newRunning))
 	}
 	return most, started
 }
@@ -60,10 +60,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			h := &handlers{slots: 4, service: tc.service}
+			h := &handlerMove{slots: 4, serviceTime: tc.service}
 			takeover := NewTakeover(time.Unix(1e9, 0))
-			most, started := h.move(
-				func(at time.Time) int { return takeover.Room(4, at) },
+			most, started := h.simulate(
+				func(at time.Time) int { return takeover.SlotLimit(4, at) },
 				func(running int) {
 					if tc.reports {
 						takeover.Report(running)
@@ -81,9 +81,9 @@
 	start := time.Unix(1e9, 0)
 	takeover := NewTakeover(start)
 	takeover.Report(3)
-	g.Expect(takeover.Room(4, start)).To(Equal(1))
-	g.Expect(takeover.Room(4, start.Add(TakeoverBound))).To(Equal(4))
+	g.Expect(takeover.SlotLimit(4, start)).To(Equal(1))
+	g.Expect(takeover.SlotLimit(4, start.Add(MaxTakeoverDuration))).To(Equal(4))
 	takeover = NewTakeover(start)
 	takeover.Report(0)
-	g.Expect(takeover.Room(4, start)).To(Equal(4))
+	g.Expect(takeover.SlotLimit(4, start)).To(Equal(4))
 }
--- a/internal/upstream/ticket.go
+++ b/internal/upstream/ticket.go
@@ -42,7 +42,7 @@
 
 const (
 	resultUnsent resultKind = iota
-	resultAnswered
+	resultResponded
 	resultFailed
 	resultShed
 	resultAbandoned
@@ -59,11 +59,11 @@
 	case r.Took <= 0:
 		return resultUnsent
 	}
-	return resultAnswered
+	return resultResponded
 }
 
 // answer is the time until the answer began.
-func (r Result) answer() time.Duration {
+func (r Result) responseTime() time.Duration {
 	if r.FirstByte > 0 {
 		return r.FirstByte
 	}
@@ -77,20 +77,20 @@
 	Upstream string
 	Address  string
 
-	handler *Handler
-	pool    *pool
-	worker  *worker
-	item    fairqueue.Item
-	kind    uint64
+	handler  *Handler
+	pool     *pool
+	upstream *upstreamState
+	item     fairqueue.Item
+	kind     uint64
 	// expected is the time until the answer begins; 0: not known.
-	expected time.Duration
-	safe     bool
-	trial    bool
-	avoid    string
+	expectedResponseTime time.Duration
+	safe                 bool
+	trial                bool
+	avoid                string
 	// ready is closed when a waiting request starts or is refused.
 	ready chan struct{}
 	// late: it left the queue because it could not be done in time.
-	late bool
+	expired bool
 }
 
 func newTicket(h *Handler, p *pool, r Request, weight float64) *Ticket {
