--- a/internal/upstream/assign.go
+++ b/internal/upstream/assign.go
@@ -8,12 +8,13 @@
 )
 
 // HandlerOf returns the instance that handles an upstream: the ready daemon
-// of the upstream's zone with the highest rendezvous hash, or of the zone's
-// sibling where the zone has none. "" means that nobody does.
+// of the upstream's zone with the highest rendezvous hash. If that zone has
+// no ready daemon, daemons of its sibling zone are used. HandlerOf returns ""
+// if there is none either.
 func HandlerOf(c *config.Config, name string, ready []membership.Member) string {
 	u := c.Upstreams[name]
-	if in := highestHash(name, u.Zone, ready); in != "" {
-		return in
+	if instance := highestHash(name, u.Zone, ready); instance != "" {
+		return instance
 	}
 	if sibling := c.Zones[u.Zone].Sibling; sibling != "" {
 		return highestHash(name, sibling, ready)
@@ -34,18 +35,19 @@
 	return best
 }
 
-// Assignment says which daemon handles which upstreams, as one daemon sees it.
+// Assignment maps the upstreams to their handlers, as computed by one daemon.
 type Assignment struct {
-	// byInstance holds each handler's upstreams by name.
+	// byInstance holds the upstreams of each handler by name.
 	byInstance map[string]map[string]config.Upstream
-	// slots holds each handler's slots of each service.
+	// slots holds the number of slots of each handler and service.
 	slots map[instanceService]int
 }
 
 type instanceService struct{ instance, service string }
 
-// Assign gives every upstream its handler by rendezvous hashing over the ready
-// daemons. Daemons that know the same ready ones agree without a message.
+// Assign assigns every upstream to a handler by rendezvous hashing over the
+// ready daemons. Daemons with the same list of ready daemons compute the same
+// assignment without communication.
 func Assign(c *config.Config, ready []membership.Member) *Assignment {
 	a := &Assignment{byInstance: map[string]map[string]config.Upstream{}, slots: map[instanceService]int{}}
 	for name, u := range c.Upstreams {
@@ -69,8 +71,8 @@
 	return a.byInstance[instance]
 }
 
-// Slots returns how many slots of a service an instance handles, without those
-// of upstreams that are drained.
+// Slots returns the number of slots of a service that an instance handles,
+// excluding upstreams with a planned drain.
 func (a *Assignment) Slots(instance, service string) int {
 	return a.slots[instanceService{instance, service}]
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Bounds of the connections to upstreams and relay listeners.
+// Limits of the connections to upstreams and relay listeners.
 const (
 	dialTimeout    = time.Second
 	maxIdlePerHost = 8
@@ -18,16 +18,18 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// Dialer opens a connection; tests use it to cut an upstream off.
+// Dialer opens a connection. Tests replace it to simulate an unreachable
+// upstream.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client sends requests to upstreams and to other daemons' relay listeners.
-// It never sends a request twice. It is safe for concurrent use.
+// Client sends requests to upstreams and to the relay listeners of other
+// daemons. It never sends a request twice. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 }
 
-// NewClient returns a client that connects with dial (nil: net.Dialer).
+// NewClient returns a client that connects with dial, or with a net.Dialer if
+// dial is nil.
 func NewClient(dial Dialer) *Client { return NewTLSClient(dial, nil) }
 
 // NewTLSClient returns a client that calls conf for the TLS configuration of
@@ -37,8 +39,8 @@
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	// HTTP/2 stays off: its transport replays requests by rules of its own
-	// (GOAWAY, refused streams), and the guard of Send is written for HTTP/1.
+	// HTTP/2 is disabled: its transport retries requests under its own rules
+	// (GOAWAY, refused streams), and Send prevents replays only for HTTP/1.
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	transport := &http.Transport{
@@ -73,18 +75,19 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Send sends a request once and follows no redirect. sent is false only where
-// no byte of the request can have reached the other side, nor will.
+// Send sends a request once and does not follow redirects. sent is false only
+// if no byte of the request has reached or can still reach the other side.
 //
-// http.Transport replays a request whose kept-alive connection turned out
-// dead if its method is idempotent, if it bears Idempotency-Key, or if it has
-// no body: an upstream that had run it before the connection broke would run
-// it twice. The body is therefore always set, without GetBody, which the
-// transport cannot rewind; see TestSendNeverReplays. A body whose length is
-// not declared goes out chunked, so an empty POST does too.
+// http.Transport resends a request whose kept-alive connection turns out to
+// be closed if its method is idempotent, if it has an Idempotency-Key header,
+// or if it has no body. An upstream that had run the request before the
+// connection broke would then run it twice. Send therefore always sets a body
+// without GetBody, which the transport cannot rewind; see
+// TestSendNeverReplays. A body without a declared length is sent chunked, and
+// so is an empty POST.
 func (c *Client) Send(req *http.Request) (resp *http.Response, sent bool, err error) {
 	if req.Body == nil || req.Body == http.NoBody {
 		req.Body = io.NopCloser(emptyBody{})
@@ -92,7 +95,7 @@
 	}
 	req.GetBody = nil
 	var use connUse
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { use.begin(info.Conn) }}
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { use.start(info.Conn) }}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	resp, err = c.transport.RoundTrip(req)
 	if err != nil {
@@ -101,7 +104,7 @@
 	return resp, true, nil
 }
 
-// emptyBody is a body of no bytes that is not http.NoBody.
+// emptyBody is an empty body that differs from http.NoBody.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,17 +8,19 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed says that a connection was given up before the request was
-// written.
-var errSealed = errors.New("upstream: connection given up")
+// errSealed is the error of a write to a connection that was sealed before
+// the request was written.
+var errSealed = errors.New("upstream: connection sealed before the request was written")
 
-// countedConn counts what is written on a connection, and can be sealed.
+// countingConn counts the bytes written to a connection and can be sealed
+// against further writes.
 //
-// The failure it guards against: the transport returns an error while its
-// write goroutine is about to write, so "nothing was written yet" does not
-// mean that nothing will be. The caller would read not-run, and the upstream
-// would run the request a moment later. Sealing and counting happen under one
-// lock, so after a seal that found nothing written nothing can be.
+// It prevents a false not-run outcome: the transport can return an error
+// while its write goroutine is about to write, so a request that is unwritten
+// at that moment may still be written. The caller would receive not-run, and
+// the upstream would run the request a moment later. Counting and sealing use
+// one lock, so that after a seal with nothing written no byte of the request
+// can be written.
 type countingConn struct {
 	net.Conn
 
@@ -45,18 +47,18 @@
 	return n, err
 }
 
-func (c *countingConn) writtenSoFar() int64 {
+func (c *countingConn) written() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bytesWritten
 }
 
-// seal stops further writes and reports true if none was made or begun since
-// the count was mark.
-func (c *countingConn) seal(mark int64) bool {
+// seal prevents further writes and returns true, unless a write has been made
+// or started since written returned offset.
+func (c *countingConn) seal(offset int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pendingWrites > 0 || c.bytesWritten != mark {
+	if c.pendingWrites > 0 || c.bytesWritten != offset {
 		return false
 	}
 	c.sealed = true
@@ -73,27 +75,28 @@
 	}
 }
 
-// connUse is one request's use of a connection.
+// connUse is the use of a connection by one request.
 type connUse struct {
 	obtained    bool
 	conn        *countingConn
 	startOffset int64
 }
 
-// begin is called when the transport has chosen a connection.
-func (u *connUse) begin(conn net.Conn) {
+// start is called when the transport has chosen a connection.
+func (u *connUse) start(conn net.Conn) {
 	u.obtained = true
-	if secured, ok := conn.(interface{ NetConn() net.Conn }); ok {
-		conn = secured.NetConn()
+	if tlsConn, ok := conn.(interface{ NetConn() net.Conn }); ok {
+		conn = tlsConn.NetConn()
 	}
 	counted, ok := conn.(*countingConn)
 	if !ok {
 		return
 	}
-	u.conn, u.startOffset = counted, counted.writtenSoFar()
+	u.conn, u.startOffset = counted, counted.written()
 }
 
-// unsent tells whether no byte was written, and makes sure none will be.
+// sealIfUnsent reports whether no byte of the request was written, and in
+// that case ensures that none will be.
 func (u *connUse) sealIfUnsent() bool {
 	if !u.obtained {
 		return true
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,5 +1,7 @@
-// Package upstream is the handler's side of a daemon: the upstreams of its own
-// zone that rendezvous hashing gives it, how many requests each may run, how
-// healthy each is, and the connections to them. Only the handler of an
-// upstream talks to it, so its count of running requests is the true one.
+// Package upstream manages the upstreams that a daemon handles. Rendezvous
+// hashing assigns each upstream to one ready daemon of its zone, its handler.
+// Only the handler sends requests to the upstream, so its count of running
+// requests is exact. The package holds that assignment, the concurrency limit
+// and health of each upstream, the queue in front of each service, and the
+// connections to the upstreams.
 package upstream
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -15,9 +15,9 @@
 	"balsambarrow/internal/wire"
 )
 
-// Handler gives out the room of the upstreams assigned to this daemon: a
-// mutex around the pools, which hold the decisions. It is safe for concurrent
-// use.
+// Handler grants requests the slots of the upstreams assigned to this daemon.
+// It guards the pools, which make the decisions, with a mutex. It is safe for
+// concurrent use.
 type Handler struct {
 	mu     sync.Mutex
 	pools  map[string]*pool
@@ -33,30 +33,31 @@
 	}
 }
 
-// Assign replaces the upstreams that this daemon handles. Requests that run
-// on one that was taken away finish, and count again should it come back.
-// shared tells that other daemons are about: one of them may have handled what
-// is new here, and still run requests there.
-func (h *Handler) Assign(c *config.Config, mine map[string]config.Upstream, shared bool) {
+// Assign replaces the set of upstreams that this daemon handles. Requests
+// running on a removed upstream finish, and are counted again if the upstream
+// is assigned to this daemon again. hasPeers states that there are other
+// daemons: one of them may have handled a newly assigned upstream and may
+// still run requests on it.
+func (h *Handler) Assign(c *config.Config, assigned map[string]config.Upstream, hasPeers bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	h.config = c
-	for name, u := range mine {
+	for name, u := range assigned {
 		p := h.pool(u.Service)
-		w := p.find(name)
-		if w == nil {
-			w = newUpstreamState(name, u)
-			p.upstreams = append(p.upstreams, w)
-			if shared {
-				w.takeover = NewTakeover(now)
+		s := p.find(name)
+		if s == nil {
+			s = newUpstreamState(name, u)
+			p.upstreams = append(p.upstreams, s)
+			if hasPeers {
+				s.takeover = NewTakeover(now)
 			}
 		}
-		w.configure(u, plannedDrain(c, name), now)
+		s.configure(u, plannedDrain(c, name), now)
 	}
 	for service, p := range h.pools {
-		p.removeUnassigned(service, mine)
-		if len(p.upstreams) == 0 && p.idle() {
+		p.removeUnassigned(service, assigned)
+		if len(p.upstreams) == 0 && p.isIdle() {
 			delete(h.pools, service)
 			continue
 		}
@@ -74,31 +75,33 @@
 }
 
 func (p *pool) find(name string) *upstreamState {
-	i := slices.IndexFunc(p.upstreams, func(w *upstreamState) bool { return w.name == name })
+	i := slices.IndexFunc(p.upstreams, func(s *upstreamState) bool { return s.name == name })
 	if i < 0 {
 		return nil
 	}
 	return p.upstreams[i]
 }
 
-// adopt takes an upstream's settings over.
-func (w *upstreamState) configure(u config.Upstream, plan drain, now time.Time) {
-	w.Upstream, w.released = u, false
-	w.limit.SetSlots(u.Slots)
-	w.drain.apply(plan, w.running, now)
+// configure applies the configuration of the upstream.
+func (s *upstreamState) configure(u config.Upstream, plan drain, now time.Time) {
+	s.Upstream, s.released = u, false
+	s.limit.SetSlots(u.Slots)
+	s.drain.apply(plan, s.running, now)
 }
 
-// release takes upstreams out that are no longer this daemon's, each once
-// nothing runs on it: until then its requests count if it is assigned again.
-func (p *pool) removeUnassigned(service string, mine map[string]config.Upstream) {
-	p.upstreams = slices.DeleteFunc(p.upstreams, func(w *upstreamState) bool {
-		u, kept := mine[w.name]
-		w.released = !kept || u.Service != service
-		return w.released && w.running == 0
+// removeUnassigned removes the upstreams that are no longer assigned to this
+// daemon. An upstream with running requests stays until they finish, so that
+// they count if it is assigned again.
+func (p *pool) removeUnassigned(service string, assigned map[string]config.Upstream) {
+	p.upstreams = slices.DeleteFunc(p.upstreams, func(s *upstreamState) bool {
+		u, isAssigned := assigned[s.name]
+		s.released = !isAssigned || u.Service != service
+		return s.released && s.running == 0
 	})
 }
 
-// Acquire waits for room and returns a ticket, or the refusal.
+// Acquire waits for a slot and returns a ticket, or the problem if the
+// request is refused.
 func (h *Handler) Acquire(ctx context.Context, r Request) (*Ticket, *wire.Problem) {
 	t, problem := h.enqueue(r, time.Now())
 	if problem != nil || t.ready == nil {
@@ -111,12 +114,12 @@
 	return h.endWait(t, time.Now())
 }
 
-// enter queues a request and starts it if it can start now.
+// enqueue queues a request and starts it if a slot is free.
 func (h *Handler) enqueue(r Request, now time.Time) (*Ticket, *wire.Problem) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.pools[r.Service]
-	if p == nil || !slices.ContainsFunc(p.upstreams, func(w *upstreamState) bool { return w.acceptsRequests(now) }) {
+	if p == nil || !slices.ContainsFunc(p.upstreams, func(s *upstreamState) bool { return s.acceptsRequests(now) }) {
 		return nil, wire.Refuse(wire.TypeNoRoom, "no upstream of this service is handled here", 0)
 	}
 	t := newTicket(h, p, r, h.config.Customers[r.Customer].Weight)
@@ -125,7 +128,7 @@
 	}
 	h.dispatch(p, now)
 	if t.expired {
-		return nil, lateProblem(p, t, now)
+		return nil, expiredProblem(p, t, now)
 	}
 	if t.upstream == nil {
 		t.ready = make(chan struct{})
@@ -133,7 +136,8 @@
 	return t, nil
 }
 
-// leave ends the wait of a request: it starts, was dropped, or gave up.
+// endWait returns the result of a wait: the request was started, expired in
+// the queue, or was canceled.
 func (h *Handler) endWait(t *Ticket, now time.Time) (*Ticket, *wire.Problem) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +147,7 @@
 	case !t.expired:
 		t.pool.queue.Remove(&t.item, now)
 	}
-	return nil, lateProblem(t.pool, t, now)
+	return nil, expiredProblem(t.pool, t, now)
 }
 
 func refusalProblem(r *fairqueue.Refusal) *wire.Problem {
@@ -153,11 +157,12 @@
 	return wire.Refuse(wire.TypeNoRoom, r.Reason.String(), r.RetryAfter)
 }
 
-func lateProblem(p *pool, t *Ticket, now time.Time) *wire.Problem {
+func expiredProblem(p *pool, t *Ticket, now time.Time) *wire.Problem {
 	return wire.Refuse(wire.TypeDeadline, "no upstream had room before the deadline", p.queue.RetryAfter(&t.item, now))
 }
 
-// serve starts what can start. The caller holds the mutex.
+// dispatch starts the requests that can start now. The caller holds the
+// mutex.
 func (h *Handler) dispatch(p *pool, now time.Time) {
 	p.dispatch(now, func(t *Ticket) { t.signalReady() }, func(t *Ticket) {
 		t.expired = true
@@ -171,54 +176,55 @@
 	}
 }
 
-func (h *Handler) done(t *Ticket, r Result, now time.Time) {
+func (h *Handler) finish(t *Ticket, r Result, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t.pool.done(t, r, now)
+	t.pool.finish(t, r, now)
 	h.dispatch(t.pool, now)
 }
 
-// Headroom returns the room of each service handled here: Limit counts the
-// adapted limits of the upstreams in use, Free what of it is not running and
-// not waited for.
+// Headroom returns the capacity of each service handled here. Limit is the
+// sum of the current concurrency limits of the upstreams in use; Free is the
+// part of it that neither running nor queued requests need.
 func (h *Handler) Headroom() map[string]membership.Headroom {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := map[string]membership.Headroom{}
+	services := map[string]membership.Headroom{}
 	for service, p := range h.pools {
-		if room, ok := p.headroom(now); ok {
-			out[service] = room
+		if headroom, ok := p.headroom(now); ok {
+			services[service] = headroom
 		}
 	}
-	return out
+	return services
 }
 
 func (p *pool) headroom(now time.Time) (membership.Headroom, bool) {
-	room := membership.Headroom{Queued: p.queue.Len()}
-	serves := false
-	for _, w := range p.upstreams {
-		serves = serves || w.acceptsRequests(now)
-		if w.freeSlots(now) == 0 && w.health.condition != healthy {
+	headroom := membership.Headroom{Queued: p.queue.Len()}
+	accepts := false
+	for _, s := range p.upstreams {
+		accepts = accepts || s.acceptsRequests(now)
+		if s.freeSlots(now) == 0 && s.health.condition != healthy {
 			continue
 		}
-		if w.acceptsRequests(now) {
-			room.Limit += w.advertisedSlots(now, w.slotLimit(now))
-			room.Free += w.advertisedSlots(now, w.freeSlots(now))
+		if s.acceptsRequests(now) {
+			headroom.Limit += s.advertisedSlots(now, s.slotLimit(now))
+			headroom.Free += s.advertisedSlots(now, s.freeSlots(now))
 		}
 	}
-	room.Free = max(room.Free-room.Queued, 0)
-	return room, serves
+	headroom.Free = max(headroom.Free-headroom.Queued, 0)
+	return headroom, accepts
 }
 
-// advertised is what others are told of n slots: less while the upstream
-// warms up or drains, so that a move does not fill it with cold caches, but
-// never nothing, or it would stay cold.
-func (w *upstreamState) advertisedSlots(now time.Time, n int) int {
+// advertisedSlots returns the number of n slots to report to other daemons.
+// It is lower while the upstream is in slow start or drains, so that traffic
+// moved here does not overload cold caches, but at least 1, because an
+// upstream without traffic would stay cold.
+func (s *upstreamState) advertisedSlots(now time.Time, n int) int {
 	if n == 0 {
 		return 0
 	}
-	return int(math.Ceil(float64(n) * w.trafficFraction(now)))
+	return int(math.Ceil(float64(n) * s.trafficFraction(now)))
 }
 
 // DrainStatus is the progress of the drain of one upstream.
@@ -226,30 +232,31 @@
 	Upstream string `json:"upstream"`
 	Running  int    `json:"running"`
 	// EmptyAfterMs is the time from when this handler learned of the drain
-	// until the last request ended; -1 while some run.
+	// until the last request ended, or -1 while requests are running.
 	EmptyAfterMs int64 `json:"empty_after_ms"`
 }
 
-// Drains lists the upstreams handled here that are being emptied, by name.
+// Drains returns the status of the drained upstreams handled here, sorted by
+// name.
 func (h *Handler) Drains() []DrainStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []DrainStatus
+	var statuses []DrainStatus
 	for _, p := range h.pools {
-		for _, w := range p.upstreams {
-			if w.drain.active {
-				out = append(out, w.drainStatus())
+		for _, s := range p.upstreams {
+			if s.drain.active {
+				statuses = append(statuses, s.drainStatus())
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b DrainStatus) int { return strings.Compare(a.Upstream, b.Upstream) })
-	return out
+	slices.SortFunc(statuses, func(a, b DrainStatus) int { return strings.Compare(a.Upstream, b.Upstream) })
+	return statuses
 }
 
-func (w *upstreamState) drainStatus() DrainStatus {
-	d := DrainStatus{Upstream: w.name, Running: w.running, EmptyAfterMs: -1}
-	if !w.drain.emptiedAt.IsZero() {
-		d.EmptyAfterMs = w.drain.emptiedAt.Sub(w.drain.startedAt).Milliseconds()
+func (s *upstreamState) drainStatus() DrainStatus {
+	d := DrainStatus{Upstream: s.name, Running: s.running, EmptyAfterMs: -1}
+	if !s.drain.emptiedAt.IsZero() {
+		d.EmptyAfterMs = s.drain.emptiedAt.Sub(s.drain.learnedAt).Milliseconds()
 	}
 	return d
 }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -2,103 +2,119 @@
 
 import "time"
 
-// Judging of upstreams by their own results.
+// Outlier detection based on the results of requests.
 const (
-	// failureRate is the weight of one result in the share of failures: four
-	// failures in a row, or half of the last ten, eject.
+	// failureSampleWeight is the weight of one result in the moving average
+	// of failures. With it, an upstream is ejected after four failures in a
+	// row or if half of the last ten results are failures.
 	failureSampleWeight = 0.2
 	maxFailureRatio     = 0.5
-	// slownessRate is the weight of one result in the slowness. At the limit,
-	// a worker ten times slower is recognised after about ten answers.
+	// slownessSampleWeight is the weight of one result in the moving average
+	// of the slowness. With it, an upstream that is ten times slower exceeds
+	// maxSlowness after about ten responses.
 	slownessSampleWeight = 0.1
-	// slownessLimit lies between a cold cache (4x) and a sick worker (10x).
+	// maxSlowness lies between the slowdown by a cold cache (4x) and by a
+	// fault (10x).
 	maxSlowness = 6.5
-	// slowByChance is more than the average of some ten service times varies by.
+	// slownessNoise exceeds the random variation of the mean of about ten
+	// service times.
 	slownessNoise = 2
-	// minResults are needed before an upstream is judged.
+	// minResults is the number of results required before an upstream may be
+	// ejected.
 	minResults = 5
 )
 
-// Ejection.
+// Parameters of the ejection of outliers.
 const (
 	firstEjection = time.Second
 	maxEjection   = 32 * time.Second
-	// goodTrials in a row return an upstream to use.
+	// requiredTrials is the number of consecutive successful trial requests
+	// that end an ejection.
 	requiredTrials = 3
-	// forgiveAfter without ejection, the next one is short again.
+	// ejectionResetAfter is the time without an ejection after which the next
+	// one has the duration firstEjection again.
 	ejectionResetAfter = time.Minute
-	// maxEjectedPart bounds the ejected part of a service's upstreams here.
-	// Where more look sick the cause is likely elsewhere (a customer's
-	// requests, the network), and the rest would be overloaded. A sole
-	// upstream is never ejected.
+	// maxEjectedFraction is the largest fraction of a service's upstreams at
+	// this handler that may be ejected. If more upstreams look unhealthy, the
+	// cause is probably elsewhere (the requests of a customer, the network),
+	// and the remaining upstreams would be overloaded. A single upstream is
+	// never ejected.
 	maxEjectedFraction = 0.5
 )
 
-// Warming up.
+// Parameters of the slow start.
 const (
-	// coldTrust is the trust in an upstream that has answered nothing yet: a
+	// slowStartWeight is the initial weight of an upstream without results: a
 	// cold cache makes the first requests four times slower.
 	slowStartWeight = 0.25
-	// warmResults is how many answers it takes to full trust.
+	// slowStartResults is the number of results after which the weight is 1.
 	slowStartResults = 64
 )
 
-// hintTrust is the trust left while the health or load endpoint complains,
-// hintTime how long a complaint counts. Endpoints lag and mislead: they may
-// lower an upstream's part of the traffic, never raise it and never eject.
+// Effect of warnings from the health and load endpoints. Endpoints lag and can
+// be wrong: a warning lowers the traffic of an upstream, but endpoints never
+// raise the traffic and never eject an upstream.
 const (
-	warningWeight   = 0.5
+	// warningWeight is the factor applied to the weight after a warning.
+	warningWeight = 0.5
+	// warningDuration is how long a warning applies.
 	warningDuration = 5 * time.Second
 )
 
-// condition of an upstream.
+// condition is the state of an upstream in outlier detection.
 type condition int
 
 const (
 	healthy condition = iota
 	ejected
-	// onTrial: it gets one request at a time.
+	// onTrial upstreams receive one trial request at a time.
 	onTrial
 )
 
-// Health judges one upstream. It is pure and not safe for concurrent use.
+// Health is the outlier detection for one upstream. It has no side effects
+// and is not safe for concurrent use.
 //
-// Load patterns: a worker ten times slower whose health endpoint says fine
-// holds a share of all requests; one that fails at once always looks least
-// loaded and draws nearly all traffic. Both are ejected by their results, and
-// come back over trials. Without it: docs/UNDER-LOAD.md.
+// It handles two faults that health endpoints miss: an upstream that is ten
+// times slower while its health endpoint reports success keeps its share of
+// all requests, and one that fails immediately always has the lowest load and
+// attracts nearly all traffic. Both are ejected because of their results, and
+// return after successful trial requests. docs/UNDER-LOAD.md shows the effect
+// of these faults without ejection.
 type Health struct {
 	condition    condition
 	failureRatio float64
 	slowness     float64
 	results      int
 	ejectedUntil time.Time
+	// nextEjection is the duration of the next ejection.
 	nextEjection time.Duration
 	ejectedAt    time.Time
 	passedTrials int
 	warnedUntil  time.Time
-	// cleared: since the ejection a probe was answered.
+	// probePassed is true if a probe has succeeded since the ejection.
 	probePassed bool
 }
 
-// NewHealth returns the health of an upstream of which nothing is known.
+// NewHealth returns the health of an upstream without results.
 func NewHealth() *Health { return &Health{slowness: 1, nextEjection: firstEjection} }
 
-// Succeeded notes an answer that took slowness times what was expected.
+// RecordResponse records a response that took slowness times the expected
+// time.
 func (h *Health) RecordResponse(slowness float64) {
 	h.results++
 	h.failureRatio -= failureSampleWeight * h.failureRatio
 	h.slowness += slownessSampleWeight * (slowness - h.slowness)
 }
 
-// Failed notes a failure.
+// RecordFailure records a failed request.
 func (h *Health) RecordFailure() {
 	h.results++
 	h.failureRatio += failureSampleWeight * (1 - h.failureRatio)
 }
 
-// Sick tells whether the upstream's results are so much worse than its peers'
-// that it should be ejected. peerSlowness and peerFailures are theirs.
+// ShouldEject reports whether the results of the upstream are so much worse
+// than those of its peers that it should be ejected. peerSlowness and
+// peerFailures are the median slowness and mean failure ratio of the peers.
 func (h *Health) ShouldEject(peerSlowness, peerFailures float64) bool {
 	if h.results < minResults {
 		return false
@@ -107,7 +123,8 @@
 	return failing || h.slowness > maxSlowness*max(peerSlowness, 1)
 }
 
-// Eject takes the upstream out of use for a while, twice as long each time.
+// Eject takes the upstream out of use. The duration doubles with each
+// ejection up to maxEjection.
 func (h *Health) Eject(now time.Time) {
 	if now.Sub(h.ejectedAt) > ejectionResetAfter+h.nextEjection {
 		h.nextEjection = firstEjection
@@ -120,10 +137,11 @@
 	h.probePassed = false
 }
 
-// TrialDue tells whether the upstream is to be tried now, and moves it to
-// trial when its ejection ends. A request that must not be tried again
-// elsewhere (safe is false) is risked only where a probe was answered:
-// otherwise a service of postings would lose one at each trial.
+// TrialDue reports whether the upstream may receive a trial request now. When
+// the ejection time has passed it moves the upstream to onTrial. A request
+// that must not be retried elsewhere (safe is false) is used as a trial only
+// after a successful probe: otherwise a service of postings would lose a
+// request with each failed trial.
 func (h *Health) TrialDue(safe bool, now time.Time) bool {
 	if h.condition == ejected && !now.Before(h.ejectedUntil) {
 		h.condition = onTrial
@@ -131,7 +149,8 @@
 	return h.condition == onTrial && (safe || h.probePassed)
 }
 
-// Tried notes how a trial went, and tells whether the upstream is back.
+// RecordTrial records the result of a trial request and reports whether the
+// upstream is back in use.
 func (h *Health) RecordTrial(ok bool, slowness, peerSlowness float64, now time.Time) bool {
 	if !ok || slowness > maxSlowness*max(peerSlowness, 1) {
 		h.Eject(now)
@@ -146,23 +165,25 @@
 	return true
 }
 
-// Hint notes a complaint of the health or load endpoint.
+// RecordWarning records a warning from the health or load endpoint.
 func (h *Health) RecordWarning(now time.Time) { h.warnedUntil = now.Add(warningDuration) }
 
-// Trust is the part of an equal share that the upstream should get while it
-// warms up or its endpoints complain, 0 to 1.
+// Weight returns the fraction of an equal share of the traffic that the
+// upstream should receive, from 0 to 1. It is less than 1 during slow start
+// and after a warning.
 func (h *Health) Weight(now time.Time) float64 {
-	warm := min(1, float64(h.results)/slowStartResults)
-	trust := slowStartWeight + (1-slowStartWeight)*warm
+	progress := min(1, float64(h.results)/slowStartResults)
+	weight := slowStartWeight + (1-slowStartWeight)*progress
 	if now.Before(h.warnedUntil) {
-		trust *= warningWeight
+		weight *= warningWeight
 	}
-	return trust
+	return weight
 }
 
-// Slowness is how many times longer than usual the upstream needs; 1 where the
-// difference may be chance: otherwise the one that was lucky last would get all
-// requests of a quiet hour, and the others' caches would go cold.
+// Slowness returns how many times longer than usual the upstream takes. It
+// returns 1 if the difference may be random: otherwise the upstream with the
+// lowest value would receive all requests while traffic is low, and the
+// caches of the others would become cold.
 func (h *Health) Slowness() float64 {
 	if h.slowness < slownessNoise {
 		return 1
--- a/internal/upstream/limit.go
+++ b/internal/upstream/limit.go
@@ -2,29 +2,33 @@
 
 import "time"
 
-// Growth of a limit after it was cut.
+// Timing of changes of a limit.
 const (
-	// cutPause is the least time between two cuts: requests that were on
-	// their way when the first was made say nothing about the new limit.
+	// minDecreaseInterval is the shortest time between two decreases:
+	// requests that were already sent at the first one say nothing about the
+	// new limit.
 	minDecreaseInterval = 100 * time.Millisecond
-	// firstGrowth is the time from a cut until one more slot is tried;
-	// it doubles each time that was too much, up to maxGrowth. So a worker with
-	// fewer slots than configured sheds one request per maxGrowth, not one in
-	// ten.
+	// initialGrowthDelay is the time from a decrease until one more slot is
+	// tried. The delay doubles each time the additional slot turns out to be
+	// too much, up to maxGrowthDelay. An upstream with fewer slots than
+	// configured then sheds one request per maxGrowthDelay instead of one in
+	// ten requests.
 	initialGrowthDelay = 500 * time.Millisecond
 	maxGrowthDelay     = 32 * time.Second
-	// calmAfter without a cut, the next one counts as the first again.
+	// growthResetAfter is the time without a decrease after which the delay
+	// is initialGrowthDelay again.
 	growthResetAfter = 2 * time.Minute
 )
 
-// Limit is how many requests one upstream may run at once. It is pure and not
-// safe for concurrent use.
+// Limit is the adaptive limit of the concurrent requests of one upstream. It
+// has no side effects and is not safe for concurrent use.
 //
-// Load pattern: an upstream that sheds, or that is slower with each request
-// more, because it has fewer slots than the configuration says, or because
-// another handler uses them during a change of membership. Without it, the
-// handler keeps it full and every third request is shed or late. It starts at
-// the configured slots and never exceeds them.
+// It handles upstreams that shed requests or become slower with each
+// additional request, because they have fewer slots than configured or
+// because another handler uses some of them during a change of membership.
+// Without the limit, the handler keeps such an upstream full, and every third
+// request is shed or late. The limit starts at the configured slots and never
+// exceeds them.
 type Limit struct {
 	slots       int
 	value       int
@@ -34,16 +38,17 @@
 	decreased   bool
 }
 
-// NewLimit returns a limit at its configured slots.
+// NewLimit returns a limit that starts at the configured slots.
 func NewLimit(slots int) *Limit {
 	slots = max(slots, 1)
 	return &Limit{slots: slots, value: slots, growthDelay: initialGrowthDelay}
 }
 
-// Value is the number of requests that may run at once; at least 1.
+// Value returns the number of requests that may run at once. It is at least
+// 1.
 func (l *Limit) Value() int { return l.value }
 
-// SetSlots changes the configured slots.
+// SetSlots sets the configured slots.
 func (l *Limit) SetSlots(slots int) {
 	slots = max(slots, 1)
 	if l.value == l.slots {
@@ -53,16 +58,16 @@
 	l.value = min(l.value, slots)
 }
 
-// Cut lowers the limit: running requests, the refused or slow one included,
-// were too many.
+// Decrease lowers the limit because running requests, including the one that
+// was shed, were too many.
 func (l *Limit) Decrease(running int, now time.Time) {
 	if l.decreased && now.Sub(l.decreasedAt) < minDecreaseInterval {
 		return
 	}
-	switch calm := now.Sub(l.decreasedAt); {
-	case !l.decreased || calm > growthResetAfter:
+	switch elapsed := now.Sub(l.decreasedAt); {
+	case !l.decreased || elapsed > growthResetAfter:
 		l.growthDelay = initialGrowthDelay
-	case l.value == l.slots || calm > l.growthDelay:
+	case l.value == l.slots || elapsed > l.growthDelay:
 		l.growthDelay = min(2*l.growthDelay, maxGrowthDelay)
 	}
 	l.decreased = true
@@ -71,16 +76,17 @@
 	l.nextGrowth = now.Add(l.growthDelay)
 }
 
-// Restart lowers the limit to one request, as after an ejection; it grows at
-// the first pace.
-func (l *Limit) Reset(now time.Time) {
+// ResetToOne sets the limit to one request, as after an ejection. It grows
+// from there with initialGrowthDelay.
+func (l *Limit) ResetToOne(now time.Time) {
 	l.value = 1
 	l.growthDelay = initialGrowthDelay
 	l.nextGrowth = now.Add(l.growthDelay)
 }
 
-// Grow adds a slot if it is time. It is called when a request has succeeded
-// while the limit was in full use; an idle upstream proves nothing.
+// Increase adds a slot if the growth delay has passed. It is called when a
+// request succeeds while the limit is fully used: success of an idle upstream
+// does not show that it can run more requests.
 func (l *Limit) Increase(now time.Time) {
 	if l.value >= l.slots || now.Before(l.nextGrowth) {
 		return
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -11,15 +11,16 @@
 	"balsambarrow/internal/wire"
 )
 
-// Times after which a refused caller may come back.
+// Retry delays announced to refused callers.
 const (
-	// defaultRetry is used where nothing better is known.
+	// defaultRetryAfter is used if no better estimate is known.
 	defaultRetryAfter = time.Second
-	// maxRetry bounds what an upstream may ask for.
+	// maxRetryAfter limits the delay that an upstream may request.
 	maxRetryAfter = time.Minute
 )
 
-// failed tells what may be concluded where an upstream sent no answer.
+// sendProblem returns the problem of a request for which the upstream sent no
+// response, with the outcome that follows from whether the request was sent.
 func sendProblem(ctx context.Context, sent bool, err error) *wire.Problem {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -36,7 +37,8 @@
 	}
 }
 
-// unusable returns the problem of an answer that is not passed on, or nil.
+// responseProblem returns the problem of a response that must not be
+// forwarded, or nil.
 func responseProblem(resp *http.Response) *wire.Problem {
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
@@ -49,9 +51,9 @@
 	return nil
 }
 
-// unframed tells whether an answer ends where its connection does. An
-// upstream that dies in the middle closes its connection too, and a part of
-// the answer would pass for the whole.
+// endsAtClose reports whether the end of a response is marked only by the end
+// of its connection. An upstream that crashes during a response closes the
+// connection too, and a partial response would be taken for a complete one.
 func endsAtClose(resp *http.Response) bool {
 	if resp.Request != nil && resp.Request.Method == http.MethodHead {
 		return false
@@ -59,8 +61,9 @@
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// shed is the problem of an upstream that answered 503. That proves nothing
-// about what it did with the request unless it declares so.
+// shedProblem returns the problem of a 503 response. The status alone does
+// not show whether the upstream ran the request; only its header that
+// declares so does.
 func shedProblem(resp *http.Response) *wire.Problem {
 	p := wire.Refuse(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
 	if resp.Header.Get(wire.HeaderShed) != wire.ShedNotRun {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,14 +10,15 @@
 	"balsambarrow/internal/fairqueue"
 )
 
-// pool is the upstreams of one service at this handler and the queue before
-// them. It is pure: the time is an argument, and it starts nothing.
+// pool holds the upstreams of one service at this handler and the queue in
+// front of them. It has no side effects: the time is an argument, and it
+// starts no goroutines.
 type pool struct {
 	upstreams []*upstreamState
 	queue     *fairqueue.Queue
-	// costs learns how long a slot is held, answers how long until an answer
-	// begins: a caller that reads slowly holds a slot but does not make the
-	// upstream slow.
+	// slotTimes estimates how long a request holds a slot, responseTimes how
+	// long it takes until the response begins. They differ because a caller
+	// that reads slowly holds a slot but does not make the upstream slow.
 	slotTimes     *fairqueue.CostEstimator
 	responseTimes *fairqueue.CostEstimator
 	rng           *rand.Rand
@@ -31,7 +32,7 @@
 	}
 }
 
-// offer queues a request, or refuses it at once.
+// enqueue queues a request, or refuses it immediately.
 func (p *pool) enqueue(t *Ticket, now time.Time) *fairqueue.Refusal {
 	t.item.Cost, t.item.Class = p.slotTimes.Estimate(t.kind)
 	if p.responseTimes.HasEnoughSamples(t.kind) {
@@ -41,85 +42,89 @@
 	return p.queue.Push(&t.item, now)
 }
 
-// serve starts waiting requests while there is room. granted is told of each
-// that starts, late of each that left the queue because it could not be done
-// in time.
-func (p *pool) dispatch(now time.Time, granted, late func(*Ticket)) {
+// dispatch starts queued requests while slots are free. It calls onStart for
+// each request that starts and onExpired for each one that left the queue
+// because it could not meet its deadline.
+func (p *pool) dispatch(now time.Time, onStart, onExpired func(*Ticket)) {
 	p.queue.SetSlots(p.slotLimit(now))
-	drop := func(it *fairqueue.Item) { late(it.Value.(*Ticket)) }
+	expire := func(it *fairqueue.Item) { onExpired(it.Value.(*Ticket)) }
 	for p.queue.Len() > 0 && p.freeSlots(now) > 0 {
-		it := p.queue.Pop(now, drop)
+		it := p.queue.Pop(now, expire)
 		if it == nil {
 			return
 		}
 		t := it.Value.(*Ticket)
 		p.start(t, p.pick(t, now))
-		granted(t)
+		onStart(t)
 	}
 }
 
-// lastResort is more than any load.
+// lastResortLoad is added to the load of upstreams that are used only if no
+// other one is free. It exceeds any load.
 const lastResortLoad = 1e6
 
-func (p *pool) start(t *Ticket, w *upstreamState) {
-	w.running++
-	t.upstream = w
-	t.Upstream, t.Address = w.name, w.Address
-	t.trial = w.health.condition == onTrial
+func (p *pool) start(t *Ticket, s *upstreamState) {
+	s.running++
+	t.upstream = s
+	t.Upstream, t.Address = s.name, s.Address
+	t.trial = s.health.condition == onTrial
 }
 
-// pick chooses the upstream for a request. There is a free one.
+// pick chooses the upstream for a request. The caller ensures that one is
+// free.
 //
-// The least loaded is taken over all of the pool: its counts are true, not
-// reports, so two random choices would only be worse. One that warms up, drains
-// or has a complaint against it is considered in the part of the choices that
-// it should get, else only where no other is free. An upstream on trial comes first, one that an earlier attempt failed on comes last.
+// It chooses the least loaded of all upstreams. The loads are exact counts,
+// so that the better of two random choices would only be worse. An upstream
+// in slow start, in a drain or with a warning takes part in only a fraction
+// of the choices (see trafficFraction) and is otherwise used only if no other
+// upstream is free. An upstream that is due for a trial request is chosen
+// first, and one on which an earlier attempt failed is chosen last.
 func (p *pool) pick(t *Ticket, now time.Time) *upstreamState {
 	var best *upstreamState
 	bestLoad := math.Inf(1)
 	offset := p.rng.IntN(len(p.upstreams))
 	for i := range p.upstreams {
-		w := p.upstreams[(i+offset)%len(p.upstreams)]
-		if w.running == 0 && w.acceptsRequests(now) && w.health.TrialDue(t.safe, now) && w.name != t.avoid {
-			return w
+		s := p.upstreams[(i+offset)%len(p.upstreams)]
+		if s.running == 0 && s.acceptsRequests(now) && s.health.TrialDue(t.safe, now) && s.name != t.avoid {
+			return s
 		}
-		if w.freeSlots(now) == 0 {
+		if s.freeSlots(now) == 0 {
 			continue
 		}
-		load := w.load(now)
-		if part := w.trafficFraction(now); part < 1 && p.rng.Float64() >= part {
+		load := s.load(now)
+		if fraction := s.trafficFraction(now); fraction < 1 && p.rng.Float64() >= fraction {
 			load += lastResortLoad
 		}
-		if w.name == t.avoid {
+		if s.name == t.avoid {
 			load = math.MaxFloat64
 		}
 		if load < bestLoad {
-			best, bestLoad = w, load
+			best, bestLoad = s, load
 		}
 	}
 	return best
 }
 
-// done takes a result in.
-func (p *pool) done(t *Ticket, r Result, now time.Time) {
-	w := t.upstream
+// finish records the result of a request and releases its slot.
+func (p *pool) finish(t *Ticket, r Result, now time.Time) {
+	s := t.upstream
 	p.recordResult(t, r, now)
-	w.running--
-	w.drain.recordRunning(w.running, now)
+	s.running--
+	s.drain.recordRunning(s.running, now)
 	p.queue.Done(&t.item, r.Took, now)
 }
 
 func (p *pool) recordResult(t *Ticket, r Result, now time.Time) {
-	w := t.upstream
+	s := t.upstream
 	switch r.kind() {
 	case resultUnsent:
 	case resultShed:
-		w.limit.Decrease(w.running, now)
+		s.limit.Decrease(s.running, now)
 		p.recordTrial(t, false, 0, now)
 	case resultFailed:
-		w.health.RecordFailure()
+		s.health.RecordFailure()
 		p.recordTrial(t, false, 0, now)
-		p.ejectIfUnhealthy(w, now)
+		p.ejectIfUnhealthy(s, now)
 	case resultAbandoned:
 		p.recordAbandoned(t, r, now)
 	case resultResponded:
@@ -128,24 +133,24 @@
 }
 
 func (p *pool) recordResponse(t *Ticket, r Result, now time.Time) {
-	w := t.upstream
+	s := t.upstream
 	slowness := slownessOf(r, t.expectedResponseTime)
-	w.health.RecordResponse(slowness)
-	w.probe.lastResponse = now
-	if w.health.condition == healthy {
+	s.health.RecordResponse(slowness)
+	s.probe.lastResponse = now
+	if s.health.condition == healthy {
 		p.slotTimes.Record(t.kind, r.Took)
 		p.responseTimes.Record(t.kind, r.responseTime())
 	}
-	if w.running >= w.limit.Value() {
-		w.limit.Increase(now)
+	if s.running >= s.limit.Value() {
+		s.limit.Increase(now)
 	}
 	p.recordTrial(t, true, slowness, now)
-	p.ejectIfUnhealthy(w, now)
+	p.ejectIfUnhealthy(s, now)
 }
 
-// abandoned: the caller gave up. An answer that had not come after many times
-// the expected time counts as slow; one that had not been given the time
-// says nothing.
+// recordAbandoned records a request whose caller stopped waiting. A response
+// that took many times the expected time counts as slow; after a shorter wait
+// the result says nothing about the upstream.
 func (p *pool) recordAbandoned(t *Ticket, r Result, now time.Time) {
 	slowness := slownessOf(r, t.expectedResponseTime)
 	if slowness < maxSlowness {
@@ -156,7 +161,8 @@
 	p.ejectIfUnhealthy(t.upstream, now)
 }
 
-// slownessOf compares with what is usual for the kind of work; 1 if nothing is.
+// slownessOf returns the ratio of the response time to the expected one, or 1
+// if none is known.
 func slownessOf(r Result, expected time.Duration) float64 {
 	if expected <= 0 {
 		return 1
@@ -164,83 +170,87 @@
 	return float64(r.responseTime()) / float64(expected)
 }
 
-// tried settles a trial.
+// recordTrial records the result of a trial request.
 func (p *pool) recordTrial(t *Ticket, ok bool, slowness float64, now time.Time) {
-	w := t.upstream
-	if !t.trial || w.health.condition != onTrial {
+	s := t.upstream
+	if !t.trial || s.health.condition != onTrial {
 		return
 	}
-	slow, _ := p.peerAverages(w, now)
-	if w.health.RecordTrial(ok, slowness, slow, now) {
-		w.limit.Reset(now)
+	peerSlowness, _ := p.peerStats(s, now)
+	if s.health.RecordTrial(ok, slowness, peerSlowness, now) {
+		s.limit.ResetToOne(now)
 	}
 }
 
-// review ejects an upstream that is sick beside its peers, within the bound.
-func (p *pool) ejectIfUnhealthy(w *upstreamState, now time.Time) {
-	h := w.health
+// ejectIfUnhealthy ejects an upstream whose results are much worse than those
+// of its peers, unless too many are ejected already.
+func (p *pool) ejectIfUnhealthy(s *upstreamState, now time.Time) {
+	h := s.health
 	if h.condition != healthy || (h.failureRatio <= maxFailureRatio && h.slowness <= maxSlowness) {
 		return
 	}
-	slow, failing := p.peerAverages(w, now)
-	if h.ShouldEject(slow, failing) && p.mayEject(now) {
+	peerSlowness, peerFailures := p.peerStats(s, now)
+	if h.ShouldEject(peerSlowness, peerFailures) && p.mayEject(now) {
 		h.Eject(now)
 	}
 }
 
+// mayEject reports whether one more upstream may be ejected.
 func (p *pool) mayEject(now time.Time) bool {
-	out, all := 0, 0
-	for _, w := range p.upstreams {
-		if !w.acceptsRequests(now) {
+	notHealthy, all := 0, 0
+	for _, s := range p.upstreams {
+		if !s.acceptsRequests(now) {
 			continue
 		}
 		all++
-		if w.health.condition != healthy {
-			out++
+		if s.health.condition != healthy {
+			notHealthy++
 		}
 	}
-	return float64(out+1) <= maxEjectedFraction*float64(all)
+	return float64(notHealthy+1) <= maxEjectedFraction*float64(all)
 }
 
-// peers returns the median slowness and the mean failures of the other
-// upstreams in use.
-func (p *pool) peerAverages(self *upstreamState, now time.Time) (slowness, failures float64) {
-	var slow []float64
-	for _, w := range p.upstreams {
-		if w == self || !w.acceptsRequests(now) || w.health.condition != healthy {
+// peerStats returns the median slowness and the mean failure ratio of the
+// other upstreams in use.
+func (p *pool) peerStats(self *upstreamState, now time.Time) (slowness, failures float64) {
+	var slownesses []float64
+	for _, s := range p.upstreams {
+		if s == self || !s.acceptsRequests(now) || s.health.condition != healthy {
 			continue
 		}
-		slow = append(slow, w.health.slowness)
-		failures += w.health.failureRatio
+		slownesses = append(slownesses, s.health.slowness)
+		failures += s.health.failureRatio
 	}
-	if len(slow) == 0 {
+	if len(slownesses) == 0 {
 		return 1, 0
 	}
-	slices.Sort(slow)
-	return slow[(len(slow)-1)/2], failures / float64(len(slow))
+	slices.Sort(slownesses)
+	return slownesses[(len(slownesses)-1)/2], failures / float64(len(slownesses))
 }
 
-// limit is how many requests the pool may run at once, trials left aside.
+// slotLimit returns the number of requests that may run at once, not counting
+// trial requests.
 func (p *pool) slotLimit(now time.Time) int {
 	sum := 0
-	for _, w := range p.upstreams {
-		if w.acceptsRequests(now) && w.health.condition == healthy {
-			sum += w.slotLimit(now)
+	for _, s := range p.upstreams {
+		if s.acceptsRequests(now) && s.health.condition == healthy {
+			sum += s.slotLimit(now)
 		}
 	}
 	return sum
 }
 
-// free is how many more it may start.
+// freeSlots returns the number of requests that may start now, not counting
+// trial requests.
 func (p *pool) freeSlots(now time.Time) int {
 	sum := 0
-	for _, w := range p.upstreams {
-		sum += w.freeSlots(now)
+	for _, s := range p.upstreams {
+		sum += s.freeSlots(now)
 	}
 	return sum
 }
 
-// idle tells whether nothing here waits or runs.
-func (p *pool) idle() bool {
-	return p.queue.Len() == 0 && !slices.ContainsFunc(p.upstreams, func(w *upstreamState) bool { return w.running > 0 })
+// isIdle reports whether no request is queued or running.
+func (p *pool) isIdle() bool {
+	return p.queue.Len() == 0 && !slices.ContainsFunc(p.upstreams, func(s *upstreamState) bool { return s.running > 0 })
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -8,48 +8,55 @@
 	"time"
 )
 
-// What a worker pays, as its operators measured it.
+// Cost of a probe and of a new connection in service time of the upstream.
 const (
 	probeCost      = 6 * time.Millisecond
 	connectionCost = time.Millisecond
 )
 
-// Plan of probes. One daemon probes an upstream, its handler, and only where
-// the upstream's own answers say nothing: it is ejected, or nobody asked it.
+// Timing of probes. An upstream is probed only by its handler, and only while
+// its responses say nothing about it: it is ejected, or it has received no
+// requests recently.
 const (
-	// probeEvery is the time between two probes of one upstream: 6 ms in 2 s
-	// is 0.3% of one worker's time and leaves room under 1% for seven new
-	// connections a second; with connections kept open there are next to none.
+	// probeInterval is the time between two probes of one upstream. A probe
+	// of 6 ms every 2 s takes 0.3% of the time of one slot. A total of 1% is
+	// reached only with seven new connections a second in addition, and
+	// kept-alive connections make new ones rare.
 	probeInterval = 2 * time.Second
-	// quietAfter without an answer, an upstream is probed.
+	// maxResponseAge is the time without a response after which an upstream
+	// is probed.
 	maxResponseAge = 10 * time.Second
-	// probeTick is how often due probes are looked for.
+	// probeCheckInterval is the time between two checks for due probes.
 	probeCheckInterval = 500 * time.Millisecond
-	// probeTimeout is short against probeEvery, so that probes never overlap.
+	// probeTimeout is shorter than probeInterval, so that probes of an
+	// upstream never overlap.
 	probeTimeout = time.Second
 )
 
-// The health endpoint. An upstream that has none (404) counts as well: it
-// answers.
+// The health endpoint. A 404 from an upstream without the endpoint counts as
+// success, because the upstream responds.
 const (
 	probePath = "/healthz"
-	// headerLoad tells the part of its slots that the upstream thinks it uses.
+	// headerLoad contains the fraction of its slots that the upstream reports
+	// as used.
 	headerLoad = "Balsam-Load"
-	// loadComplaint is a reported load that counts as a complaint where this
-	// handler, which is the only one to send it work, uses less than half of
-	// its slots. A report lags and may lie: see hintTrust.
+	// warningLoad is the reported load that counts as a warning if this
+	// handler, the only one that sends requests to the upstream, uses less
+	// than half of its slots. Reports lag and can be wrong; see
+	// warningWeight.
 	warningLoad = 0.9
 )
 
-// probe is the plan of one upstream's probes, and what they cost it.
+// probeSchedule is the probe schedule of one upstream.
 type probeSchedule struct {
 	nextAt       time.Time
 	lastResponse time.Time
-	// probes counts what the upstream paid for.
+	// sent is the number of probes.
 	sent int
 }
 
-// due tells whether to probe now, and plans the next one.
+// due reports whether the upstream is to be probed now, and if so schedules
+// the next probe.
 func (p *probeSchedule) due(usable bool, now time.Time) bool {
 	if now.Before(p.nextAt) || usable && now.Sub(p.lastResponse) < maxResponseAge {
 		return false
@@ -59,37 +66,39 @@
 	return true
 }
 
-// ProbeTarget is an upstream to be probed now.
+// ProbeTarget is an upstream to probe.
 type ProbeTarget struct {
 	Service  string
 	Upstream string
 	Address  string
 }
 
-// DueProbes returns the upstreams to be probed now and counts them as probed.
+// DueProbes returns the upstreams to probe now and schedules their next
+// probes.
 func (h *Handler) DueProbes(now time.Time) []ProbeTarget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var due []ProbeTarget
 	for service, p := range h.pools {
-		for _, w := range p.upstreams {
-			if w.acceptsRequests(now) && w.probe.due(w.health.condition == healthy, now) {
-				due = append(due, ProbeTarget{Service: service, Upstream: w.name, Address: w.Address})
+		for _, s := range p.upstreams {
+			if s.acceptsRequests(now) && s.probe.due(s.health.condition == healthy, now) {
+				due = append(due, ProbeTarget{Service: service, Upstream: s.name, Address: s.Address})
 			}
 		}
 	}
 	return due
 }
 
-// ProbeResult is what a health endpoint said.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
-	// OK: it answered, and with no server error.
+	// OK is true if the upstream responded, and not with a server error.
 	OK bool
-	// Load is the part of its slots that it says it uses; 0 if it says nothing.
+	// Load is the fraction of its slots that the upstream reports as used; 0
+	// if it reports none.
 	Load float64
 }
 
-// Probed notes a probe's result.
+// RecordProbe records the result of a probe.
 func (h *Handler) RecordProbe(target ProbeTarget, r ProbeResult, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,22 +106,22 @@
 	if p == nil {
 		return
 	}
-	for _, w := range p.upstreams {
-		if w.name == target.Upstream {
-			w.recordProbe(r, now)
+	for _, s := range p.upstreams {
+		if s.name == target.Upstream {
+			s.recordProbe(r, now)
 		}
 	}
 }
 
-func (w *upstreamState) recordProbe(r ProbeResult, now time.Time) {
-	full := r.Load >= warningLoad && 2*w.running < w.limit.Value()
-	if !r.OK || full {
-		w.health.RecordWarning(now)
+func (s *upstreamState) recordProbe(r ProbeResult, now time.Time) {
+	overloaded := r.Load >= warningLoad && 2*s.running < s.limit.Value()
+	if !r.OK || overloaded {
+		s.health.RecordWarning(now)
 	}
-	if w.health.condition == healthy {
+	if s.health.condition == healthy {
 		return
 	}
-	w.health.probePassed = r.OK
+	s.health.probePassed = r.OK
 }
 
 // Prober probes the upstreams that a daemon handles.
@@ -121,7 +130,7 @@
 	Client  *Client
 }
 
-// Run probes until ctx ends.
+// Run sends probes until ctx is done.
 func (p *Prober) Run(ctx context.Context) {
 	ticker := time.NewTicker(probeCheckInterval)
 	defer ticker.Stop()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -8,9 +8,10 @@
 	"balsambarrow/internal/wire"
 )
 
-// requestOf asks for room for a call. What tells kinds of work apart is method
-// and first path segment: enough to know reports from lookups, few enough
-// that each is seen often. avoid names the upstream to try last.
+// newRequest returns the request for a slot for a call. Kinds of requests are
+// distinguished by method and first path segment: that separates reports from
+// lookups, and each kind is seen often enough to estimate its service time.
+// avoid names the upstream to use only as a last resort.
 func newRequest(call *wire.Call, avoid string) Request {
 	segment, _, _ := strings.Cut(strings.TrimPrefix(call.Path, "/"), "/")
 	return Request{
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -17,15 +17,16 @@
 	"balsambarrow/internal/wire"
 )
 
-// maxAttempts bounds the upstreams tried for one call at one handler.
+// maxAttempts is the maximum number of attempts for one call at one handler.
 const maxAttempts = 2
 
 // Runner runs calls on the upstreams that this daemon handles.
 type Runner struct {
 	Handler *Handler
 	Client  *Client
-	// KeyValid tells whether a key is still the customer's. It is asked again
-	// after the queue: a key withdrawn while a request waits must not run.
+	// KeyValid reports whether an API key is still valid for the customer. It
+	// is checked again after the queueing delay: a request must not run if
+	// its key was withdrawn meanwhile.
 	KeyValid func(digest config.Digest, customer string) bool
 	Tracer   trace.Tracer
 	// RetryBudgets limits the retries of each service. A nil value allows all
@@ -33,7 +34,8 @@
 	RetryBudgets *retry.Budgets
 }
 
-// Run waits for room, sends the call, and returns the answer as it begins.
+// Run waits for a slot, sends the call, and returns the response when it
+// begins.
 func (r *Runner) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
 	ctx, span := r.Tracer.Start(ctx, "handler", trace.WithAttributes(
 		attribute.String("service", call.Service), attribute.String("customer", call.Customer)))
@@ -42,23 +44,23 @@
 	var problem *wire.Problem
 	avoid := ""
 	for range maxAttempts {
-		var answer *wire.Answer
-		var latest *wire.Problem
-		answer, avoid, latest = r.attempt(ctx, call, avoid)
-		if latest == nil {
-			return answer, nil
+		var response *wire.Answer
+		var attemptProblem *wire.Problem
+		response, avoid, attemptProblem = r.attempt(ctx, call, avoid)
+		if attemptProblem == nil {
+			return response, nil
 		}
-		span.AddEvent(latest.Type)
-		problem = latest.After(problem)
-		if !canRetry(call, latest) || !r.RetryBudgets.AllowRetryOn(call.Service, latest) {
+		span.AddEvent(attemptProblem.Type)
+		problem = attemptProblem.After(problem)
+		if !canRetry(call, attemptProblem) || !r.RetryBudgets.AllowRetryOn(call.Service, attemptProblem) {
 			break
 		}
 	}
 	return nil, problem
 }
 
-// repeatable tells whether a call may be sent to another upstream after the
-// problem that one attempt met.
+// canRetry reports whether a call may be sent to another upstream after the
+// given problem of an attempt.
 func canRetry(call *wire.Call, p *wire.Problem) bool {
 	if p.Type != wire.TypeUpstreamFailed && p.Type != wire.TypeUpstreamShed {
 		return false
@@ -66,27 +68,27 @@
 	return call.Body.Sendable() && (p.Outcome == wire.OutcomeNotRun || call.Safe())
 }
 
-// attempt sends the call to one upstream and names it; avoid is the one that
-// the attempt before met.
+// attempt sends the call to one upstream and returns its name. avoid is the
+// upstream of the previous attempt.
 func (r *Runner) attempt(ctx context.Context, call *wire.Call, avoid string) (*wire.Answer, string, *wire.Problem) {
-	asked := time.Now()
+	queuedAt := time.Now()
 	ticket, problem := r.acquire(ctx, call, avoid)
 	if problem != nil {
 		return nil, avoid, problem
 	}
-	if !r.keyValid(call) {
+	if !r.isKeyValid(call) {
 		ticket.Done(Result{})
 		return nil, ticket.Upstream, wire.Refuse(wire.TypeUnknownKey, "the key was withdrawn", 0)
 	}
 	ctx, span := r.Tracer.Start(ctx, "upstream attempt", trace.WithAttributes(attribute.String("upstream", ticket.Upstream)))
 	defer span.End()
 	start := time.Now()
-	req, err := r.request(ctx, call, ticket.Address)
+	req, err := r.newHTTPRequest(ctx, call, ticket.Address)
 	if err != nil {
 		ticket.Done(Result{})
 		return nil, ticket.Upstream, wire.Refuse(wire.TypeBadRequest, err.Error(), 0)
 	}
-	resp, sent, err := r.Client.Send(req) //nolint:bodyclose // the answer's reader closes it
+	resp, sent, err := r.Client.Send(req) //nolint:bodyclose // the reader of the response closes it
 	if err != nil {
 		ticket.Done(Result{Failed: true, Abandoned: ctx.Err() != nil, Took: time.Since(start)})
 		return nil, ticket.Upstream, sendProblem(ctx, sent, err)
@@ -100,7 +102,7 @@
 		return nil, ticket.Upstream, problem
 	}
 	wire.StripOwn(resp.Header)
-	resp.Header.Set(wire.HeaderQueuedMs, strconv.FormatInt(start.Sub(asked).Milliseconds(), 10))
+	resp.Header.Set(wire.HeaderQueuedMs, strconv.FormatInt(start.Sub(queuedAt).Milliseconds(), 10))
 	return &wire.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, ticket.Upstream, nil
 }
 
@@ -110,12 +112,12 @@
 	return r.Handler.Acquire(ctx, newRequest(call, avoid))
 }
 
-func (r *Runner) keyValid(call *wire.Call) bool {
+func (r *Runner) isKeyValid(call *wire.Call) bool {
 	digest, ok := config.ParseDigest(call.KeyDigest)
 	return ok && r.KeyValid(digest, call.Customer)
 }
 
-func (r *Runner) request(ctx context.Context, call *wire.Call, address string) (*http.Request, error) {
+func (r *Runner) newHTTPRequest(ctx context.Context, call *wire.Call, address string) (*http.Request, error) {
 	req, err := call.Request(ctx, "http://"+address)
 	if err != nil {
 		return nil, err
@@ -125,10 +127,11 @@
 	return req, nil
 }
 
-// trackedBody gives the room back when the answer has ended.
+// trackedBody releases the slot when the response has ended.
 type trackedBody struct {
 	io.ReadCloser
-	// ctx tells a caller that gave up from an upstream that broke off.
+	// ctx distinguishes a caller that disconnected from an upstream that
+	// broke the connection.
 	ctx       context.Context
 	ticket    *Ticket
 	start     time.Time
--- a/internal/upstream/sim_test.go
+++ b/internal/upstream/sim_test.go
@@ -69,7 +69,7 @@
 	// offer takes a request; false: refused, with the time to come back.
 	enqueue(r *request) (bool, time.Duration)
 	// done is told how a started request ended.
-	done(r *request, result Result)
+	finished(r *request, result Result)
 	// leave is told that the caller of a waiting request gave up.
 	cancel(r *request)
 }
@@ -276,7 +276,7 @@
 
 func (s *sim) finish(r *request, result Result) {
 	r.machine.running--
-	s.handlers[r.handler].done(r, result)
+	s.handlers[r.handler].finished(r, result)
 	if result.kind() == resultResponded {
 		r.finished = true
 		s.outcome.recordServed(s, r)
@@ -344,25 +344,25 @@
 	f.pool.dispatch(f.s.now(), func(t *Ticket) { f.s.start(f.requestOf[t], f.byName[t.Upstream]) }, func(t *Ticket) {
 		r := f.requestOf[t]
 		r.finished = true
-		f.forget(r)
+		f.remove(r)
 		f.s.outcome.recordUnserved(f.s, r, Result{Abandoned: true})
 	})
 }
 
-func (f *poolDiscipline) forget(r *request) {
+func (f *poolDiscipline) remove(r *request) {
 	delete(f.requestOf, f.ticketOf[r])
 	delete(f.ticketOf, r)
 }
 
-func (f *poolDiscipline) done(r *request, result Result) {
-	f.pool.done(f.ticketOf[r], result, f.s.now())
-	f.forget(r)
+func (f *poolDiscipline) finished(r *request, result Result) {
+	f.pool.finish(f.ticketOf[r], result, f.s.now())
+	f.remove(r)
 	f.dispatch()
 }
 
 func (f *poolDiscipline) cancel(r *request) {
 	f.pool.queue.Remove(&f.ticketOf[r].item, f.s.now())
-	f.forget(r)
+	f.remove(r)
 }
 
 // naive is the baseline: one FIFO queue of 1024, whose waiters leave at their
@@ -443,7 +443,7 @@
 	return best
 }
 
-func (n *fifoDiscipline) done(r *request, _ Result) {
+func (n *fifoDiscipline) finished(r *request, _ Result) {
 	n.running[r.machine]--
 	n.dispatch()
 }
--- a/internal/upstream/simresult_test.go
+++ b/internal/upstream/simresult_test.go
@@ -58,7 +58,7 @@
 
 func (o *outcome) recordServed(s *sim, r *request) {
 	if r.isRetry {
-		if o.afterOverload(r) {
+		if o.arrivedAfterLoad(r) {
 			o.returnedServed++
 		}
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-func (o *outcome) afterOverload(r *request) bool {
+func (o *outcome) arrivedAfterLoad(r *request) bool {
 	return r.arrived.Sub(epoch) >= o.scenario.loadEnds
 }
 
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -6,7 +6,7 @@
 	"balsambarrow/internal/config"
 )
 
-// worker is one upstream as its handler sees it.
+// upstreamState is the state of one upstream at its handler.
 type upstreamState struct {
 	config.Upstream
 	name    string
@@ -14,11 +14,12 @@
 	health  *Health
 	running int
 	drain   drain
-	// released: another daemon handles it now; what runs here finishes.
+	// released is true if the upstream is assigned to another daemon and
+	// requests are still running here.
 	released bool
 	probe    probeSchedule
-	// takeover bounds the room while an earlier handler may still use some;
-	// nil where there can be none.
+	// takeover limits the slots while a previous handler may still use some
+	// of them; nil if there is none.
 	takeover *Takeover
 }
 
@@ -26,83 +27,89 @@
 	return &upstreamState{Upstream: u, name: name, limit: NewLimit(u.Slots), health: NewHealth()}
 }
 
-// takesWork tells whether the upstream may get new work at all.
-func (w *upstreamState) acceptsRequests(now time.Time) bool {
-	return !w.released && !w.drain.rampEnded(now)
+// acceptsRequests reports whether the upstream may receive new requests.
+func (s *upstreamState) acceptsRequests(now time.Time) bool {
+	return !s.released && !s.drain.rampEnded(now)
 }
 
-// free is how many more requests it may start, trials left aside.
-func (w *upstreamState) freeSlots(now time.Time) int {
-	if !w.acceptsRequests(now) || w.health.condition != healthy {
+// freeSlots returns the number of requests that may start now, not counting
+// trial requests.
+func (s *upstreamState) freeSlots(now time.Time) int {
+	if !s.acceptsRequests(now) || s.health.condition != healthy {
 		return 0
 	}
-	return max(w.slotLimit(now)-w.running, 0)
+	return max(s.slotLimit(now)-s.running, 0)
 }
 
-// room is how many requests it may run at once.
-func (w *upstreamState) slotLimit(now time.Time) int {
-	if w.takeover == nil {
-		return w.limit.Value()
+// slotLimit returns the number of requests that may run at once.
+func (s *upstreamState) slotLimit(now time.Time) int {
+	if s.takeover == nil {
+		return s.limit.Value()
 	}
-	return w.takeover.SlotLimit(w.limit.Value(), now)
+	return s.takeover.SlotLimit(s.limit.Value(), now)
 }
 
-// load is what the next request would find: lower is better.
-func (w *upstreamState) load(now time.Time) float64 {
-	return float64(w.running+1) * w.health.Slowness() / float64(w.slotLimit(now))
+// load returns the load including the next request. Lower is better.
+func (s *upstreamState) load(now time.Time) float64 {
+	return float64(s.running+1) * s.health.Slowness() / float64(s.slotLimit(now))
 }
 
-// part is the part of an equal share that it should get, 0 to 1.
-func (w *upstreamState) trafficFraction(now time.Time) float64 {
-	return w.health.Weight(now) * w.drain.trafficFraction(now)
+// trafficFraction returns the fraction of an equal share of the traffic that
+// the upstream should receive, from 0 to 1.
+func (s *upstreamState) trafficFraction(now time.Time) float64 {
+	return s.health.Weight(now) * s.drain.trafficFraction(now)
 }
 
-// drain is a planned stop of new work at one upstream.
+// drain is the planned drain of one upstream.
 type drain struct {
 	active bool
 	start  time.Time
 	ramp   time.Duration
-	// began is when this handler learned of it.
-	startedAt time.Time
-	// emptied is when the last request had ended; zero while some run.
+	// learnedAt is when this handler learned of the drain.
+	learnedAt time.Time
+	// emptiedAt is when the last request ended; zero while requests are
+	// running.
 	emptiedAt time.Time
 }
 
-// over tells whether nothing new may start.
+// rampEnded reports whether no new requests may start.
 func (d *drain) rampEnded(now time.Time) bool {
 	return d.active && !now.Before(d.start.Add(d.ramp))
 }
 
-// remaining is the part of its traffic that a draining upstream still gets.
+// trafficFraction returns the fraction of its traffic that a draining
+// upstream still receives.
 func (d *drain) trafficFraction(now time.Time) float64 {
 	if !d.active || now.Before(d.start) || d.ramp <= 0 {
 		return 1
 	}
-	left := 1 - float64(now.Sub(d.start))/float64(d.ramp)
-	return min(max(left, 0.01), 1)
+	remaining := 1 - float64(now.Sub(d.start))/float64(d.ramp)
+	return min(max(remaining, 0.01), 1)
 }
 
-// set takes a plan over; it keeps what was measured of the same drain.
+// apply sets the planned drain. The recorded times are kept if the upstream
+// is already draining.
 func (d *drain) apply(plan drain, running int, now time.Time) {
 	if !plan.active {
 		*d = drain{}
 		return
 	}
 	if !d.active {
-		d.startedAt = now
+		d.learnedAt = now
 	}
 	d.active, d.start, d.ramp = true, plan.start, plan.ramp
 	d.recordRunning(running, now)
 }
 
-// note records the end of the last request.
+// recordRunning records the time at which the last request ended.
 func (d *drain) recordRunning(running int, now time.Time) {
 	if d.rampEnded(now) && running == 0 && d.emptiedAt.IsZero() {
 		d.emptiedAt = now
 	}
 }
 
-// planOf returns the drain that the configuration plans for an upstream.
+// plannedDrain returns the drain that the configuration plans for an
+// upstream.
 func plannedDrain(c *config.Config, name string) drain {
 	if c.Upstreams[name].Leaving {
 		return drain{active: true}
--- a/internal/upstream/takeover.go
+++ b/internal/upstream/takeover.go
@@ -2,47 +2,52 @@
 
 import "time"
 
-// TakeoverBound is how long the room of an upstream that moved here stays
-// reduced where nothing is heard of its earlier handler: by then the earlier
-// one has heard of the change, or is silent for as long as a dead one.
+// MaxTakeoverDuration is how long the slots of an upstream that moved here
+// stay limited if its previous handler reports nothing. By then the previous
+// handler has received the membership change, or has been unresponsive for
+// long enough to be considered failed.
 const MaxTakeoverDuration = 2 * time.Second
 
-// Takeover bounds the room of an upstream that another daemon handled until
-// now.
+// Takeover limits the slots of an upstream that was handled by another daemon
+// until now.
 //
-// The load pattern answered: membership changes under full load. The earlier
-// handler still runs up to all of the upstream's slots, and without a bound
-// the new one starts as many again: the upstream sheds, or serves everybody
-// slowly. With the earlier handler's count the two together start no more than
-// the slots; without it the room grows from one slot to all over
-// TakeoverBound. One slot is always granted, so that the upstream cannot be
-// left idle by an old count; the two may exceed the slots by that one.
+// It prevents overload when the membership changes under full load: the
+// previous handler still uses up to all slots of the upstream, and without a
+// limit the new one would start as many requests again, so that the upstream
+// sheds requests or becomes slow for all. If the previous handler reports its
+// count, both together start no more requests than there are slots. Without
+// reports, the limit grows from one slot to all of them over
+// MaxTakeoverDuration. One slot is always available, so that an outdated
+// count cannot leave the upstream idle; both handlers together may therefore
+// exceed the slots by one.
 type Takeover struct {
 	startedAt time.Time
 	reported  bool
 	running   int
 }
 
-// NewTakeover begins at now; nothing is known of the earlier handler.
+// NewTakeover returns a takeover that starts at now, without a report of the
+// previous handler.
 func NewTakeover(now time.Time) *Takeover { return &Takeover{startedAt: now} }
 
-// Report notes how many requests the earlier handler still runs, by its latest
-// heartbeat. 0 ends the takeover.
+// Report records the number of requests that the previous handler still runs,
+// from its latest heartbeat. 0 ends the takeover.
 func (t *Takeover) Report(running int) {
 	t.reported, t.running = true, running
 }
 
-// Over tells whether the upstream's room is whole again.
+// Finished reports whether all slots of the upstream may be used again.
 func (t *Takeover) Finished(now time.Time) bool {
 	if t.reported && t.running == 0 {
 		return true
 	}
-	// A count that never reaches 0 comes from a handler that is gone or keeps
-	// long answers; those few must not reduce the room for ever.
+	// A count that never reaches 0 is from a handler that has stopped or
+	// serves long responses; it must not limit the slots permanently.
 	return now.Sub(t.startedAt) >= MaxTakeoverDuration
 }
 
-// Room returns how many of the upstream's slots may be in use here at now.
+// SlotLimit returns the number of the upstream's slots that may be used here
+// at now.
 func (t *Takeover) SlotLimit(slots int, now time.Time) int {
 	switch {
 	case slots <= 1 || t.Finished(now):
@@ -50,7 +55,7 @@
 	case t.reported:
 		return min(max(slots-t.running, 1), slots)
 	default:
-		part := float64(now.Sub(t.startedAt)) / float64(MaxTakeoverDuration)
-		return 1 + int(float64(slots-1)*max(part, 0))
+		fraction := float64(now.Sub(t.startedAt)) / float64(MaxTakeoverDuration)
+		return 1 + int(float64(slots-1)*max(fraction, 0))
 	}
 }
--- a/internal/upstream/ticket.go
+++ b/internal/upstream/ticket.go
@@ -6,35 +6,38 @@
 	"balsambarrow/internal/fairqueue"
 )
 
-// Request asks for room at one upstream of a service.
+// Request is a request for a slot at an upstream of a service.
 type Request struct {
 	Service  string
 	Customer string
 	Deadline time.Time
-	// Key is a hash of the caller's key: a customer's keys share its part.
+	// Key is a hash of the API key. The keys of a customer share its
+	// capacity.
 	Key uint64
-	// Kind is a hash of what tells kinds of work apart, such as method and
-	// path prefix; how long each takes is learned.
+	// Kind is a hash of what distinguishes kinds of requests, such as method
+	// and path prefix. Service times are estimated by kind.
 	Kind uint64
-	// Safe: the request may be tried again after it may have run.
+	// Safe is true if the request may be retried after it may have run.
 	Safe bool
-	// Avoid names the upstream that an earlier attempt failed on.
+	// Avoid names the upstream on which an earlier attempt failed.
 	Avoid string
 }
 
-// Result is how a dispatched request ended, as the handler saw it. The zero
-// value says that nothing was sent.
+// Result is the result of a dispatched request as seen by the handler. The
+// zero value means that nothing was sent.
 type Result struct {
-	// Failed: no whole answer, or a server error.
+	// Failed is true if there was no complete response, or a server error.
 	Failed bool
-	// Shed: the upstream refused the work.
+	// Shed is true if the upstream shed the request.
 	Shed bool
-	// Abandoned: the caller gave up or its deadline passed; no fault of the
-	// upstream unless it took many times what was expected.
+	// Abandoned is true if the caller disconnected or the deadline passed. It
+	// counts against the upstream only after many times the expected response
+	// time.
 	Abandoned bool
-	// Took is the time from dispatch to the end of the answer.
+	// Took is the time from dispatch to the end of the response.
 	Took time.Duration
-	// FirstByte is the time from dispatch until the answer began; 0: as Took.
+	// FirstByte is the time from dispatch to the start of the response; 0
+	// means Took.
 	FirstByte time.Duration
 }
 
@@ -62,7 +65,7 @@
 	return resultResponded
 }
 
-// answer is the time until the answer began.
+// responseTime returns the time from dispatch to the start of the response.
 func (r Result) responseTime() time.Duration {
 	if r.FirstByte > 0 {
 		return r.FirstByte
@@ -73,7 +76,7 @@
 // Ticket is the right to run one request on one upstream. Done must be called
 // once.
 type Ticket struct {
-	// Upstream is its name, Address where it listens.
+	// Upstream is the name of the upstream, Address its network address.
 	Upstream string
 	Address  string
 
@@ -82,14 +85,16 @@
 	upstream *upstreamState
 	item     fairqueue.Item
 	kind     uint64
-	// expected is the time until the answer begins; 0: not known.
+	// expectedResponseTime is the expected time until the response begins; 0
+	// if unknown.
 	expectedResponseTime time.Duration
 	safe                 bool
 	trial                bool
 	avoid                string
-	// ready is closed when a waiting request starts or is refused.
+	// ready is closed when a queued request starts or expires.
 	ready chan struct{}
-	// late: it left the queue because it could not be done in time.
+	// expired is true if the request left the queue because it could not meet
+	// its deadline.
 	expired bool
 }
 
@@ -101,5 +106,5 @@
 	return t
 }
 
-// Done gives the room back and takes the result into account.
-func (t *Ticket) Done(r Result) { t.handler.done(t, r, time.Now()) }
+// Done releases the slot and records the result.
+func (t *Ticket) Done(r Result) { t.handler.finish(t, r, time.Now()) }
