--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -15,15 +15,15 @@
 	"balsambarrow/internal/upstream"
 )
 
-// rawUpstream speaks TCP: it serves answers of each connection in turn, the
-// last for ever, and counts the requests it has read. An answer of "" closes
-// the connection without one.
+// rawUpstream is an upstream at TCP level. On each connection it sends the
+// given responses in order and repeats the last one; the response "" closes
+// the connection. It counts the requests it has read.
 type rawUpstream struct {
 	address  string
 	requests atomic.Int64
 }
 
-func newRawUpstream(t *testing.T, answers ...string) *rawUpstream {
+func newRawUpstream(t *testing.T, responses ...string) *rawUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -35,13 +35,13 @@
 			if err != nil {
 				return
 			}
-			go u.serve(conn, answers)
+			go u.serve(conn, responses)
 		}
 	}()
 	return u
 }
 
-func (u *rawUpstream) serve(conn net.Conn, answers []string) {
+func (u *rawUpstream) serve(conn net.Conn, responses []string) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for i := 0; ; i++ {
@@ -51,8 +51,8 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		u.requests.Add(1)
-		answer := answers[min(i, len(answers)-1)]
-		if _, err := io.WriteString(conn, answer); err != nil || answer == "" {
+		response := responses[min(i, len(responses)-1)]
+		if _, err := io.WriteString(conn, response); err != nil || response == "" {
 			return
 		}
 	}
@@ -74,9 +74,9 @@
 	return c.Send(req)
 }
 
-// A farmer's weight posting goes out on a kept-alive connection. The worker
-// reads it, runs it, and dies before it answers. A client library that sends
-// the request again on a new connection bills the animal twice.
+// Guards against a posting that runs twice: an upstream reads a request on a
+// kept-alive connection, runs it and crashes before it responds. The client
+// must not send the request again on a new connection.
 func TestSendNeverReplays(t *testing.T) {
 	for name, c := range map[string]struct{ method, body, key string }{
 		"POST with Idempotency-Key":       {http.MethodPost, "weight=612", "p-0.1"},
@@ -106,13 +106,13 @@
 	}
 }
 
-// Workers close idle connections at the very moment at which the next posting
-// is written. Whatever the client reports, a request that it calls unsent was
-// never read, and none is read twice.
+// Guards against wrong outcomes while the upstream closes idle connections at
+// the moment the next posting is written: a request reported as unsent must
+// never have been read, and no request may be read twice.
 func TestSendWhileUpstreamClosesConnections(t *testing.T) {
 	g := NewWithT(t)
-	last := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Last: 1\r\n\r\nok"
-	u := newRawUpstream(t, last, "")
+	response := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Last: 1\r\n\r\nok"
+	u := newRawUpstream(t, response, "")
 	client := upstream.NewClient(nil)
 	defer client.Close()
 	const rounds = 400
@@ -132,8 +132,8 @@
 	g.Expect(u.requests.Load()).To(BeNumerically("<=", mayHaveRun))
 }
 
-// A caller gives up before a connection was made, or while the request waits
-// for one: nothing was sent, and nothing may be sent afterwards.
+// If the connection fails before the request is written, Send must report the
+// request as unsent, and must not send it afterwards.
 func TestSendReportsUnsent(t *testing.T) {
 	for name, dial := range map[string]upstream.Dialer{
 		"refused": func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed },
@@ -158,8 +158,8 @@
 	}
 }
 
-// An upstream redirects, or sends interim answers before the final one: the
-// caller gets the redirect itself, and the final answer alone.
+// The caller must receive a redirect itself, and only the final response if
+// the upstream sends interim responses before it.
 func TestSendReturnsRedirectsAndSkipsInterimResponses(t *testing.T) {
 	g := NewWithT(t)
 	u := newRawUpstream(t,
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -136,8 +136,8 @@
 	return t, nil
 }
 
-// endWait returns the result of a wait: the request was started, expired in
-// the queue, or was canceled.
+// endWait returns the result of a wait: the ticket of a started request, or
+// the problem of one that expired in the queue or was canceled.
 func (h *Handler) endWait(t *Ticket, now time.Time) (*Ticket, *wire.Problem) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/handler_test.go
+++ b/internal/upstream/handler_test.go
@@ -36,40 +36,41 @@
 	return t
 }
 
-// An upstream is taken away from this daemon and given back while a request
-// runs on it. The request must still count, or the upstream would get more
-// than its slots.
+// Guards against exceeding the slots of an upstream that is removed from this
+// daemon and assigned again while requests run on it: these requests must
+// still count.
 func TestReassignedUpstreamKeepsItsRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
 	c := lookupConfig(nil)
 	h.Assign(c, lookupUpstreams("u1"), false)
-	one, two := acquire(g, h), acquire(g, h)
+	first, second := acquire(g, h), acquire(g, h)
 	h.Assign(c, nil, false)
 	g.Expect(h.Headroom()).To(BeEmpty())
 	h.Assign(c, lookupUpstreams("u1"), false)
 	g.Expect(h.Headroom()["lookup"].Free).To(BeZero())
-	one.Done(Result{Took: time.Millisecond})
-	two.Done(Result{Took: time.Millisecond})
+	first.Done(Result{Took: time.Millisecond})
+	second.Done(Result{Took: time.Millisecond})
 	g.Expect(h.pools["lookup"].upstreams[0].running).To(BeZero())
 }
 
-// A daemon joins under full load and gets an upstream on which the earlier
-// handler still runs all slots. Together they must not run twice the slots: the
-// room here grows from one.
+// Guards against running twice the slots when a daemon joins under full load
+// and receives an upstream on which the previous handler still uses all
+// slots: the limit here grows from one slot, and a repeated assignment does
+// not restart it.
 func TestTakenOverUpstreamStartsWithOneSlot(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
 	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), true)
-	w := h.pools["lookup"].upstreams[0]
-	g.Expect(w.slotLimit(w.takeover.startedAt)).To(Equal(1))
-	g.Expect(w.slotLimit(w.takeover.startedAt.Add(MaxTakeoverDuration))).To(Equal(2))
+	s := h.pools["lookup"].upstreams[0]
+	g.Expect(s.slotLimit(s.takeover.startedAt)).To(Equal(1))
+	g.Expect(s.slotLimit(s.takeover.startedAt.Add(MaxTakeoverDuration))).To(Equal(2))
 	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), true)
-	g.Expect(h.pools["lookup"].upstreams[0]).To(BeIdenticalTo(w), "it does not begin again")
+	g.Expect(h.pools["lookup"].upstreams[0]).To(BeIdenticalTo(s), "the takeover does not restart")
 }
 
-// An operator drains an upstream. It must get nothing new from then on, what
-// runs finishes, and the time until it was empty is told.
+// A drained upstream must receive no new requests. Running requests finish,
+// and the time until the upstream was empty is reported.
 func TestDrainedUpstreamReceivesNoNewRequests(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
@@ -90,13 +91,13 @@
 	g.Expect(h.Headroom()["lookup"]).To(Equal(membership.Headroom{Limit: 1}))
 }
 
-// A waiting request's caller goes away in the moment when room is granted, or
-// before. The room must not be lost.
+// Guards against a leaked slot when the caller of a queued request
+// disconnects before or at the moment when a slot is granted.
 func TestCanceledWaitDoesNotLeakSlots(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
 	h.Assign(lookupConfig(nil), lookupUpstreams("u1"), false)
-	one, two := acquire(g, h), acquire(g, h)
+	first, second := acquire(g, h), acquire(g, h)
 	ctx, cancel := context.WithCancel(context.Background())
 	refusals := make(chan *wire.Problem)
 	go func() {
@@ -108,13 +109,13 @@
 	problem := <-refusals
 	g.Expect(problem.Type).To(Equal(wire.TypeDeadline))
 	g.Expect(problem.Outcome).To(Equal(wire.OutcomeNotRun))
-	one.Done(Result{})
-	two.Done(Result{})
+	first.Done(Result{})
+	second.Done(Result{})
 	acquire(g, h)
 	acquire(g, h)
 }
 
-// A waiting request starts as soon as another one ends.
+// A queued request must start as soon as another request ends.
 func TestWaitingRequestStarts(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
@@ -131,8 +132,9 @@
 	g.Expect((<-started).Upstream).To(Equal("u1"))
 }
 
-// Every upstream fails: ejecting them all would refuse everything, although
-// the cause may be a customer's requests. Half stay.
+// If every upstream fails, the cause may be the requests of a customer, and
+// ejecting all upstreams would refuse all requests. Half of them must stay in
+// use.
 func TestEjectionIsLimitedToHalfOfTheUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
@@ -143,14 +145,14 @@
 	g.Expect(h.pools["lookup"].slotLimit(time.Now())).To(BeNumerically(">=", 4))
 }
 
-// A worker has two slots where the configuration says four: it sheds. The
-// limit must settle at two, with one more tried ever more rarely.
+// An upstream has two slots although four are configured, and sheds requests.
+// The limit must settle at two and try a third slot less and less often.
 func TestLimitSettlesAtTrueSlots(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLimit(4)
 	now := time.Unix(0, 0)
 	sheds, tries := 0, 0
-	for range 10 * 60 * 100 { // ten minutes, a decision each 10 ms
+	for range 10 * 60 * 100 { // ten minutes with a decision every 10 ms
 		now = now.Add(10 * time.Millisecond)
 		tries++
 		if l.Value() > 2 {
--- a/internal/upstream/loadtables_test.go
+++ b/internal/upstream/loadtables_test.go
@@ -9,8 +9,8 @@
 
 const seed = 20260
 
-// TestMeasureUnderLoad prints the tables of docs/UNDER-LOAD.md. It judges
-// nothing; underload_test.go does.
+// TestMeasureUnderLoad prints the tables of docs/UNDER-LOAD.md. It checks
+// nothing; the checks are in underload_test.go.
 func TestMeasureUnderLoad(t *testing.T) {
 	if os.Getenv("BALSAM_MEASURE") != "1" {
 		t.Skip("measures only with BALSAM_MEASURE=1")
@@ -35,23 +35,23 @@
 }
 
 func comparisons(d deployment) []comparison {
-	const few = 10 * time.Second
+	const short = 10 * time.Second
 	return []comparison{
-		{d.scenario("70% load", 0.7, few), leastRunning},
-		{d.burst(few), leastRunning},
-		{d.hotCustomer(few), leastRunning},
-		{d.hotKey(few), leastRunning},
-		{d.slowUpstream(few), roundRobin},
-		{d.failingUpstream(few), leastRunning},
-		{d.sheddingUpstreams(few), leastRunning},
-		{d.falseLoadReports(few), leastReported},
-		{d.scenario("70% load, base without limit", 0.7, few), roundRobinUnlimited},
+		{d.scenario("70% load", 0.7, short), leastRunning},
+		{d.burst(short), leastRunning},
+		{d.hotCustomer(short), leastRunning},
+		{d.hotKey(short), leastRunning},
+		{d.slowUpstream(short), roundRobin},
+		{d.failingUpstream(short), leastRunning},
+		{d.sheddingUpstreams(short), leastRunning},
+		{d.falseLoadReports(short), leastReported},
+		{d.scenario("70% load, base without limit", 0.7, short), roundRobinUnlimited},
 		{d.lookupsAndReports(time.Minute, false), leastRunning},
 		{d.lookupsAndReports(time.Minute, true), leastRunning},
 		{d.overload(1.5, time.Minute), leastRunning},
 		{d.overload(3, time.Minute), leastRunning},
 		{d.overload(3, time.Minute), leastRunningUnbounded},
-		{d.coldCaches(few), leastRunning},
+		{d.coldCaches(short), leastRunning},
 	}
 }
 
@@ -66,15 +66,15 @@
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|")
 }
 
-func printComparison(sc scenario, base balancing) {
-	fmt.Printf("| %s | %s | %s |\n", sc.name, baselineNames[base], simulate(sc, seed, newFIFODiscipline(base)))
+func printComparison(sc scenario, baseline balancing) {
+	fmt.Printf("| %s | %s | %s |\n", sc.name, baselineNames[baseline], simulate(sc, seed, newFIFODiscipline(baseline)))
 	fmt.Printf("| | now | %s |\n", simulate(sc, seed, newPoolDiscipline))
 }
 
-func printRetries(d deployment, comeBack float64) {
-	o := simulate(d.overloadThenHalfLoad(3, 10*time.Second, comeBack), seed, newPoolDiscipline)
-	median, most := o.retryAfterStats()
+func printRetries(d deployment, retryFraction float64) {
+	o := simulate(d.overloadThenHalfLoad(3, 10*time.Second, retryFraction), seed, newPoolDiscipline)
+	median, longest := o.retryAfterStats()
 	fmt.Printf("\nOverload 3x for 10 s, then half load, %.0f%% of the refused come back when told (median %v, most %v): "+
 		"%d after the overload, %.1f%% of them served.\n",
-		100*comeBack, median.Round(time.Millisecond), most.Round(time.Millisecond), o.returned, 100*fraction(o.returnedServed, o.returned))
+		100*retryFraction, median.Round(time.Millisecond), longest.Round(time.Millisecond), o.returned, 100*fraction(o.returnedServed, o.returned))
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -114,8 +114,8 @@
 }
 
 func (s *upstreamState) recordProbe(r ProbeResult, now time.Time) {
-	overloaded := r.Load >= warningLoad && 2*s.running < s.limit.Value()
-	if !r.OK || overloaded {
+	reportsOverload := r.Load >= warningLoad && 2*s.running < s.limit.Value()
+	if !r.OK || reportsOverload {
 		s.health.RecordWarning(now)
 	}
 	if s.health.condition == healthy {
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -12,8 +12,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A worker pays 6 ms for a probe. An upstream that is never in use is probed
-// most; even that must cost it less than 1% of its time.
+// A probe costs the upstream 6 ms. An upstream without requests is probed
+// most often, and even then probes must cost less than 1% of the time of one
+// slot.
 func TestProbesCostLessThanOnePercent(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
@@ -24,12 +25,12 @@
 		h.DueProbes(start.Add(d))
 	}
 	cost := time.Duration(h.pools["lookup"].upstreams[0].probe.sent) * probeCost
-	t.Logf("probes cost %.2f%% of one worker's time", 100*cost.Seconds()/span.Seconds())
+	t.Logf("probes cost %.2f%% of the time of one slot", 100*cost.Seconds()/span.Seconds())
 	g.Expect(cost).To(BeNumerically("<", span/100))
 	g.Expect(cost).To(BeNumerically(">", 0))
 }
 
-// An upstream that answers its requests needs no probe.
+// An upstream that responds to requests must not be probed.
 func TestBusyUpstreamIsNotProbed(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
@@ -39,8 +40,8 @@
 	g.Expect(h.DueProbes(time.Now().Add(maxResponseAge + time.Second))).To(HaveLen(1))
 }
 
-// A worker pays 1 ms for a new connection. Requests on all slots, again and
-// again, must use the first connections.
+// A new connection costs the upstream 1 ms. Repeated requests on all slots
+// must reuse the first connections.
 func TestConnectionsAreReused(t *testing.T) {
 	g := NewWithT(t)
 	var opened atomic.Int64
@@ -74,9 +75,10 @@
 	g.Expect(opened.Load()).To(BeNumerically("<=", maxIdlePerHost))
 }
 
-// The health endpoint of a sick upstream says fine and its load report says
-// idle. Neither may bring it back: only its own answers do. A service of
-// postings risks one there only after a probe was answered.
+// Guards against an unhealthy upstream that returns to use because its health
+// endpoint reports success and its load report is low: only results of
+// requests may end an ejection. A request that is not safe to retry may be a
+// trial request only after a successful probe.
 func TestProbesOnlyLowerWeight(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHealth()
@@ -89,16 +91,16 @@
 	h.Eject(now)
 	due := now.Add(firstEjection)
 	g.Expect(h.TrialDue(true, now)).To(BeFalse())
-	g.Expect(h.TrialDue(false, due)).To(BeFalse(), "no probe was answered")
-	w := &upstreamState{health: h, limit: NewLimit(4)}
-	w.recordProbe(ProbeResult{OK: true}, due)
-	g.Expect(h.condition).To(Equal(onTrial), "a probe does not bring it back")
+	g.Expect(h.TrialDue(false, due)).To(BeFalse(), "no probe has succeeded")
+	s := &upstreamState{health: h, limit: NewLimit(4)}
+	s.recordProbe(ProbeResult{OK: true}, due)
+	g.Expect(h.condition).To(Equal(onTrial), "a probe does not end the ejection")
 	g.Expect(h.TrialDue(false, due)).To(BeTrue())
 	g.Expect(h.RecordTrial(false, 0, 1, due)).To(BeFalse())
 	g.Expect(h.TrialDue(true, due.Add(firstEjection))).To(BeFalse(), "the second ejection is longer")
-	back := due.Add(2 * firstEjection)
-	g.Expect(h.TrialDue(true, back)).To(BeTrue())
-	g.Expect(h.RecordTrial(true, 1, 1, back)).To(BeFalse())
-	g.Expect(h.RecordTrial(true, 1, 1, back)).To(BeFalse())
-	g.Expect(h.RecordTrial(true, 1, 1, back)).To(BeTrue())
+	secondDue := due.Add(2 * firstEjection)
+	g.Expect(h.TrialDue(true, secondDue)).To(BeTrue())
+	g.Expect(h.RecordTrial(true, 1, 1, secondDue)).To(BeFalse())
+	g.Expect(h.RecordTrial(true, 1, 1, secondDue)).To(BeFalse())
+	g.Expect(h.RecordTrial(true, 1, 1, secondDue)).To(BeTrue())
 }
--- a/internal/upstream/scenarios_test.go
+++ b/internal/upstream/scenarios_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// region cuts a deployment down to the two zones of one region, which keeps the
-// tests quick; zones hardly act on each other here.
+// oneRegion reduces a deployment to the two zones of one region, which makes
+// the tests faster. Zones hardly affect each other in these scenarios.
 func (d deployment) oneRegion() deployment {
 	d.zones, d.machines = 2, (d.machines+2)/3
 	return d
 }
 
-// deployment is one organisation's service of short work.
+// deployment describes one service of an organisation.
 type deployment struct {
 	name     string
 	zones    int
@@ -34,7 +34,7 @@
 	reportMeanTime = 2 * time.Second
 )
 
-// scenario is a steady load of the deployment's service.
+// scenario returns a steady load of the service.
 func (d deployment) scenario(name string, load float64, end time.Duration) scenario {
 	return scenario{
 		name: name, zones: d.zones, machines: d.machines, rates: d.rates, end: end, measureFrom: time.Second, keys: 4,
@@ -80,7 +80,8 @@
 	return d.faultyUpstream("upstream fails at once", end, func(m *machine) { m.fails = true })
 }
 
-// faulty breaks machine 0 after 2 s and measures from 3 s later on.
+// faultyUpstream applies a fault to machine 0 after 2 s and measures from 5 s
+// on.
 func (d deployment) faultyUpstream(name string, end time.Duration, fault func(*machine)) scenario {
 	sc := d.scenario(name, 0.6, end)
 	sc.measureFrom, sc.faultyMachine, sc.maxHandlers = 5*time.Second, true, 3
@@ -127,10 +128,11 @@
 	return sc
 }
 
-// overloadThenCalm lets comeBack of the refused callers return when told to.
-func (d deployment) overloadThenHalfLoad(times float64, end time.Duration, comeBack float64) scenario {
+// overloadThenHalfLoad is an overload after which retryFraction of the
+// refused callers retry at the announced time.
+func (d deployment) overloadThenHalfLoad(times float64, end time.Duration, retryFraction float64) scenario {
 	sc := d.scenario("overload, then half load", times, end+min(62*time.Second, 8*end))
-	sc.loadEnds, sc.retryFraction = end, comeBack
+	sc.loadEnds, sc.retryFraction = end, retryFraction
 	sc.loadFactor = func(_ int, t time.Duration) float64 {
 		if t >= end {
 			return 0.5 / times
--- a/internal/upstream/sim_test.go
+++ b/internal/upstream/sim_test.go
@@ -9,34 +9,35 @@
 	"balsambarrow/internal/config"
 )
 
-// The simulation drives the pools of six handlers, one in each zone, on
-// simulated time, and judges them by what callers receive. Machines stand for
-// upstreams: they shed what exceeds their true slots, or get slow, or fail.
+// The simulation runs the pool of one handler in each of six zones on simulated
+// time and evaluates the responses that callers receive. Machines represent
+// upstreams: they shed requests beyond their true slots, become slow, or fail.
 
 // kindOfWork is one kind of request of the simulated service.
 type kindOfWork struct {
 	meanTime time.Duration
 	timeout  time.Duration
-	// load is the part of all slots that this kind needs at factor 1.
+	// load is the fraction of all slots that this kind needs at load factor
+	// 1.
 	load float64
 }
 
-// scenario is one load pattern.
+// scenario is a load pattern with optional faults.
 type scenario struct {
 	name          string
 	zones         int
 	machines      int
 	slots         func(i int) int
 	kinds         []kindOfWork
-	rates         []float64 // of the customers, relative
+	rates         []float64 // of the customers, relative to each other
 	keys          int
 	end           time.Duration
-	measureFrom   time.Duration // results count from here on
+	measureFrom   time.Duration // results before this time are ignored
 	loadFactor    func(customer int, t time.Duration) float64
-	hotKey        bool // 5/6 of customer 0's requests bear its first key
+	hotKey        bool // 5/6 of the requests of customer 0 use its first key
 	fault         func(m *machine, t time.Duration)
-	faultyMachine bool // machine 0 is the faulty one: count its share
-	maxHandlers   int  // handlers asked in turn while one has no room
+	faultyMachine bool // machine 0 is faulty, and its share of the requests is reported
+	maxHandlers   int  // handlers tried in order until one accepts the request
 	retryFraction float64
 	loadEnds      time.Duration
 }
@@ -46,10 +47,10 @@
 	slots        int
 	slowdown     float64
 	fails        bool
-	reportsIdle  bool // its load endpoint always says idle
+	reportsIdle  bool // its load endpoint always reports no load
 	coldRequests int
 	running      int
-	reported     int // by its load endpoint, 5 s old
+	reported     int // running requests reported by its load endpoint, up to 5 s old
 }
 
 type request struct {
@@ -64,13 +65,13 @@
 	avoid               string
 }
 
-// discipline is what is compared: the pool, or a naive one.
+// discipline is a queueing and balancing discipline of one handler.
 type discipline interface {
-	// offer takes a request; false: refused, with the time to come back.
+	// enqueue accepts a request, or returns false and the retry delay.
 	enqueue(r *request) (bool, time.Duration)
-	// done is told how a started request ended.
+	// finished is called when a started request has ended.
 	finished(r *request, result Result)
-	// leave is told that the caller of a waiting request gave up.
+	// cancel is called when a queued request reaches its deadline.
 	cancel(r *request)
 }
 
@@ -96,7 +97,7 @@
 }
 
 const (
-	errorResponseTime = 200 * time.Microsecond // a shed or failed answer
+	errorResponseTime = 200 * time.Microsecond // duration of a shed or failed request
 )
 
 var epoch = time.Unix(1_000_000, 0)
@@ -109,7 +110,7 @@
 	events     events
 	machines   []*machine
 	handlers   []discipline
-	zoneOfSlot []int // the zone of each slot: callers are spread by capacity
+	zoneOfSlot []int // zone of each slot; callers are distributed by capacity
 	outcome    *outcome
 }
 
@@ -120,8 +121,9 @@
 	heap.Push(&s.events, event{s.elapsed + d, s.seq, run})
 }
 
-// simulate runs a scenario; of makes a handler's discipline over its machines.
-func simulate(sc scenario, seed uint64, of func(*sim, []*machine) discipline) *outcome {
+// simulate runs a scenario. newDiscipline returns the discipline of a handler
+// with the given machines.
+func simulate(sc scenario, seed uint64, newDiscipline func(*sim, []*machine) discipline) *outcome {
 	s := &sim{scenario: sc, rng: rand.New(rand.NewPCG(seed, 1)), outcome: newOutcome(sc)}
 	perZone := make([][]*machine, sc.zones)
 	for i := range sc.machines {
@@ -132,8 +134,8 @@
 			s.zoneOfSlot = append(s.zoneOfSlot, i%sc.zones)
 		}
 	}
-	for _, ms := range perZone {
-		s.handlers = append(s.handlers, of(s, ms))
+	for _, zoneMachines := range perZone {
+		s.handlers = append(s.handlers, newDiscipline(s, zoneMachines))
 	}
 	for c := range sc.rates {
 		for k := range sc.kinds {
@@ -170,7 +172,7 @@
 	}
 }
 
-// arrivals makes a Poisson stream of one customer and kind.
+// startArrivals starts the Poisson arrivals of one customer and kind.
 func (s *sim) startArrivals(customer, kind int) {
 	w := s.kinds[kind]
 	total := 0.0
@@ -178,7 +180,7 @@
 		total += r
 	}
 	base := w.load * s.totalSlots() / w.meanTime.Seconds() * s.rates[customer] / total
-	const step = 100 * time.Millisecond // the longest the rate is taken as constant
+	const step = 100 * time.Millisecond // interval over which the rate is taken as constant
 	var next func()
 	next = func() {
 		if s.elapsed >= s.end {
@@ -237,19 +239,19 @@
 	r.finished = true
 	s.outcome.recordRefused(s, r, retryAfter)
 	if retryAfter > 0 && !r.isRetry && s.rng.Float64() < s.retryFraction {
-		back := *r
-		back.isRetry, back.finished, back.attempts = true, false, 0
+		retry := *r
+		retry.isRetry, retry.finished, retry.attempts = true, false, 0
 		s.after(retryAfter, func() {
-			back.arrived = s.now()
-			back.deadline = s.now().Add(s.kinds[r.kind].timeout)
+			retry.arrived = s.now()
+			retry.deadline = s.now().Add(s.kinds[r.kind].timeout)
 			s.outcome.recordReturn(s)
-			s.after(s.kinds[r.kind].timeout, func() { s.timeOut(&back) })
-			s.send(&back)
+			s.after(s.kinds[r.kind].timeout, func() { s.timeOut(&retry) })
+			s.send(&retry)
 		})
 	}
 }
 
-// begin is called by a discipline that sends a request to a machine.
+// start is called by a discipline to send a request to a machine.
 func (s *sim) start(r *request, m *machine) {
 	r.machine, r.startedAt = m, s.now()
 	r.attempts++
@@ -267,8 +269,8 @@
 		m.coldRequests--
 		took *= 4
 	}
-	if left := r.deadline.Sub(s.now()); took > left {
-		took, result = left, Result{Abandoned: true}
+	if remaining := r.deadline.Sub(s.now()); took > remaining {
+		took, result = remaining, Result{Abandoned: true}
 	}
 	result.Took = max(took, 1)
 	s.after(took, func() { s.finish(r, result) })
@@ -292,7 +294,8 @@
 	s.outcome.recordUnserved(s, r, result)
 }
 
-// giveUp: the deadline of a request that still waits passes.
+// timeOut is called at the deadline of a request and cancels it if it is
+// still queued.
 func (s *sim) timeOut(r *request) {
 	if r.finished || r.machine != nil {
 		return
@@ -304,7 +307,7 @@
 
 func machineName(m *machine) string { return fmt.Sprintf("u%02d", m.index) }
 
-// fair is the discipline under test.
+// poolDiscipline is the discipline under test.
 type poolDiscipline struct {
 	s         *sim
 	pool      *pool
@@ -313,60 +316,60 @@
 	ticketOf  map[*request]*Ticket
 }
 
-func newPoolDiscipline(s *sim, ms []*machine) discipline {
-	f := &poolDiscipline{
+func newPoolDiscipline(s *sim, machines []*machine) discipline {
+	d := &poolDiscipline{
 		s: s, byName: map[string]*machine{}, requestOf: map[*Ticket]*request{}, ticketOf: map[*request]*Ticket{},
 		pool: newPool(config.Service{ExpectedMs: milliseconds(s.kinds[0].meanTime)}, s.rng),
 	}
-	for _, m := range ms {
-		f.byName[machineName(m)] = m
-		f.pool.upstreams = append(f.pool.upstreams, newUpstreamState(machineName(m), config.Upstream{Slots: m.slots}))
+	for _, m := range machines {
+		d.byName[machineName(m)] = m
+		d.pool.upstreams = append(d.pool.upstreams, newUpstreamState(machineName(m), config.Upstream{Slots: m.slots}))
 	}
-	return f
+	return d
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (f *poolDiscipline) enqueue(r *request) (bool, time.Duration) {
-	t := newTicket(nil, f.pool, Request{
+func (d *poolDiscipline) enqueue(r *request) (bool, time.Duration) {
+	t := newTicket(nil, d.pool, Request{
 		Customer: fmt.Sprint(r.customer), Key: uint64(r.key), Kind: uint64(r.kind),
 		Deadline: r.deadline, Safe: true, Avoid: r.avoid,
 	}, 1)
-	if refusal := f.pool.enqueue(t, f.s.now()); refusal != nil {
+	if refusal := d.pool.enqueue(t, d.s.now()); refusal != nil {
 		return false, refusal.RetryAfter
 	}
-	f.requestOf[t], f.ticketOf[r] = r, t
-	f.dispatch()
+	d.requestOf[t], d.ticketOf[r] = r, t
+	d.dispatch()
 	return true, 0
 }
 
-func (f *poolDiscipline) dispatch() {
-	f.pool.dispatch(f.s.now(), func(t *Ticket) { f.s.start(f.requestOf[t], f.byName[t.Upstream]) }, func(t *Ticket) {
-		r := f.requestOf[t]
+func (d *poolDiscipline) dispatch() {
+	d.pool.dispatch(d.s.now(), func(t *Ticket) { d.s.start(d.requestOf[t], d.byName[t.Upstream]) }, func(t *Ticket) {
+		r := d.requestOf[t]
 		r.finished = true
-		f.remove(r)
-		f.s.outcome.recordUnserved(f.s, r, Result{Abandoned: true})
+		d.remove(r)
+		d.s.outcome.recordUnserved(d.s, r, Result{Abandoned: true})
 	})
 }
 
-func (f *poolDiscipline) remove(r *request) {
-	delete(f.requestOf, f.ticketOf[r])
-	delete(f.ticketOf, r)
+func (d *poolDiscipline) remove(r *request) {
+	delete(d.requestOf, d.ticketOf[r])
+	delete(d.ticketOf, r)
 }
 
-func (f *poolDiscipline) finished(r *request, result Result) {
-	f.pool.finish(f.ticketOf[r], result, f.s.now())
-	f.remove(r)
-	f.dispatch()
+func (d *poolDiscipline) finished(r *request, result Result) {
+	d.pool.finish(d.ticketOf[r], result, d.s.now())
+	d.remove(r)
+	d.dispatch()
 }
 
-func (f *poolDiscipline) cancel(r *request) {
-	f.pool.queue.Remove(&f.ticketOf[r].item, f.s.now())
-	f.remove(r)
+func (d *poolDiscipline) cancel(r *request) {
+	d.pool.queue.Remove(&d.ticketOf[r].item, d.s.now())
+	d.remove(r)
 }
 
-// naive is the baseline: one FIFO queue of 1024, whose waiters leave at their
-// deadline, and a fixed limit or none.
+// fifoDiscipline is the baseline: a FIFO queue of fifoQueueLimit requests,
+// which leave it at their deadline, and a fixed concurrency limit or none.
 type fifoDiscipline struct {
 	s         *sim
 	machines  []*machine
@@ -376,65 +379,65 @@
 	balancing balancing
 }
 
-// choice of a machine by a naive handler.
+// balancing is how a fifoDiscipline chooses a machine.
 type balancing int
 
 const (
-	roundRobin            balancing = iota // among those with a free slot
-	leastRunning                           // by its own count
-	leastReported                          // by load reports, without limit
-	roundRobinUnlimited                    // round robin without limit
-	leastRunningUnbounded                  // leastRunning with a queue without bound
+	roundRobin            balancing = iota // among machines with a free slot
+	leastRunning                           // by the count of the handler
+	leastReported                          // by load reports, without a limit
+	roundRobinUnlimited                    // round robin without a limit
+	leastRunningUnbounded                  // leastRunning with an unbounded queue
 )
 
-func newFIFODiscipline(choose balancing) func(*sim, []*machine) discipline {
-	return func(s *sim, ms []*machine) discipline {
-		return &fifoDiscipline{s: s, machines: ms, running: map[*machine]int{}, balancing: choose}
+func newFIFODiscipline(policy balancing) func(*sim, []*machine) discipline {
+	return func(s *sim, machines []*machine) discipline {
+		return &fifoDiscipline{s: s, machines: machines, running: map[*machine]int{}, balancing: policy}
 	}
 }
 
 const fifoQueueLimit = 1024
 
-func (n *fifoDiscipline) enqueue(r *request) (bool, time.Duration) {
-	if n.balancing != leastRunningUnbounded && len(n.waiting) >= fifoQueueLimit {
+func (d *fifoDiscipline) enqueue(r *request) (bool, time.Duration) {
+	if d.balancing != leastRunningUnbounded && len(d.waiting) >= fifoQueueLimit {
 		return false, time.Second
 	}
-	n.waiting = append(n.waiting, r)
-	n.dispatch()
+	d.waiting = append(d.waiting, r)
+	d.dispatch()
 	return true, 0
 }
 
-func (n *fifoDiscipline) dispatch() {
-	for len(n.waiting) > 0 {
-		m := n.pick()
+func (d *fifoDiscipline) dispatch() {
+	for len(d.waiting) > 0 {
+		m := d.pick()
 		if m == nil {
 			return
 		}
-		r := n.waiting[0]
-		n.waiting = n.waiting[1:]
+		r := d.waiting[0]
+		d.waiting = d.waiting[1:]
 		if r.finished {
 			continue
 		}
-		n.running[m]++
-		n.s.start(r, m)
+		d.running[m]++
+		d.s.start(r, m)
 	}
 }
 
-func (n *fifoDiscipline) pick() *machine {
+func (d *fifoDiscipline) pick() *machine {
 	var best *machine
 	bestLoad := 0
-	n.next++
-	for i := range n.machines {
-		m := n.machines[(n.next+i)%len(n.machines)]
+	d.next++
+	for i := range d.machines {
+		m := d.machines[(d.next+i)%len(d.machines)]
 		load := 0
 		switch {
-		case n.balancing == leastReported:
+		case d.balancing == leastReported:
 			load = m.reported
-		case n.balancing == roundRobinUnlimited:
-		case n.running[m] >= n.s.slots(m.index):
+		case d.balancing == roundRobinUnlimited:
+		case d.running[m] >= d.s.slots(m.index):
 			continue
-		case n.balancing == leastRunning, n.balancing == leastRunningUnbounded:
-			load = n.running[m]
+		case d.balancing == leastRunning, d.balancing == leastRunningUnbounded:
+			load = d.running[m]
 		}
 		if best == nil || load < bestLoad {
 			best, bestLoad = m, load
@@ -443,9 +446,9 @@
 	return best
 }
 
-func (n *fifoDiscipline) finished(r *request, _ Result) {
-	n.running[r.machine]--
-	n.dispatch()
+func (d *fifoDiscipline) finished(r *request, _ Result) {
+	d.running[r.machine]--
+	d.dispatch()
 }
 
-func (n *fifoDiscipline) cancel(*request) {}
+func (d *fifoDiscipline) cancel(*request) {}
--- a/internal/upstream/simresult_test.go
+++ b/internal/upstream/simresult_test.go
@@ -9,12 +9,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is what the callers of a simulated scenario received.
+// outcome holds the results of a simulated scenario as seen by the callers.
 type outcome struct {
 	scenario           scenario
 	latency            []*hdrhistogram.Histogram // by kind, microseconds
 	perCustomer        []*hdrhistogram.Histogram
-	servedWork         []float64 // served slot time by customer, seconds
+	servedWork         []float64 // slot time of served requests by customer, seconds
 	offeredWork        []float64
 	keyOffered         map[int]int // of customer 0
 	keyServed          map[int]int
@@ -23,7 +23,7 @@
 	failed             int
 	refusedCount       int
 	sent, sentToFaulty int
-	retryAfters        []time.Duration // told to refused callers
+	retryAfters        []time.Duration // announced to refused callers
 	returned           int
 	returnedServed     int
 }
@@ -42,6 +42,8 @@
 	return o
 }
 
+// isMeasured reports whether a request arrived within the measured time and
+// is not a retry.
 func (o *outcome) isMeasured(s *sim, r *request) bool {
 	return !r.isRetry && r.arrived.Sub(epoch) >= o.scenario.measureFrom && (o.scenario.loadEnds == 0 || r.arrived.Sub(epoch) < o.scenario.loadEnds)
 }
@@ -94,8 +96,9 @@
 	}
 }
 
-// told returns the median and the largest time that refused callers were told.
-func (o *outcome) retryAfterStats() (median, most time.Duration) {
+// retryAfterStats returns the median and the longest retry delay announced to
+// refused callers.
+func (o *outcome) retryAfterStats() (median, longest time.Duration) {
 	if len(o.retryAfters) == 0 {
 		return 0, 0
 	}
@@ -103,7 +106,8 @@
 	return o.retryAfters[len(o.retryAfters)/2], o.retryAfters[len(o.retryAfters)-1]
 }
 
-// lost: admitted, but no whole answer came in time.
+// recordUnserved records an admitted request without a complete response in
+// time.
 func (o *outcome) recordUnserved(s *sim, r *request, result Result) {
 	if !o.isMeasured(s, r) {
 		return
@@ -145,8 +149,8 @@
 	return float64(sum) * o.measuredSeconds()
 }
 
-// goodput is the part of the slots' time spent on requests answered in time;
-// of what was asked for, where that is less.
+// goodput is the slot time of requests served in time, as a fraction of the
+// smaller of the available and the offered slot time.
 func (o *outcome) goodput() float64 {
 	return sum(o.servedWork) / min(o.slotSeconds(), sum(o.offeredWork))
 }
@@ -159,9 +163,9 @@
 	return sum
 }
 
-// worst is the least part of its fair share that any customer got. The shares
-// are max-min fair: nobody gets more than it asked for, and what one leaves is
-// shared among the others.
+// worstCustomerShare is the smallest fraction of its fair share that any
+// customer received. Shares are max-min fair: no customer receives more than
+// it requests, and unused shares are divided among the others.
 func (o *outcome) worstCustomerShare() float64 {
 	shares := o.fairShares()
 	worst := 1.0
@@ -175,7 +179,8 @@
 	return maxMinShares(o.offeredWork, min(o.slotSeconds(), sum(o.offeredWork)))
 }
 
-// within is the p99 over the customers that asked for no more than their share.
+// p99WithinShare is the p99 latency of the customers that requested no more
+// than their fair share.
 func (o *outcome) p99WithinShare() time.Duration {
 	all := hdrhistogram.New(1, 120_000_000, 3)
 	for c, share := range o.fairShares() {
@@ -186,32 +191,32 @@
 	return time.Duration(all.ValueAtQuantile(99)) * time.Microsecond
 }
 
-func maxMinShares(asked []float64, capacity float64) []float64 {
-	order := make([]int, len(asked))
+func maxMinShares(offered []float64, capacity float64) []float64 {
+	order := make([]int, len(offered))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		if asked[a] < asked[b] {
+		if offered[a] < offered[b] {
 			return -1
 		}
 		return 1
 	})
-	shares := make([]float64, len(asked))
+	shares := make([]float64, len(offered))
 	for done, c := range order {
-		shares[c] = min(asked[c], capacity/float64(len(asked)-done))
+		shares[c] = min(offered[c], capacity/float64(len(offered)-done))
 		capacity -= shares[c]
 	}
 	return shares
 }
 
-// worstKey is the least part of its requests that a key of customer 0 other
-// than the first got served.
+// worstOtherKey is the smallest fraction of its requests that was served for
+// any key of customer 0 except the first.
 func (o *outcome) worstOtherKey() float64 {
 	worst := 1.0
-	for key, asked := range o.keyOffered {
+	for key, offered := range o.keyOffered {
 		if key != 0 {
-			worst = min(worst, float64(o.keyServed[key])/float64(asked))
+			worst = min(worst, float64(o.keyServed[key])/float64(offered))
 		}
 	}
 	return worst
@@ -233,13 +238,13 @@
 	return float64(n) / float64(of)
 }
 
-// String is a row of the table in docs/UNDER-LOAD.md.
+// String returns a row of the table in docs/UNDER-LOAD.md.
 func (o *outcome) String() string {
-	var lat []string
+	var latencies []string
 	for k := range o.latency {
-		lat = append(lat, fmt.Sprintf("%.1f / %.1f", milliseconds(o.p50(k)), milliseconds(o.p99(k))))
+		latencies = append(latencies, fmt.Sprintf("%.1f / %.1f", milliseconds(o.p50(k)), milliseconds(o.p99(k))))
 	}
-	within, key, bad := "-", "-", "-"
+	within, key, faulty := "-", "-", "-"
 	if w := o.p99WithinShare(); w > 0 {
 		within = fmt.Sprintf("%.1f", milliseconds(w))
 	}
@@ -247,8 +252,8 @@
 		key = fmt.Sprintf("%.1f%%", 100*o.worstOtherKey())
 	}
 	if o.scenario.faultyMachine {
-		bad = fmt.Sprintf("%.2f%%", 100*o.faultyFraction())
+		faulty = fmt.Sprintf("%.2f%%", 100*o.faultyFraction())
 	}
 	return fmt.Sprintf("%.1f%% | %s | %s | %.1f%% | %s | %d | %.2f%% | %d | %s",
-		100*o.goodput(), strings.Join(lat, "; "), within, 100*o.worstCustomerShare(), key, o.refusedCount, 100*o.missedFraction(), o.failed, bad)
+		100*o.goodput(), strings.Join(latencies, "; "), within, 100*o.worstCustomerShare(), key, o.refusedCount, 100*o.missedFraction(), o.failed, faulty)
 }
--- a/internal/upstream/takeover_test.go
+++ b/internal/upstream/takeover_test.go
@@ -7,14 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// handlers is an upstream that moves from one handler to another under more
-// load than it has slots. Every request takes service.
+// handlerMove simulates an upstream that moves from one handler to another
+// while more requests are queued than it has slots. Every request takes
+// serviceTime.
 type handlerMove struct {
 	slots                  int
 	serviceTime            time.Duration
-	oldRunning, newRunning []time.Time // ends of the requests that run
+	oldRunning, newRunning []time.Time // end times of the running requests
 }
 
+// stillRunning returns the end times that are after at.
 func stillRunning(running []time.Time, at time.Time) []time.Time {
 	var still []time.Time
 	for _, end := range running {
@@ -25,9 +27,10 @@
 	return still
 }
 
-// move returns the most that both ran at once, and the new one's work until
-// the bound and a service time have passed.
-func (h *handlerMove) simulate(room func(at time.Time) int, report func(running int)) (most, started int) {
+// simulate returns the largest number of requests that both handlers ran at
+// once, and the number that the new handler started within
+// MaxTakeoverDuration plus serviceTime.
+func (h *handlerMove) simulate(slotLimit func(at time.Time) int, report func(running int)) (most, started int) {
 	start := time.Unix(1e9, 0)
 	for i := range h.slots {
 		h.oldRunning = append(h.oldRunning, start.Add(h.serviceTime*time.Duration(i+1)/time.Duration(h.slots)))
@@ -35,7 +38,7 @@
 	for at := start; at.Before(start.Add(MaxTakeoverDuration + h.serviceTime)); at = at.Add(10 * time.Millisecond) {
 		h.oldRunning, h.newRunning = stillRunning(h.oldRunning, at), stillRunning(h.newRunning, at)
 		report(len(h.oldRunning))
-		for len(h.newRunning) < room(at) {
+		for len(h.newRunning) < slotLimit(at) {
 			h.newRunning = append(h.newRunning, at.Add(h.serviceTime))
 			started++
 		}
@@ -44,9 +47,9 @@
 	return most, started
 }
 
-// A daemon joins a full zone and takes over an upstream of 4 slots, all of
-// them busy. The upstream must not be given twice its slots, which it would
-// shed, nor lie idle until the earlier handler is done.
+// A daemon joins a fully loaded zone and takes over an upstream of 4 slots,
+// all of them in use. The upstream must not receive twice its slots, which it
+// would shed, and must not stay idle until the previous handler has finished.
 func TestTakeoverKeepsBothHandlersWithinTheSlots(t *testing.T) {
 	for name, tc := range map[string]struct {
 		reports bool
@@ -75,7 +78,8 @@
 	}
 }
 
-// Without the bound on the takeover an old count would hold back room for ever.
+// Guards against a takeover without an end: an outdated count must not limit
+// the slots permanently.
 func TestTakeoverEnds(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1e9, 0)
--- a/internal/upstream/underload_test.go
+++ b/internal/upstream/underload_test.go
@@ -7,14 +7,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// short is the length of the simulated scenarios here; the figures of
-// docs/UNDER-LOAD.md come from longer ones.
+// shortRun is the duration of most simulated scenarios in these tests. The
+// figures in docs/UNDER-LOAD.md are from longer runs.
 const shortRun = 4 * time.Second
 
-// faultEnds is the same where a fault is judged from 5 s on.
+// faultRun is the duration of scenarios whose results are measured from 5 s
+// on.
 const faultRun = 7 * time.Second
 
-// both runs a check for one service of each deployment.
+// forEachDeployment runs a check for the short service of each deployment.
 func forEachDeployment(t *testing.T, check func(t *testing.T, g *WithT, d deployment)) {
 	for _, d := range []deployment{lookups.oneRegion(), balances.oneRegion()} {
 		t.Run(d.name, func(t *testing.T) {
@@ -24,9 +25,10 @@
 	}
 }
 
-// Three times more is asked for than the upstreams can do. Callers must get
-// as many answers as the upstreams can give, nobody who was let in may wait in
-// vain, and the customers share alike. FIFO serves by who asks most.
+// At three times the capacity, callers must receive as many responses as the
+// upstreams can give, admitted requests must meet their deadlines, and
+// customers must receive equal shares. FIFO serves customers in proportion to
+// their requests.
 func TestOverload(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		now := simulate(d.overload(3, shortRun), seed, newPoolDiscipline)
@@ -39,9 +41,9 @@
 	})
 }
 
-// The same overload goes on. Once a queue has stood for two seconds it serves
-// nobody more by being long: those who are let in must not wait for most of
-// their budget any more.
+// During a longer overload, a queue that has been non-empty for two seconds
+// gains no throughput from its length. Admitted requests must then no longer
+// wait for most of their budget.
 func TestStandingQueueStaysShort(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		sc := d.overload(3, faultRun)
@@ -53,8 +55,8 @@
 	})
 }
 
-// A refused caller comes back when it was told to; by then the overload has
-// ended. It must be served nine times in ten.
+// Callers refused during an overload retry at the announced time, when the
+// overload has ended. At least 90% of the retries must be served.
 func TestRefusedCallersAreServedOnRetry(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		o := simulate(d.overloadThenHalfLoad(3, 3*time.Second, 0.05), seed, newPoolDiscipline)
@@ -63,8 +65,9 @@
 	})
 }
 
-// An auction day: everybody sends ten times as much for two seconds. More must
-// be served than with FIFO, and nothing that was let in may come too late.
+// All customers send ten times their usual rate for two seconds, as on
+// auction days. More requests must be served than with FIFO, and admitted
+// requests must meet their deadlines.
 func TestBurst(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		now := simulate(d.burst(faultRun), seed, newPoolDiscipline)
@@ -76,15 +79,16 @@
 	})
 }
 
-// The largest customer sends five times its rate, all of it by one key in the
-// second case. The other customers, and its own other keys, must not notice.
+// The largest customer sends five times its rate, in the second case mostly
+// with one key. The other customers, and its own other keys, must not be
+// affected.
 func TestHotCustomerAndHotKey(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
-		calm := simulate(d.scenario("calm", 0.7, shortRun), seed, newPoolDiscipline)
+		normal := simulate(d.scenario("calm", 0.7, shortRun), seed, newPoolDiscipline)
 		hot := simulate(d.hotCustomer(shortRun), seed, newPoolDiscipline)
 		t.Logf("customer %s", hot)
 		g.Expect(hot.worstCustomerShare()).To(BeNumerically(">=", 0.95))
-		g.Expect(hot.p99WithinShare()).To(BeNumerically("<", 2*calm.p99WithinShare()))
+		g.Expect(hot.p99WithinShare()).To(BeNumerically("<", 2*normal.p99WithinShare()))
 		key := simulate(d.hotKey(shortRun), seed, newPoolDiscipline)
 		t.Logf("key %s", key)
 		g.Expect(key.worstOtherKey()).To(BeNumerically(">=", 0.95))
@@ -92,9 +96,10 @@
 	})
 }
 
-// An upstream becomes ten times slower while its health endpoint says fine;
-// another fails at once and so always looks least loaded. From three seconds
-// on each may hold 2% of the traffic, and callers get their answers.
+// One upstream becomes ten times slower while its health endpoint reports
+// success; in the second scenario one fails immediately and therefore always
+// has the lowest load. Three seconds later each must receive less than 2% of
+// the traffic, and callers must receive their responses.
 func TestUnhealthyUpstreamIsEjected(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		for _, sc := range []scenario{d.slowUpstream(faultRun), d.failingUpstream(faultRun)} {
@@ -107,9 +112,9 @@
 	})
 }
 
-// A quarter of the upstreams have one slot where the configuration says three
-// or four, and shed the rest. Callers must get the answers that the others
-// have room for.
+// A quarter of the upstreams have one slot where three or four are
+// configured, and shed all further requests. Callers must receive the
+// responses that the other upstreams have capacity for.
 func TestSheddingUpstreams(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		o := simulate(d.sheddingUpstreams(faultRun), seed, newPoolDiscipline)
@@ -120,9 +125,9 @@
 	})
 }
 
-// Two-second reports come to the same upstreams as five-millisecond lookups
-// and could hold every slot. The lookups' p99 must stay within 1.5 times what
-// it is without them.
+// Two-second reports share the upstreams with five-millisecond lookups and
+// could hold every slot. The p99 latency of lookups must stay below 1.5 times
+// its value without reports.
 func TestLongReportsAmongLookups(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		const long = 15 * time.Second
@@ -134,9 +139,9 @@
 	})
 }
 
-// Half of the upstreams have just been replaced: their first requests take
-// four times as long, which leaves little more room than is asked for. Nobody
-// may be refused for it, nor an upstream be taken for sick.
+// Half of the upstreams have been replaced, and their first requests take
+// four times as long, which leaves little spare capacity. No request may be
+// refused and no upstream ejected because of that.
 func TestColdCaches(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
 		o := simulate(d.coldCaches(shortRun), seed, newPoolDiscipline)
