--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -78,9 +78,9 @@
 	other := item("b", 50*time.Millisecond)
 	g.Expect(q.Push(other, start)).To(BeNil())
 	q.Done(running, 30*time.Millisecond, start)
-	var late []*Item
-	g.Expect(q.Pop(start.Add(30*time.Millisecond), func(it *Item) { late = append(late, it) })).To(Equal(other))
-	g.Expect(late).To(ConsistOf(short))
+	var expired []*Item
+	g.Expect(q.Pop(start.Add(30*time.Millisecond), func(it *Item) { expired = append(expired, it) })).To(Equal(other))
+	g.Expect(expired).To(ConsistOf(short))
 	g.Expect(q.Len()).To(BeZero())
 }
 
@@ -107,14 +107,14 @@
 	for range 100 {
 		g.Expect(q.Push(item("a", 100*time.Millisecond), start)).To(BeNil())
 	}
-	late := item("a", 100*time.Millisecond)
-	late.Deadline = start.Add(2 * time.Second)
-	first := q.Push(late, start)
+	refused := item("a", 100*time.Millisecond)
+	refused.Deadline = start.Add(2 * time.Second)
+	first := q.Push(refused, start)
 	g.Expect(first).To(HaveField("Reason", ReasonWaitTooLong))
 	g.Expect(first.RetryAfter).To(BeNumerically(">", 8*time.Second))
-	g.Expect(q.Push(late, start).RetryAfter).To(BeNumerically(">", first.RetryAfter), "the next retry is scheduled later")
+	g.Expect(q.Push(refused, start).RetryAfter).To(BeNumerically(">", first.RetryAfter), "the next retry is scheduled later")
 	other := item("b", 100*time.Millisecond)
-	other.Deadline = late.Deadline
+	other.Deadline = refused.Deadline
 	g.Expect(q.Push(other, start)).To(BeNil(), "another customer is still accepted")
 }
 
@@ -226,7 +226,7 @@
 			},
 			"time": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 800).Draw(rt, "passed")) * time.Millisecond)
-				q.SetSlots(rapid.IntRange(0, 6).Draw(rt, "room"))
+				q.SetSlots(rapid.IntRange(0, 6).Draw(rt, "slots"))
 			},
 			"": func(rt *rapid.T) { checkCounts(rt, q, len(waiting), len(running)) },
 		})
--- a/internal/upstream/takeover_test.go
+++ b/internal/upstream/takeover_test.go
@@ -30,7 +30,7 @@
 // simulate returns the largest number of requests that both handlers ran at
 // once, and the number that the new handler started within
 // MaxTakeoverDuration plus serviceTime.
-func (h *handlerMove) simulate(slotLimit func(at time.Time) int, report func(running int)) (most, started int) {
+func (h *handlerMove) simulate(slotLimit func(at time.Time) int, report func(running int)) (maxRunning, started int) {
 	start := time.Unix(1e9, 0)
 	for i := range h.slots {
 		h.oldRunning = append(h.oldRunning, start.Add(h.serviceTime*time.Duration(i+1)/time.Duration(h.slots)))
@@ -42,9 +42,9 @@
 			h.newRunning = append(h.newRunning, at.Add(h.serviceTime))
 			started++
 		}
-		most = max(most, len(h.oldRunning)+len(h.newRunning))
+		maxRunning = max(maxRunning, len(h.oldRunning)+len(h.newRunning))
 	}
-	return most, started
+	return maxRunning, started
 }
 
 // A daemon joins a fully loaded zone and takes over an upstream of 4 slots,
@@ -52,27 +52,27 @@
 // would shed, and must not stay idle until the previous handler has finished.
 func TestTakeoverKeepsBothHandlersWithinTheSlots(t *testing.T) {
 	for name, tc := range map[string]struct {
-		reports bool
-		service time.Duration
-		most    int
+		reports    bool
+		service    time.Duration
+		maxRunning int
 	}{
-		"reports, short work":     {reports: true, service: 100 * time.Millisecond, most: 5},
-		"reports, long work":      {reports: true, service: time.Second, most: 5},
-		"no reports, short work":  {service: 100 * time.Millisecond, most: 5},
-		"no reports, longer work": {service: time.Second, most: 5},
+		"reports, short work":     {reports: true, service: 100 * time.Millisecond, maxRunning: 5},
+		"reports, long work":      {reports: true, service: time.Second, maxRunning: 5},
+		"no reports, short work":  {service: 100 * time.Millisecond, maxRunning: 5},
+		"no reports, longer work": {service: time.Second, maxRunning: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			h := &handlerMove{slots: 4, serviceTime: tc.service}
 			takeover := NewTakeover(time.Unix(1e9, 0))
-			most, started := h.simulate(
+			maxRunning, started := h.simulate(
 				func(at time.Time) int { return takeover.SlotLimit(4, at) },
 				func(running int) {
 					if tc.reports {
 						takeover.Report(running)
 					}
 				})
-			g.Expect(most).To(BeNumerically("<=", tc.most))
+			g.Expect(maxRunning).To(BeNumerically("<=", tc.maxRunning))
 			g.Expect(started).To(BeNumerically(">", 4))
 		})
 	}
--- a/internal/upstream/underload_test.go
+++ b/internal/upstream/underload_test.go
@@ -84,7 +84,7 @@
 // affected.
 func TestHotCustomerAndHotKey(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, g *WithT, d deployment) {
-		normal := simulate(d.scenario("calm", 0.7, shortRun), seed, newPoolDiscipline)
+		normal := simulate(d.scenario("70% load", 0.7, shortRun), seed, newPoolDiscipline)
 		hot := simulate(d.hotCustomer(shortRun), seed, newPoolDiscipline)
 		t.Logf("customer %s", hot)
 		g.Expect(hot.worstCustomerShare()).To(BeNumerically(">=", 0.95))
