--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -31,8 +31,8 @@
 	// retryShare is the fraction of a customer's capacity that is reserved
 	// for announced retries; the rest serves new requests.
 	retryShare = 0.5
-	// maxRetryAfter is the longest delay announced. It is the time needed to
-	// serve all requests refused during 10 s at three times the capacity.
+	// maxRetryAfter is the longest delay announced. It covers the time needed
+	// to serve all requests refused during 10 s at three times the capacity.
 	maxRetryAfter = time.Minute
 )
 
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -19,7 +19,7 @@
 // requests recently.
 const (
 	// probeInterval is the time between two probes of one upstream. A probe
-	// of 6 ms every 2 s takes 0.3% of the time of one slot. A total of 1% is
+	// of 6 ms every 2 s takes 0.3% of the upstream's time. A total of 1% is
 	// reached only with seven new connections a second in addition, and
 	// kept-alive connections make new ones rare.
 	probeInterval = 2 * time.Second
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -13,8 +13,7 @@
 )
 
 // A probe costs the upstream 6 ms. An upstream without requests is probed
-// most often, and even then probes must cost less than 1% of the time of one
-// slot.
+// most often, and even then probes must cost less than 1% of its time.
 func TestProbesCostLessThanOnePercent(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHandler()
@@ -25,7 +24,7 @@
 		h.DueProbes(start.Add(d))
 	}
 	cost := time.Duration(h.pools["lookup"].upstreams[0].probe.sent) * probeCost
-	t.Logf("probes cost %.2f%% of the time of one slot", 100*cost.Seconds()/span.Seconds())
+	t.Logf("probes cost %.2f%% of the upstream's time", 100*cost.Seconds()/span.Seconds())
 	g.Expect(cost).To(BeNumerically("<", span/100))
 	g.Expect(cost).To(BeNumerically(">", 0))
 }
