--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -11,22 +11,23 @@
 	"balsambarrow/internal/wire"
 )
 
-// Times after which a refused caller may come back.
+// Retry delays announced to refused callers.
 const (
-	// defaultRetry is used where nothing better is known.
-	defaultRetry = time.Second
-	// maxRetry bounds what an upstream may ask for.
-	maxRetry = time.Minute
+	// defaultRetryAfter is used if no better estimate is known.
+	defaultRetryAfter = time.Second
+	// maxRetryAfter limits the delay that an upstream may request.
+	maxRetryAfter = time.Minute
 )
 
-// failed tells what may be concluded where an upstream sent no answer.
-func failed(ctx context.Context, sent bool, err error) *wire.Problem {
+// sendProblem returns the problem of a request for which the upstream sent no
+// response, with the outcome that follows from whether the request was sent.
+func sendProblem(ctx context.Context, sent bool, err error) *wire.Problem {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case !sent && ctx.Err() != nil:
-		return wire.Refuse(wire.TypeDeadline, "no connection before the deadline", defaultRetry)
+		return wire.Refuse(wire.TypeDeadline, "no connection before the deadline", defaultRetryAfter)
 	case !sent:
-		return wire.Refuse(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetry)
+		return wire.Refuse(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetryAfter)
 	case errors.As(err, &tooLarge):
 		return wire.Doubt(wire.TypeTooLarge, "the body is too large; an upstream has seen a part of it")
 	case ctx.Err() != nil:
@@ -36,32 +37,34 @@
 	}
 }
 
-// unusable returns the problem of an answer that is not passed on, or nil.
-func unusable(resp *http.Response) *wire.Problem {
+// responseProblem returns the problem of a response that must not be
+// forwarded, or nil.
+func responseProblem(resp *http.Response) *wire.Problem {
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
 		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream switched protocols unasked")
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		return shed(resp)
-	case unframed(resp):
+		return shedProblem(resp)
+	case endsAtClose(resp):
 		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream's answer has no length and no chunks")
 	}
 	return nil
 }
 
-// unframed tells whether an answer ends where its connection does. An
-// upstream that dies in the middle closes its connection too, and a part of
-// the answer would pass for the whole.
-func unframed(resp *http.Response) bool {
+// endsAtClose reports whether the end of a response is marked only by the end
+// of its connection. An upstream that crashes during a response closes the
+// connection too, and a partial response would be taken for a complete one.
+func endsAtClose(resp *http.Response) bool {
 	if resp.Request != nil && resp.Request.Method == http.MethodHead {
 		return false
 	}
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// shed is the problem of an upstream that answered 503. That proves nothing
-// about what it did with the request unless it declares so.
-func shed(resp *http.Response) *wire.Problem {
+// shedProblem returns the problem of a 503 response. The status alone does
+// not show whether the upstream ran the request; only its header that
+// declares so does.
+func shedProblem(resp *http.Response) *wire.Problem {
 	p := wire.Refuse(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
 	if resp.Header.Get(wire.HeaderShed) != wire.ShedNotRun {
 		p.Outcome = wire.OutcomeMayHaveRun
@@ -72,7 +75,7 @@
 func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || seconds <= 0 {
-		return defaultRetry
+		return defaultRetryAfter
 	}
-	return min(time.Duration(seconds)*time.Second, maxRetry)
+	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
