--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -8,17 +8,18 @@
 	"balsambarrow/internal/view"
 )
 
-// configState is the control thread's part for the configuration.
+// configState is the control thread's state for the configuration.
 type configState struct {
 	record *config.Record
 	active *config.Active
 	// confirmedAt is a time such that every change accepted before it is in
-	// force here. Zero: none is known.
+	// force in this daemon. It is zero if no such time is known.
 	confirmedAt time.Time
-	// rejectedVersion is the highest version met that cannot be read here.
+	// rejectedVersion is the highest version received that this daemon cannot
+	// read.
 	rejectedVersion uint64
-	// markVerified says that the version in force was compared with the store's,
-	// or with every reachable peer's, at or after needed.
+	// verified reports that the version in force was compared with the version
+	// of the store, or of every reachable peer, no earlier than verifyAfter.
 	verified        bool
 	verifyAfter     time.Time
 	lastPublishedAt time.Time
@@ -35,9 +36,9 @@
 	return s.active.Version
 }
 
-// parsedRecord is a record that was read, with its document parsed. That is done
-// outside the control thread: a document of thousands of customers takes
-// longer than a tick.
+// parsedRecord is a record that was received or read, together with the result
+// of parsing its document. Parsing runs outside the control thread, because a
+// document of thousands of customers takes longer to parse than one tick.
 type parsedRecord struct {
 	record *config.Record
 	active *config.Active
@@ -54,10 +55,12 @@
 	c.pullNewerRecord(now)
 }
 
-// detectPause guards against a paused process: it goes on as if no time had
-// passed, with a configuration in which a key withdrawn meanwhile still
-// counts. Until it has compared its version again it admits nobody. It is
-// called before each snapshot, so that none is made of the time in between.
+// detectPause handles a pause of the whole process, such as a suspended virtual
+// machine. A resumed daemon would go on with its old configuration and accept a
+// key that was withdrawn during the pause. The daemon therefore admits no
+// requests until its version has been verified again. The control thread calls
+// detectPause before each snapshot, so that no snapshot is published between
+// the end of the pause and its detection.
 func (c *control) detectPause(now time.Time) {
 	previous := c.config.lastPublishedAt
 	c.config.lastPublishedAt = now
@@ -70,8 +73,9 @@
 	c.startPeerPoll(now)
 }
 
-// applyRecord brings a record into force if its version is higher: a version in
-// force never reverts, whatever a peer or a store that lost data answers.
+// applyRecord brings a record into force if its version is higher than the one
+// in force. A version never reverts, even if a peer or a store that lost data
+// returns a lower one.
 func (c *control) applyRecord(parsed parsedRecord) {
 	version := parsed.record.Version
 	if version <= c.config.version() {
@@ -86,8 +90,9 @@
 	c.d.log.Info("config_adopted", "version", version)
 }
 
-// rejectVersion keeps the version in force where a newer release of the daemon wrote
-// a record that this one cannot read, and shows it in the fleet's status.
+// rejectVersion handles a record that was written by a newer release and that
+// this daemon cannot read. The version in force stays, and the fleet's status
+// shows the rejected version.
 func (c *control) rejectVersion(version uint64, err error) {
 	if version <= c.config.rejectedVersion {
 		return
@@ -97,16 +102,18 @@
 	c.d.log.Error("config_rejected", "version", version, "in_force", c.config.version(), "err", err)
 }
 
-// confirmVersion notes that version was the store's at a time. Whoever has that
-// version or a higher one lacks no change accepted before.
+// confirmVersion records that version was the version of the store at the given
+// time. A daemon with that version or a higher one has every change that was
+// accepted before that time.
 func (c *control) confirmVersion(version uint64, at time.Time) {
 	if version <= c.config.version() && at.After(c.config.confirmedAt) {
 		c.config.confirmedAt = at
 	}
 }
 
-// markVerified notes that the version in force was compared at a time, and lets a
-// starting daemon that has a configuration serve.
+// markVerified records that the version in force was compared with the store's
+// or the peers' at the given time. A starting daemon that has a configuration
+// becomes ready.
 func (c *control) markVerified(at time.Time) {
 	if at.Before(c.config.verifyAfter) {
 		return
@@ -122,8 +129,8 @@
 	}
 }
 
-// recordWritten: an operator's change was written to the store through this
-// daemon by a call that began at asked.
+// recordWritten reports that this daemon wrote an operator's change to the
+// store, in a call sent at sentAt.
 type recordWritten struct {
 	parsed parsedRecord
 	sentAt time.Time
--- a/internal/daemon/config_peers.go
+++ b/internal/daemon/config_peers.go
@@ -11,29 +11,30 @@
 	"balsambarrow/internal/peer"
 )
 
-// pullHedgeDelay is how long a pull may take before a second peer is asked: above
-// two round trips between the farthest regions (110 ms each).
+// pullHedgeDelay is how long a pull may take before a second peer is queried.
+// It exceeds two round trips between the most distant regions (110 ms each).
 const pullHedgeDelay = 300 * time.Millisecond
 
-// pullState is what the control thread knows of its calls to peers for the
-// configuration.
+// pullState is the control thread's state for its configuration calls to peers.
 type pullState struct {
-	// inFlight are the pulls under way, by the peer's instance, and their start.
+	// inFlight maps the instance of a peer to the start time of the pull from
+	// it.
 	inFlight       map[string]time.Time
 	pollInProgress bool
 }
 
 func newPullState() pullState { return pullState{inFlight: map[string]time.Time{}} }
 
-// handleConfigReport takes what a peer's heartbeat says of the configuration.
+// handleConfigReport processes the configuration version in a peer's heartbeat.
 func (c *control) handleConfigReport(m membership.Member, now time.Time) {
 	c.confirmVersion(m.ConfigVersion, m.ConfirmedAt)
 	c.pullNewerRecord(now)
 }
 
-// pullNewerRecord asks one peer that has a higher version for its record, and
-// another one if that takes long. Asking all of them at once would move the
-// whole record as often as there are peers, at each change.
+// pullNewerRecord requests the record of one peer that has a higher version,
+// and of another peer if the first pull takes longer than pullHedgeDelay.
+// Querying all of these peers at once would transfer the full record once per
+// peer at each change.
 func (c *control) pullNewerRecord(now time.Time) {
 	for _, started := range c.config.pulls.inFlight {
 		if now.Sub(started) < pullHedgeDelay {
@@ -51,7 +52,8 @@
 	})
 }
 
-// pullSource prefers the own zone, then the highest version.
+// pullSource selects the peer to pull from: peers of this daemon's own zone
+// first, then the highest version.
 func (c *control) pullSource(now time.Time) (best membership.Member, ok bool) {
 	for _, m := range c.members.table.Live(now) {
 		_, pulling := c.config.pulls.inFlight[m.Instance]
@@ -73,19 +75,20 @@
 	return a.ConfigVersion > b.ConfigVersion
 }
 
-// pullResult is what one peer answered.
+// pullResult is the response of one peer to a pull.
 type pullResult struct {
 	err     error
 	version uint64
-	// parsed is empty where the peer has no higher version.
+	// parsed is the zero value if the peer has no higher version.
 	parsed parsedRecord
-	// confirmedAt is a time at which version was the store's; zero: not known.
+	// confirmedAt is a time at which version was the version of the store. It
+	// is zero if no such time is known.
 	confirmedAt time.Time
-	// peers are the addresses that the peer knows.
+	// peers lists the addresses of the peers that this peer knows.
 	peers []string
 }
 
-// pullDone: a pull from a peer ended.
+// pullDone reports that a pull from a peer has ended.
 type pullDone struct {
 	instance string
 	result   pullResult
@@ -94,8 +97,8 @@
 func (m pullDone) apply(c *control) {
 	delete(c.config.pulls.inFlight, m.instance)
 	c.applyPullResult(m.result)
-	// A daemon that the store told that it holds nothing serves by the first
-	// configuration that it hears of.
+	// If the store has reported that it contains no configuration, the daemon
+	// becomes ready with the first configuration that it receives.
 	c.becomeReady()
 }
 
@@ -131,7 +134,7 @@
 	return result
 }
 
-// Pull answers a peer; it implements peer.DRPCConfigurationServer.
+// Pull responds to a peer's pull. It implements peer.DRPCConfigurationServer.
 func (d *Daemon) Pull(ctx context.Context, in *peer.PullRequest) (*peer.PullReply, error) {
 	request := recordRequest{haveVersion: in.HaveVersion, reply: make(chan recordResponse, 1)}
 	d.control.send(request)
@@ -149,7 +152,7 @@
 	}
 }
 
-// recordRequest: a peer asks for a record above the version it has.
+// recordRequest is a peer's request for a record above the version that it has.
 type recordRequest struct {
 	haveVersion uint64
 	reply       chan recordResponse
@@ -171,7 +174,8 @@
 	m.reply <- response
 }
 
-// startPeerPoll asks every peer that can be reached for its version, once at a time.
+// startPeerPoll starts a query of the version of every reachable peer, unless
+// one is already in progress.
 func (c *control) startPeerPoll(now time.Time) {
 	if c.config.pulls.pollInProgress {
 		return
@@ -183,15 +187,16 @@
 	})
 }
 
-// peerPollDone: every peer that could be reached has answered.
+// peerPollDone reports that every reachable peer has responded.
 type peerPollDone struct {
 	started time.Time
 	results []pullResult
 }
 
-// apply lets a daemon go on by the highest version of its peers while the
-// store is out. Without an answer, one that had a version before goes on with
-// it, as a cut-off zone must; one that has none keeps waiting.
+// apply lets the daemon go on with the highest version of its peers while the
+// store is unreachable. If no peer responds, a daemon that has a configuration
+// goes on with it, because its whole zone may be partitioned from the rest. A
+// daemon without a configuration stays in the starting state.
 func (m peerPollDone) apply(c *control) {
 	c.config.pulls.pollInProgress = false
 	for _, result := range m.results {
@@ -202,8 +207,9 @@
 	}
 }
 
-// pollPeers asks the peers in the host list, those known already, and those
-// that they know in turn, and returns what the reachable ones answered.
+// pollPeers pulls from the peers of the host list, the peers already known, and
+// the peers that these report in turn. It returns one result for each peer that
+// was queried.
 func (d *Daemon) pollPeers(ctx context.Context, known map[string]bool, haveVersion uint64) []pullResult {
 	if len(known) == 0 || haveVersion == 0 {
 		hosts, _ := d.readHosts(ctx)
@@ -243,8 +249,8 @@
 	return collected
 }
 
-// ageMs is how long ago a time was, for the way to a peer: 0 for never, and
-// otherwise rounded up, so at least 1.
+// ageMs returns the age of a time in milliseconds as it is sent to a peer: 0 if
+// the time is zero, otherwise rounded up, so at least 1.
 func ageMs(at, now time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -252,10 +258,11 @@
 	return max(now.Sub(at).Milliseconds(), 0) + 1
 }
 
-// confirmationTime turns the age in an answer to a call sent at asked into a time
-// by the own clock. The answer was made no earlier than asked, so the result
-// is no later than the truth, however long the answer took. A message that
-// answers no call gives no such bound, and its age is not used.
+// confirmationTime converts the age in a response to a call sent at sentAt to a
+// time of the local clock. The peer computed the age no earlier than sentAt, so
+// the result is never later than the real time of confirmation, no matter how
+// long the response took. For a message that is not a response to a call, there
+// is no such bound, and its age is not used.
 func confirmationTime(sentAt time.Time, ageMillis int64) time.Time {
 	if ageMillis <= 0 {
 		return time.Time{}
--- a/internal/daemon/config_store.go
+++ b/internal/daemon/config_store.go
@@ -11,47 +11,54 @@
 	"balsambarrow/internal/membership"
 )
 
-// Timing of the calls for the configuration. Each call counts against the
-// store's rate, a waiting watch as one, so only one daemon of each zone waits.
+// Timing of the store calls for the configuration. Each call counts against the
+// rate limit of the store, and so does a pending watch. Therefore only one
+// daemon of each zone watches the store.
 const (
-	// watchDuration is how long one watch waits: the age that a confirmed version
-	// reaches, against one call per zone in as long (72 a second at 145 zones).
+	// watchDuration is how long one watch waits for a change. A longer watch
+	// lets the confirmed version age more; a shorter one makes more calls. Each
+	// zone makes one call per watchDuration (72 calls a second at 145 zones).
 	watchDuration = 2 * time.Second
-	// watchRetryDelay follows a call that failed.
+	// watchRetryDelay is the delay after a failed call.
 	watchRetryDelay = 500 * time.Millisecond
-	// watchResponseGrace is how long after its wait an answer may come: an answer that
-	// is later counts as lost, and another daemon of the zone takes over.
+	// watchResponseGrace is how long after the end of a watch its response may
+	// arrive. A watch whose response arrives later counts as failed, and
+	// another daemon of the zone takes its place.
 	watchResponseGrace = time.Second
-	// watchLossDelay is how long a zone may be without a watcher that reaches
-	// the store before the others try: two heartbeats.
+	// watchLossDelay is how long a zone may have no watcher that reaches the
+	// store before its other daemons read the store: two heartbeats.
 	watchLossDelay = 2 * membership.BeatEvery
-	// watchMaxLag is how long a watch may hear nothing of changes that are made, by the
-	// platform's account of its store.
+	// watchMaxLag is the longest time after which a watch reports a change. The
+	// platform documents this value for its store.
 	watchMaxLag = time.Second
-	// storePollWait is the wait of a watch that only asks whether there is a change.
+	// storePollWait is the duration of a watch that only checks for a change
+	// and returns at once.
 	storePollWait = time.Millisecond
-	// storePollInterval spreads the calls of a zone without a watcher: one in as long,
-	// however many daemons the zone has.
+	// storePollInterval is the time between the calls of a zone that has no
+	// watcher. Each daemon multiplies the interval by the number of daemons in
+	// its zone, so the rate of the zone's calls does not depend on that number.
 	storePollInterval = time.Second
 )
 
-// storeState is what the control thread knows of its calls to the store.
+// storeState is the control thread's state for its calls to the store.
 type storeState struct {
 	callInFlight bool
 	nextCallAt   time.Time
-	// unavailable says that the last call failed, watched when a zone peer last
-	// said that it reaches the store.
+	// unavailable reports that the last call failed because the store was
+	// unavailable. watcherSeenAt is when a daemon of the zone last reported
+	// that it reaches the store.
 	unavailable   bool
 	watcherSeenAt time.Time
-	// watchRevision is the store's revision to watch on from; 0: read the value. version is
-	// the one that was read last.
+	// watchRevision is the store revision from which the next watch starts;
+	// with 0, the next call reads the value. latestVersion is the version of
+	// the record that was read last.
 	watchRevision uint64
 	latestVersion uint64
 }
 
-// readStore starts the next call if one is due: always at the zone's watcher
-// and while this daemon has not caught up, otherwise only while no watcher
-// reaches the store.
+// readStore starts the next call to the store if one is due. The watcher of the
+// zone and a daemon whose configuration is not verified always call the store;
+// the other daemons call it only while no watcher reaches it.
 func (c *control) readStore(now time.Time) {
 	s := &c.config.store
 	if s.callInFlight || now.Before(s.nextCallAt) {
@@ -73,18 +80,20 @@
 	c.d.spawn(func(ctx context.Context) { c.send(c.d.readConfig(ctx, revision, wait)) })
 }
 
-// watchRole is this daemon's part in its zone's watch on the store.
+// watchRole is the role of this daemon in its zone's watch on the store.
 type watchRole struct {
-	// isWatcher: it has the lowest instance name of the live ones that are not
-	// leaving, so it is the watcher.
+	// isWatcher is set in the daemon whose instance name is the lowest among
+	// the live daemons of the zone that are not leaving.
 	isWatcher bool
-	// zoneDaemons is the number of those.
+	// zoneDaemons is the number of those daemons, this one included.
 	zoneDaemons int
 }
 
-// watchRole also guards against a watcher that lives and has lost the store:
-// it says so in its heartbeats, or is silent, and after watchLossDelay the
-// others ask the store until it reaches it again.
+// watchRole determines the role of this daemon. It also records when a peer of
+// the zone last reported that it reaches the store, because a live watcher may
+// have lost its connection to the store: its heartbeats then report this, or
+// none arrive. After watchLossDelay the other daemons of the zone call the
+// store until the watcher reaches it again.
 func (c *control) watchRole(now time.Time) watchRole {
 	role := watchRole{isWatcher: true, zoneDaemons: 1}
 	for _, m := range c.members.table.Live(now) {
@@ -102,24 +111,26 @@
 	return role
 }
 
-// watchesStore tells whether this daemon waits on the store for its zone, and
-// reaches it.
+// watchesStore reports whether this daemon is the watcher of its zone and
+// reaches the store.
 func (c *control) watchesStore(now time.Time) bool {
 	return c.watchRole(now).isWatcher && !c.config.store.unavailable
 }
 
-// storeReadResult: a call to the store for the configuration ended.
+// storeReadResult reports that a store call for the configuration has ended.
 type storeReadResult struct {
-	// watchRevision is the store's revision to watch on from; 0: read the value again.
+	// watchRevision is the store revision from which the next watch starts;
+	// with 0, the next call reads the value again.
 	watchRevision uint64
-	// parsed is empty where the value has not changed.
+	// parsed is the zero value if the value has not changed.
 	parsed parsedRecord
-	// validAt is a time at which the store held this value.
+	// validAt is a time at which the store contained this value.
 	validAt time.Time
 	err     error
 }
 
-// readConfig reads the value, or waits for a change of it after a revision.
+// readConfig reads the value if revision is 0, and otherwise waits for a change
+// after that revision.
 func (d *Daemon) readConfig(ctx context.Context, revision uint64, wait time.Duration) storeReadResult {
 	sentAt := time.Now()
 	if revision == 0 {
@@ -147,7 +158,8 @@
 	return newStoreReadResult(latest, changes.Revision, sentAt, nil)
 }
 
-// findConfigItem finds the value among what a listing brought; nil: there is none.
+// findConfigItem returns the configuration among the items of a listing, or nil
+// if there is none.
 func findConfigItem(items []kv.Item) *kv.Item {
 	for i := range items {
 		if items[i].Key == config.StoreKey {
@@ -157,8 +169,9 @@
 	return nil
 }
 
-// unchangedUntil is when a watch that brought nothing ended: it answers only after
-// the wait, which began no earlier than the call.
+// unchangedUntil returns the time until which a watch that reported no change
+// covers the value. The store responds to such a watch only after the wait,
+// which began no earlier than the call was sent.
 func unchangedUntil(sentAt, receivedAt time.Time, wait time.Duration) time.Time {
 	if receivedAt.Sub(sentAt) < wait {
 		return sentAt
@@ -213,7 +226,7 @@
 	s.nextCallAt = maxTime(s.nextCallAt, now.Add(watchRetryDelay))
 	switch {
 	case errors.Is(m.err, kv.ErrNotFound):
-		// The store answers, and holds no configuration.
+		// The store is reachable and contains no configuration.
 		c.markVerified(m.validAt)
 	case errors.Is(m.err, config.ErrBadRecord):
 		c.d.log.Error("config_unreadable", "err", m.err)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -9,22 +9,25 @@
 	"balsambarrow/internal/view"
 )
 
-// Timing of the control thread.
+// Limits of the control thread.
 const (
 	tickInterval = 100 * time.Millisecond
 	inboxSize    = 1024
 )
 
-// message is what the control thread receives.
+// message is an event that the control thread receives and applies to its
+// state.
 type message interface{ apply(c *control) }
 
-// control is the state that the control thread owns. Nothing else reads or
-// writes its fields. Each duty keeps its part in a file of its own.
+// control is the state that the control thread owns. No other goroutine reads
+// or writes its fields. The state of each responsibility is declared in its own
+// file.
 type control struct {
 	d     *Daemon
 	inbox chan message
 	state membership.State
-	// publishPending: something changed that traffic threads must see at once.
+	// publishPending is set when a change must be visible to traffic threads at
+	// once, before the next tick.
 	publishPending bool
 	members        memberState
 	slots          slotState
@@ -48,7 +51,8 @@
 	}
 }
 
-// send passes a message to the control thread, or drops it at the stop.
+// send passes a message to the control thread. The message is dropped if the
+// daemon has been stopped.
 func (c *control) send(m message) {
 	select {
 	case c.inbox <- m:
@@ -79,9 +83,10 @@
 	}
 }
 
-// handle applies a message. A snapshot costs more than all else that control
-// does, and heartbeats are most messages: one that changes only headroom
-// waits for the next tick, which is as old as the headroom is anyway.
+// handle applies a message. Publishing a snapshot is the most expensive
+// operation of the control thread, and most messages are heartbeats. A
+// heartbeat that changes only headroom is therefore published at the next tick;
+// that delay is no longer than the age which headroom has in any case.
 func (c *control) handle(m message) {
 	if _, heartbeat := m.(heartbeatReceived); !heartbeat {
 		c.publishPending = true
@@ -89,8 +94,8 @@
 	m.apply(c)
 }
 
-// handleQueued applies the messages that wait already, so that a burst of them costs
-// one snapshot.
+// handleQueued applies the messages that are already queued, so that a burst of
+// messages leads to a single snapshot.
 func (c *control) handleQueued() {
 	for range inboxSize {
 		select {
@@ -110,7 +115,7 @@
 	c.tickFleet(now)
 }
 
-// publish makes the snapshot that traffic threads read from now on.
+// publish creates the snapshot that traffic threads read from now on.
 func (c *control) publish(now time.Time) {
 	c.detectPause(now)
 	live := c.members.table.Live(now)
@@ -136,7 +141,7 @@
 	c.d.view.Store(snap)
 }
 
-// selfMember is this daemon as its heartbeats show it.
+// selfMember returns the state of this daemon as its heartbeats report it.
 func (c *control) selfMember(now time.Time) membership.Member {
 	m := c.d.identity
 	m.State = c.state
@@ -158,10 +163,10 @@
 	return m
 }
 
-// activeConfig is the configuration in force; nil until there is one.
+// activeConfig returns the configuration in force, or nil if there is none yet.
 func (c *control) activeConfig() *config.Active { return c.config.active }
 
-// leaveRequest: the planned stop has begun.
+// leaveRequest starts the planned stop.
 type leaveRequest struct{ done chan struct{} }
 
 func (m leaveRequest) apply(c *control) {
