--- a/internal/daemon/config_peers.go
+++ b/internal/daemon/config_peers.go
@@ -127,7 +127,7 @@
 	}
 	record, err := config.ParseRecord(reply.Record)
 	if err != nil {
-		d.log.Warn("pull_unreadable", "peer", address, "err", err)
+		d.log.Warn("pulled_record_invalid", "peer", address, "err", err)
 		return pullResult{err: err}
 	}
 	result.parsed = activateRecord(record)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,27 +30,27 @@
 	"balsambarrow/platform"
 )
 
-// Bounds of slow callers, on every HTTP listener. Bodies are bounded where
-// they are read.
+// Timeouts for slow clients, on every HTTP listener. The size of a body is
+// limited by the handler that reads it.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// operatorTimeout bounds an operator's whole request: a patch is at most
-	// some megabytes.
+	// operatorTimeout limits the time to read an operator's full request. The
+	// largest request is a patch of a few megabytes.
 	operatorTimeout = 30 * time.Second
 )
 
-// Options are what tests replace.
+// Options are the parameters that tests override.
 type Options struct {
-	// Dial opens every connection to peers, relays, upstreams and the
+	// Dial opens every connection to peers, relay listeners, upstreams and the
 	// platform. Default: net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// LookupTTL is how long a stopping daemon waits for callers to look
-	// elsewhere. Default: lookup.TTL.
+	// LookupTTL is how long a stopping daemon waits for its callers to look up
+	// another entry host. Default: lookup.TTL.
 	LookupTTL time.Duration
 }
 
-// Daemon is one running balsambarrowd.
+// Daemon is one running balsambarrowd process.
 type Daemon struct {
 	settings *settings.Settings
 	options  Options
@@ -64,7 +64,7 @@
 	fleetTLS fleetTLS
 	peers    *peer.Listener
 	conns    *peer.Conns
-	// client talks to upstreams, relayClient to other daemons.
+	// client sends requests to upstreams, and relayClient to other daemons.
 	client      *upstream.Client
 	relayClient *upstream.Client
 
@@ -81,7 +81,7 @@
 	listenerErrs chan error
 }
 
-// New makes a daemon and opens its listeners. Start lets it serve.
+// New creates a daemon. Start opens its listeners and begins to serve.
 func New(s *settings.Settings, logger *log.Logger, opts Options) (*Daemon, error) {
 	tracing, err := telemetry.NewTracing(s.TraceFile)
 	if err != nil {
@@ -121,13 +121,15 @@
 	return d, nil
 }
 
-// Identity is this daemon's name and addresses, known after Start.
+// Identity returns the name and the addresses of this daemon. They are complete
+// after Start.
 func (d *Daemon) Identity() membership.Member { return d.identity }
 
-// OperatorsAddress is the operators' listener, known after Start.
+// OperatorsAddress returns the address of the operators' listener. It is valid
+// after Start.
 func (d *Daemon) OperatorsAddress() string { return d.servers[1].Addr }
 
-// View is the snapshot in force.
+// View returns the snapshot in force.
 func (d *Daemon) View() *view.Snapshot { return d.view.Load() }
 
 // Start opens the listeners and begins to serve.
@@ -192,20 +194,20 @@
 	}
 	peers, err := net.Listen("tcp", d.settings.Listen.Peers)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for peers")
+		return nil, errors.Wrap(err, "daemon: listen for peers")
 	}
 	d.identity.Peers = peers.Addr().String()
 	d.peers = peer.Bounded(peers)
 	return d.fleetTLS.wrapListener(d.peers), nil
 }
 
-// plainTCP serves plain TCP.
+// plainTCP returns the listener unchanged, without TLS.
 func plainTCP(l net.Listener) net.Listener { return l }
 
 func (d *Daemon) serveHTTP(address string, server *http.Server, wrap func(net.Listener) net.Listener) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return "", errors.Wrap(err, "listen")
+		return "", errors.Wrap(err, "daemon: listen")
 	}
 	server.Handler = d.closeWhileLeaving(server.Handler)
 	server.Addr = l.Addr().String()
@@ -222,18 +224,19 @@
 	return server.Addr, nil
 }
 
-// keyValid tells the handler whether a key is still the customer's.
+// keyValid reports whether the API key still belongs to the customer.
 func (d *Daemon) keyValid(digest config.Digest, customer string) bool {
 	snap := d.view.Load()
 	for deadline := time.Now().Add(view.MaxAge); !snap.Current(time.Now()) && time.Now().Before(deadline); {
-		// Just resumed after a pause: the withdrawal may have come meanwhile.
+		// The process has just resumed after a pause, during which the key may
+		// have been withdrawn. Wait for a current snapshot.
 		time.Sleep(tickInterval / 2)
 		snap = d.view.Load()
 	}
 	return snap.OwnsKey(digest, customer)
 }
 
-// spawn runs a task that ends with the daemon.
+// spawn runs a task whose context ends when the daemon is stopped.
 func (d *Daemon) spawn(task func(context.Context)) {
 	d.tasks.Add(1)
 	go func() {
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,7 +1,7 @@
-// Package daemon puts the slices together into one process: it owns the
-// listeners, the control thread and the planned stop.
+// Package daemon assembles the other packages into the balsambarrowd process.
+// It owns the listeners, the control thread and the planned stop.
 //
-// One goroutine, the control thread, owns membership, slots and the
-// configuration in force. Everything else talks to it by typed messages and
-// reads the snapshots it publishes.
+// The control thread is one goroutine that owns membership, slots and the
+// configuration in force. All other goroutines send it typed messages and read
+// the immutable snapshots that it publishes.
 package daemon
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -9,8 +9,9 @@
 	"balsambarrow/internal/view"
 )
 
-// fleetState is the control thread's account of every host for operators: all
-// that are listed or were heard, silent ones too.
+// fleetState is the control thread's record of every host for operators. It
+// contains all hosts that are listed or have sent a heartbeat, including
+// unresponsive ones.
 type fleetState struct {
 	listedAt time.Time
 	hosts    map[string]view.Host
@@ -18,12 +19,13 @@
 
 func newFleetState() fleetState { return fleetState{hosts: map[string]view.Host{}} }
 
-// recordHostReport notes a daemon's account of itself.
+// recordHostReport records a daemon's report of its own state.
 func (c *control) recordHostReport(m membership.Member, now time.Time) {
 	h := c.fleet.hostByName(m.Host, now)
 	lastReport := h.LastReport
 	if lastReport.Instance == m.Instance {
-		// Only answers say when a version was confirmed.
+		// Only a response to this daemon's heartbeat carries a confirmation
+		// time, so a report without one keeps the time of the previous report.
 		m.ConfirmedAt = maxTime(m.ConfirmedAt, lastReport.ConfirmedAt)
 	}
 	if lastReport.Instance == m.Instance && lastReport.Sequence >= m.Sequence {
@@ -36,7 +38,7 @@
 	c.fleet.hosts[m.Host] = h
 }
 
-// recordHostList notes the platform's host list.
+// recordHostList records the host list of the platform.
 func (c *control) recordHostList(hosts []membership.Host, now time.Time) {
 	c.fleet.listedAt = now
 	for name, h := range c.fleet.hosts {
@@ -57,7 +59,8 @@
 	return view.Host{Name: name, KnownSince: now}
 }
 
-// tickFleet forgets hosts that are not listed any more and have fallen silent.
+// tickFleet removes hosts that are no longer listed and have been silent for
+// longer than their retention.
 func (c *control) tickFleet(now time.Time) {
 	maps.DeleteFunc(c.fleet.hosts, func(_ string, h view.Host) bool {
 		retention := memberRetention
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -10,13 +10,16 @@
 	"balsambarrow/internal/view"
 )
 
-// assignUpstreams gives the handler the upstreams that rendezvous hashing over
-// the ready daemons assigns to this one. A daemon that has begun to leave goes
-// on with those that it would have if it stayed. Others learn of a change by a
-// heartbeat at once: until they do, nobody asks the new handler.
+// assignUpstreams assigns upstreams to the handler by rendezvous hashing over
+// the ready daemons. A leaving daemon keeps the upstreams that it would have if
+// it were not leaving, until leaveNoticeDelay has passed. A change is sent to
+// the other daemons at once by a heartbeat; until they receive it, they send no
+// requests to the new handler.
 func (c *control) assignUpstreams(snap *view.Snapshot, now time.Time) {
 	candidates := snap.Ready
-	// It goes on for longer than others ask it: they count from their hearing.
+	// The other daemons send requests to a leaving daemon for
+	// membership.HandlesFor after they learn that it leaves, so the daemon must
+	// handle its upstreams for longer than that.
 	if snap.Self.State == membership.StateLeaving && now.Sub(snap.Self.LeavingSince) < leaveNoticeDelay {
 		candidates = append(slices.Clone(candidates), snap.Self)
 	}
@@ -30,8 +33,9 @@
 	}
 }
 
-// updateHeadroom makes the snapshot's headroom that of the upstreams just
-// assigned: the one from before would send requests to a handler that refuses.
+// updateHeadroom replaces the headroom of the snapshot by that of the upstreams
+// just assigned. With the previous headroom, other daemons would send requests
+// to a handler that rejects them.
 func (c *control) updateHeadroom(snap *view.Snapshot) {
 	snap.Self.Headroom = c.d.handler.Headroom()
 	for i := range snap.Ready {
@@ -41,8 +45,8 @@
 	}
 }
 
-// handlingMembers are the daemons whose upstreams may be asked: the ready ones, and
-// for a moment those that leave.
+// handlingMembers returns the daemons whose upstreams may receive requests: the
+// ready ones, and for a short time those that are leaving.
 func (c *control) handlingMembers(snap *view.Snapshot, now time.Time) []membership.Member {
 	members := slices.Clone(snap.Ready)
 	for _, m := range append([]membership.Member{snap.Self}, snap.Members...) {
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -1,7 +1,7 @@
 package daemon
 
-// handoverServer receives what stopping peers pass on: postings and slots. It
-// implements peer.DRPCHandoverServer.
+// handoverServer receives the postings and slots that stopping peers transfer.
+// It implements peer.DRPCHandoverServer.
 type handoverServer struct {
 	*postingReceiver
 	*slotReceiver
--- a/internal/daemon/linkpacing.go
+++ b/internal/daemon/linkpacing.go
@@ -8,8 +8,9 @@
 	"balsambarrow/internal/relay"
 )
 
-// paceResponse holds an answer to another region's daemon back to the quota of the
-// link it crosses; within a region, and where no link is declared, it passes.
+// paceResponse limits a response to a daemon of another region to the quota of
+// the link between the regions. A response within the region, or over a link
+// that is not declared, is not limited.
 func (d *Daemon) paceResponse(ctx context.Context, requester string, body io.ReadCloser) io.ReadCloser {
 	snap := d.view.Load()
 	member, known := snap.Find(requester)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -9,32 +9,36 @@
 	"balsambarrow/internal/peer"
 )
 
-// callTimeout bounds one control call to a peer.
+// callTimeout limits one control call to a peer.
 const callTimeout = time.Second
 
 // Timing of membership.
 const (
 	hostListInterval = 2 * time.Second
-	// hostListIntervalPerDaemon is a daemon's part of the time between two readings of the
-	// host list: the fleet together makes 50 calls a second at most. What the
-	// list shows late is known by gossip before.
+	// hostListIntervalPerDaemon is multiplied by the number of daemons to get
+	// the time between two reads of the host list, so that the fleet together
+	// makes at most 50 calls a second. Daemons that the list shows late are
+	// already known through gossip.
 	hostListIntervalPerDaemon = 20 * time.Millisecond
-	// maxConfirmationAge is the age of the configuration's confirmation from which
-	// all peers are asked: a watcher's confirmation is up to watchDuration and watchMaxLag
-	// old, and a peer that asks it in turn half a heartbeat more.
+	// maxConfirmationAge is the age of the configuration's confirmation above
+	// which this daemon sends its heartbeats to all peers. The confirmation of
+	// a zone's watcher is at most watchDuration plus watchMaxLag old, and that
+	// of a peer which receives it from the watcher is half a heartbeat interval
+	// older.
 	maxConfirmationAge = watchDuration + watchMaxLag + membership.BeatEvery
-	// memberRetention keeps a silent peer's last account for status and posting
-	// ids; it no longer counts as live long before.
+	// memberRetention is how long the last report of an unresponsive peer is
+	// kept for the fleet status and for posting ids. Long before that, the peer
+	// no longer counts as live.
 	memberRetention = time.Minute
 )
 
-// memberState is the control thread's part for membership.
+// memberState is the control thread's state for membership.
 type memberState struct {
 	table    *membership.Table
 	contacts *membership.Contacts
-	// assignedUpstreams are the upstreams that this daemon was last assigned.
+	// assignedUpstreams lists the upstreams last assigned to this daemon.
 	assignedUpstreams []string
-	// leavingSince is when this daemon's planned stop began.
+	// leavingSince is when the planned stop of this daemon began.
 	leavingSince    time.Time
 	sequence        uint64
 	nextHeartbeatAt time.Time
@@ -43,8 +47,8 @@
 
 func newMemberState() memberState { return memberState{table: membership.NewTable()} }
 
-// contacts is made at the first use: the daemon's own address is known
-// only once it listens.
+// contacts returns the contact set, which is created at the first use because
+// the daemon's own address is known only after its listeners are open.
 func (c *control) contacts() *membership.Contacts {
 	if c.members.contacts == nil {
 		c.members.contacts = membership.NewContacts(c.d.identity.Peers)
@@ -66,7 +70,8 @@
 	}
 }
 
-// heartbeatReceived: a peer's account of itself arrived.
+// heartbeatReceived reports that the state of a peer has arrived, in a
+// heartbeat or in the response to one.
 type heartbeatReceived struct{ member membership.Member }
 
 func (m heartbeatReceived) apply(c *control) {
@@ -84,7 +89,8 @@
 	c.handleConfigReport(m.member, now)
 }
 
-// heartbeatAnswered: the daemon at address has answered a heartbeat with its account.
+// heartbeatAnswered reports that the daemon at address has responded to a
+// heartbeat of this daemon with its own state.
 type heartbeatAnswered struct {
 	address string
 	member  membership.Member
@@ -95,7 +101,7 @@
 	heartbeatReceived{m.member}.apply(c)
 }
 
-// hostListRead: the platform's host list was read.
+// hostListRead reports that the host list of the platform was read.
 type hostListRead struct{ hosts []membership.Host }
 
 func (m hostListRead) apply(c *control) {
@@ -107,7 +113,8 @@
 	c.recordHostList(m.hosts, time.Now())
 }
 
-// recordContact notes where a member is and whom it hears.
+// recordContact records the address of a member and the addresses that it
+// knows.
 func (c *control) recordContact(m membership.Member, now time.Time) {
 	contacts := c.contacts()
 	contacts.Rumored(m.Known, now)
@@ -118,7 +125,8 @@
 	contacts.Heard(m.Peers, now)
 }
 
-// sendHeartbeats sends a heartbeat to every address that may be a daemon's.
+// sendHeartbeats sends a heartbeat to every address that may belong to a
+// daemon. An urgent heartbeat reports a change and goes to all of them.
 func (c *control) sendHeartbeats(urgent bool, now time.Time) {
 	c.members.sequence++
 	self := c.selfMember(now)
@@ -129,15 +137,18 @@
 	}
 }
 
-// heartbeatTargets are the addresses to send a heartbeat to. Without news it leaves
-// those out that have exchanged one with this daemon just now.
+// heartbeatTargets returns the addresses to send a heartbeat to. Unless it is
+// urgent, the addresses that have just exchanged a heartbeat with this daemon
+// are left out.
 //
-// Only the answer to a heartbeat of its own confirms a daemon's configuration
-// (see confirmationTime). Two daemons keep the order in which they began: one whose
-// peers always beat first would hardly ask any of them, and where it is
-// cut off from the store it would refuse customers with a bound on staleness
-// although peers know the version to be the newest. So it asks all of them
-// while its configuration is unconfirmed for longer than maxConfirmationAge.
+// Only the response to a heartbeat that a daemon sent itself confirms its
+// configuration (see confirmationTime). The heartbeats of two daemons keep the
+// order in which they started. A daemon whose peers always send first would
+// hardly ever send a heartbeat itself. If it were then partitioned from the
+// store, it would reject the requests of customers with a staleness bound,
+// although its peers know that its version is the newest. Therefore a daemon
+// sends to all peers while its configuration has not been confirmed for longer
+// than maxConfirmationAge.
 func (c *control) heartbeatTargets(urgent bool, now time.Time) []string {
 	addresses := c.dueAddresses(now)
 	if urgent || now.Sub(c.config.confirmedAt) > maxConfirmationAge {
@@ -146,8 +157,9 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return c.contacts().Fresh(address, now) })
 }
 
-// dueAddresses adds to the contacts the holders that the store names: they
-// are asked before their slots are taken.
+// dueAddresses returns the contacts that are due, and in addition the slot
+// holders named by the store. A holder must be contacted before its slots are
+// taken.
 func (c *control) dueAddresses(now time.Time) []string {
 	due := c.contacts().Due(now)
 	for _, address := range c.slots.holderAddresses {
@@ -158,7 +170,7 @@
 	return due
 }
 
-// peerAddresses are the addresses of all daemons that may be there.
+// peerAddresses returns the addresses of all daemons that may be running.
 func (c *control) peerAddresses() map[string]bool { return c.contacts().All() }
 
 func (d *Daemon) sendHeartbeat(ctx context.Context, address string, message *peer.Heartbeat) {
@@ -167,7 +179,7 @@
 	sentAt := time.Now()
 	reply, err := peer.NewDRPCMembershipClient(d.conns.To(ctx, address)).Beat(ctx, message)
 	if err != nil {
-		d.log.Debug("beat_failed", "peer", address, "err", err)
+		d.log.Debug("heartbeat_failed", "peer", address, "err", err)
 		return
 	}
 	member := memberFromWire(reply)
@@ -175,7 +187,7 @@
 	d.control.send(heartbeatAnswered{address: address, member: member})
 }
 
-// Beat answers a peer's heartbeat; it implements peer.DRPCMembershipServer.
+// Beat responds to a peer's heartbeat. It implements peer.DRPCMembershipServer.
 func (d *Daemon) Beat(_ context.Context, in *peer.Heartbeat) (*peer.Heartbeat, error) {
 	d.control.send(heartbeatReceived{memberFromWire(in)})
 	return memberToWire(d.view.Load().Self), nil
@@ -187,15 +199,16 @@
 	}
 }
 
-// readHosts reads the host list; false if the store does not answer.
+// readHosts reads the host list. It returns false if the store does not
+// respond.
 func (d *Daemon) readHosts(ctx context.Context) ([]membership.Host, bool) {
 	hosts, unreadable, err := membership.ListHosts(ctx, d.store)
 	if err != nil {
-		d.log.Debug("hosts_not_listed", "err", err)
+		d.log.Debug("host_list_not_read", "err", err)
 		return nil, false
 	}
 	for _, key := range unreadable {
-		d.log.Warn("host_unreadable", "key", key)
+		d.log.Warn("host_entry_invalid", "key", key)
 	}
 	return hosts, true
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -11,8 +11,8 @@
 	"balsambarrow/internal/wire"
 )
 
-// registerGauges publishes what the snapshot says. docs/OPERATIONS.md tells
-// what each gauge means.
+// registerGauges registers the gauges that report the current snapshot.
+// docs/OPERATIONS.md describes each gauge.
 func (d *Daemon) registerGauges() {
 	d.metrics.Gauge("balsambarrow_ready", func() float64 {
 		return boolToFloat(d.view.Load().Self.State == membership.StateReady)
@@ -32,7 +32,8 @@
 	d.metrics.Gauge("balsambarrow_load", func() float64 { return d.view.Load().Self.Load })
 }
 
-// runningOnDrained is how many requests still run on upstreams that are drained.
+// runningOnDrained returns the number of requests that still run on draining
+// upstreams.
 func runningOnDrained(drains []upstream.Draining) int {
 	n := 0
 	for _, d := range drains {
@@ -48,12 +49,13 @@
 	return 0
 }
 
-// requestMetrics counts a listener's answers to callers by service and result.
+// requestMetrics counts the responses to callers of one listener by service and
+// result.
 type requestMetrics struct {
 	next    http.Handler
 	metrics *telemetry.Metrics
-	// known tells which names may become a label: a caller's misspelling
-	// must not make a new series.
+	// isKnownService reports whether a name may become a label. A misspelled
+	// name in a caller's request must not create a new time series.
 	isKnownService func(service string) bool
 }
 
@@ -71,12 +73,13 @@
 	}
 	startedAt := time.Now()
 	result := &resultWriter{ResponseWriter: w}
-	// An answer that breaks off leaves by a panic; it is counted all the same.
+	// The handler aborts an incomplete response by a panic. The deferred call
+	// counts such a response too.
 	defer func() { o.metrics.Request(service, result.result(), time.Since(startedAt)) }()
 	o.next.ServeHTTP(result, r)
 }
 
-// resultWriter remembers the status and outcome of an answer.
+// resultWriter records the status and the outcome of a response.
 type resultWriter struct {
 	http.ResponseWriter
 	status int
@@ -90,13 +93,14 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (w *resultWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // Flush implements http.Flusher.
 func (w *resultWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
 
-// result is the outcome, with the status where the answer is a refusal.
+// result returns the outcome of the response. For a rejected request it also
+// contains the status text.
 func (w *resultWriter) result() string {
 	outcome := w.Header().Get(wire.HeaderOutcome)
 	switch {
@@ -108,7 +112,7 @@
 	return outcome + " " + http.StatusText(w.status)
 }
 
-// hasService tells whether the configuration in force has a service.
+// hasService reports whether the configuration in force declares the service.
 func (d *Daemon) hasService(service string) bool {
 	snap := d.view.Load()
 	if snap.Config == nil {
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -14,36 +14,39 @@
 )
 
 const (
-	// maxPartBytes bounds one part of a table on its way, far below what a peer
-	// takes in one message.
+	// maxPartBytes limits one part of a table in transfer. It is far below the
+	// size that a peer accepts in one message.
 	maxPartBytes = 512 << 10
-	// partTimeout bounds the passing on of one part.
+	// partTimeout limits the transfer of one part.
 	partTimeout = 2 * time.Second
-	// transferTimeout bounds the passing on of all tables; 80 parts of a full one
-	// take a second within a zone.
+	// transferTimeout limits the transfer of all tables. The 80 parts of a full
+	// table take one second within a zone.
 	transferTimeout = 10 * time.Second
-	// maxSuccessors bounds the peers that are tried: a host that is cut off
-	// must not spend its stop on asking everybody.
-	maxSuccessors = 4
-	// postingOverhead is added to the variable bytes of a posting.
+	// maxTransferTargets limits the number of peers that are tried. A host that is
+	// partitioned from the network must not spend its planned stop on querying
+	// every peer.
+	maxTransferTargets = 4
+	// postingOverhead is the estimated size of the fixed fields of a posting.
+	// It is added to the size of the variable fields.
 	postingOverhead = 128
-	// assemblyTTL is how long the parts of an unfinished table are kept: more
-	// than a planned stop takes.
+	// assemblyTTL is how long the parts of an incomplete table are kept. It is
+	// longer than a planned stop.
 	assemblyTTL = 2 * time.Minute
-	// maxHTTPStatus is the highest status of an answer.
+	// maxHTTPStatus is the highest status code of an HTTP response.
 	maxHTTPStatus = 599
-	// maxAssemblies bounds the tables on their way at once.
+	// maxAssemblies limits the number of tables in transfer at once.
 	maxAssemblies = 8
 )
 
-// errDeclined says that a peer had no room for a table.
-var errDeclined = errors.New("daemon: peer does not take the postings")
+// errDeclined reports that a peer had no room for a table.
+var errDeclined = errors.New("daemon: peer rejected the postings")
 
-// transferPostings closes the table of postings and passes it to a peer of the
-// zone, which answers for this instance from then on. It is called at a
-// planned stop, after the callers' and relay listeners have ended every
-// request: a posting that still runs goes as unknown. Where no peer of the
-// zone takes it, another zone's may.
+// transferPostings closes the table of postings and transfers it to a peer of
+// the zone, which answers queries about this instance's postings from then on.
+// It is called at a planned stop, after the callers' and relay listeners have
+// finished all requests. A posting that still runs is transferred with an
+// unknown outcome. If no peer of the zone accepts the table, a peer of another
+// zone may.
 func (d *Daemon) transferPostings(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -54,10 +57,10 @@
 
 func (d *Daemon) transferTable(ctx context.Context, table posting.Handover) {
 	peers := d.transferTargets()
-	for _, to := range peers[:min(len(peers), maxSuccessors)] {
+	for _, to := range peers[:min(len(peers), maxTransferTargets)] {
 		err := d.sendTable(ctx, to, table)
 		if err == nil {
-			d.log.Info("postings_handed_over", "instance", table.Instance, "to", to.Instance, "postings", len(table.Postings))
+			d.log.Info("postings_transferred", "instance", table.Instance, "to", to.Instance, "postings", len(table.Postings))
 			return
 		}
 		d.log.Warn("postings_not_taken", "instance", table.Instance, "by", to.Instance, "err", err)
@@ -68,7 +71,7 @@
 	d.log.Warn("postings_lost", "instance", table.Instance, "postings", len(table.Postings))
 }
 
-// transferTargets lists the ready daemons, those of the own zone first.
+// transferTargets returns the ready daemons, those of this daemon's zone first.
 func (d *Daemon) transferTargets() []membership.Member {
 	var sameZone, otherZones []membership.Member
 	for _, m := range d.view.Load().Members {
@@ -101,8 +104,9 @@
 	return nil
 }
 
-// splitTable cuts a table so that each part stays small. An empty table is passed
-// too: it makes the successor's not-run true for ids that never came.
+// splitTable splits a table into parts of at most maxPartBytes. An empty table
+// is transferred too. Only with the table can the successor report ids that
+// never arrived as not-run.
 func splitTable(table posting.Handover) []*peer.PostingTable {
 	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
@@ -135,8 +139,8 @@
 	return n
 }
 
-// postingReceiver receives what a stopping peer passes on; it implements
-// peer.DRPCHandoverServer.
+// postingReceiver receives the posting tables that stopping peers transfer. It
+// implements the posting part of peer.DRPCHandoverServer.
 type postingReceiver struct {
 	peer.DRPCHandoverUnimplementedServer
 	d *Daemon
@@ -145,8 +149,9 @@
 	assemblies map[string]*assembly
 }
 
-// assembly is a table of which parts are missing, by the postings' ids: a part
-// that arrives twice counts once.
+// assembly is a table of which some parts have not arrived yet. Its postings
+// are indexed by customer and id, so that a part that arrives twice counts
+// once.
 type assembly struct {
 	startedAt   time.Time
 	postings    map[postingKey]posting.Kept
@@ -170,9 +175,9 @@
 	return &postingReceiver{d: d, assemblies: map[string]*assembly{}}
 }
 
-// TakePostings takes one part in. The reply says whether the whole table has
-// been taken: answering for an instance with a part of its table would call
-// the rest not-run.
+// TakePostings receives one part of a table. The response says whether the full
+// table has been received. A daemon that answered for an instance with an
+// incomplete table would report the missing postings as not-run.
 func (h *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
 	postings, err := postingsFromWire(in)
 	if err != nil {
@@ -198,8 +203,8 @@
 	return &peer.HandoverReply{Taken: h.d.storeTable(in, a)}, nil
 }
 
-// assembly finds or begins the collecting of an instance's parts; nil where
-// there are too many.
+// assembly returns the assembly of an instance's table, and creates it if
+// needed. It returns nil if there are too many assemblies.
 func (h *postingReceiver) assembly(instance string, now time.Time) *assembly {
 	for name, a := range h.assemblies {
 		if now.Sub(a.startedAt) > assemblyTTL {
@@ -220,11 +225,12 @@
 		table.Postings = append(table.Postings, record)
 	}
 	accepted := d.postings.Take(table, time.Now())
-	d.log.Info("postings_taken", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
+	d.log.Info("postings_received", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
 	return accepted
 }
 
-// stateNames are the states that travel. A running one does not.
+// stateNames are the names of the states on the wire. A running posting is
+// transferred as unknown.
 var stateNames = map[posting.State]string{posting.StateRan: "ran", posting.StateUnknown: "unknown"}
 
 var statesByName = map[string]posting.State{"ran": posting.StateRan, "unknown": posting.StateUnknown}
@@ -241,8 +247,8 @@
 	return out
 }
 
-// errInvalidPosting says that a peer's posting cannot be read.
-var errInvalidPosting = errors.New("daemon: unreadable posting in a table")
+// errInvalidPosting reports that a posting received from a peer is malformed.
+var errInvalidPosting = errors.New("daemon: invalid posting in a transferred table")
 
 func postingsFromWire(in *peer.PostingTable) ([]posting.Kept, error) {
 	var all []posting.Kept
@@ -252,7 +258,7 @@
 			return nil, err
 		}
 		if record.ID.Instance != in.Instance {
-			return nil, errors.Wrap(errInvalidPosting, "another instance's")
+			return nil, errors.Wrap(errInvalidPosting, "id of another instance")
 		}
 		all = append(all, record)
 	}
@@ -266,14 +272,14 @@
 	}
 	state, known := statesByName[in.State]
 	if len(in.Digest) != len(posting.Digest{}) || !known {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "digest or state")
+		return posting.Kept{}, errors.Wrap(errInvalidPosting, "invalid digest or state")
 	}
 	record := posting.Kept{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
 	if in.Status == 0 {
 		return record, nil
 	}
 	if in.Status < http.StatusOK || in.Status > maxHTTPStatus {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "status")
+		return posting.Kept{}, errors.Wrap(errInvalidPosting, "invalid status")
 	}
 	record.Answer = &posting.Answer{
 		Status: int(in.Status), Header: http.Header{}, Body: in.Body, Dropped: in.Dropped,
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -15,28 +15,31 @@
 	"balsambarrow/internal/view"
 )
 
-// Timing of quotas.
+// Timing and limits of quotas.
 const (
-	// planInterval is the time between plans of every quota in use; a taker that
-	// waits wakes the planner at once.
+	// planInterval is the time between two plans of every quota in use. A
+	// request that waits for tokens of a quota wakes the planner at once.
 	planInterval     = 50 * time.Millisecond
 	dropIdleInterval = 10 * time.Second
-	// loanStreamIdleTimeout closes a stream to a lender that was not asked for so long.
+	// loanStreamIdleTimeout is the idle time after which a stream to a lender
+	// is closed.
 	loanStreamIdleTimeout = 10 * time.Second
-	// maxQueuedRequests bounds the asks that wait for a stream; more are dropped,
-	// as a network would.
+	// maxQueuedRequests limits the loan requests that wait for a stream.
+	// Further requests fail at once, as if the network had lost them.
 	maxQueuedRequests = 256
 )
 
-// quotaState is the control thread's part for quotas.
+// quotaState is the control thread's state for quotas.
 type quotaState struct {
 	partitions quota.Cuts
-	// transferredAt are the slots that came with their tokens, by the time since
-	// which they are held.
+	// transferredAt contains the slots that were transferred together with
+	// their tokens, and for each slot the time since which this daemon holds
+	// it.
 	transferredAt map[int]time.Time
 	shape         *quota.Shape
 	demandScores  map[string]float64
-	// partitionByQuota keeps the cuts of partitionVersion.
+	// partitionByQuota caches the partition of each quota over the slots, for
+	// the configuration version partitionVersion.
 	partitionByQuota map[string]quota.Cut
 	partitionVersion uint64
 	nextScoreAt      time.Time
@@ -45,7 +48,8 @@
 
 func newQuotaState() quotaState { return quotaState{transferredAt: map[int]time.Time{}} }
 
-// publishShares sets the ledger to the usable slots and the versions in force.
+// publishShares sets the slots that the ledger may use and the configuration
+// versions in force.
 func (c *control) publishShares(snap *view.Snapshot, now time.Time) {
 	members := append([]membership.Member{snap.Self}, snap.Members...)
 	shape := &quota.Shape{
@@ -60,10 +64,11 @@
 	c.d.ledger.SetShape(shape, now)
 }
 
-// spendableSlots returns the slots that may be spent from. A slot comes with the
-// loans that its earlier holder made of it; while they run, the borrowers and
-// this daemon together would exceed the quota. A slot that came with tokens is
-// free of loans: see quota.Ledger.Surrender.
+// spendableSlots returns the slots whose tokens may be spent. The previous
+// holder of a slot may have lent its share. Until those loans have ended, the
+// borrowers and this daemon could together exceed the quota, so a slot stays
+// unused for quota.Quarantine. A slot that was transferred together with its
+// tokens has no loans: see quota.Ledger.Surrender.
 func (c *control) spendableSlots(held []membership.Holding, now time.Time) []int {
 	var out []int
 	for _, h := range held {
@@ -96,9 +101,10 @@
 	}
 }
 
-// updateDemandScores sets what the next heartbeats tell of demand. This daemon's own
-// election uses the same numbers: with fresher ones of its own, every daemon
-// would take itself for the hub as long as demand grows everywhere.
+// updateDemandScores sets the demand that the next heartbeats report. This
+// daemon's own election of the hub uses the same numbers. If it used newer
+// numbers for itself than for the others, every daemon would elect itself while
+// demand grows everywhere.
 func (c *control) updateDemandScores(now time.Time) {
 	scores := map[string]float64{}
 	for _, name := range c.d.ledger.Names() {
@@ -110,13 +116,14 @@
 	c.quota.demandScores = scores
 }
 
-// situation finds the hub, the lenders and the fleet's demand of a quota. A
-// leaving daemon tells no demand (see updateDemandScores), so it is not elected.
+// situation returns the hub, the lenders and the fleet's demand of a quota. A
+// leaving daemon reports no demand (see updateDemandScores), so it is not
+// elected.
 //
-// The failure it guards against: the share of a leaving daemon is lent to the
-// hub until the loan's term has passed, and callers that keep a connection go on
-// asking the leaving daemon. Without a hub to take tokens from, it refused them
-// after MaxWait although they were inside their rate.
+// A leaving daemon still needs a hub to take tokens from. Its share stays lent
+// to the hub until the term of the loan has ended, while callers that keep a
+// connection go on sending to it. Without a hub the leaving daemon would reject
+// their requests after MaxWait, although the callers are within their rate.
 func (c *control) situation(name string, members []membership.Member) quota.Situation {
 	s := quota.Situation{Self: c.d.identity.Instance, Leaving: c.state == membership.StateLeaving}
 	partition := c.quota.partition(c.activeConfig(), name)
@@ -125,8 +132,8 @@
 		if partition.Holds(m.Zone, m.Slots) {
 			s.Lenders = append(s.Lenders, m.Instance)
 		}
-		// A leaving daemon gives its loans back: whoever went on asking it
-		// for tokens would wait in vain.
+		// A leaving daemon ends its loans. A daemon that went on requesting
+		// tokens from it would wait for tokens that never arrive.
 		if m.State == membership.StateReady {
 			scores = append(scores, quota.Score{Instance: m.Instance, Value: m.Demand[name]})
 		}
@@ -147,7 +154,8 @@
 	return partition
 }
 
-// runBorrower plans at every tick, and a quota that a taker waits for at once.
+// runBorrower plans every quota at each interval, and plans a quota at once
+// when a request waits for its tokens.
 func (d *Daemon) runBorrower(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -166,14 +174,14 @@
 	}
 }
 
-// lenders are the streams to peers that this daemon borrows from.
+// loanSources manages the streams to the peers that this daemon borrows from.
 type loanSources struct {
 	d       *Daemon
 	mu      sync.Mutex
 	streams map[string]*loanStream
 }
 
-// loanStream is one stream to a lender.
+// loanStream is a stream to one lender.
 type loanStream struct {
 	requests chan quota.Outgoing
 }
@@ -205,14 +213,14 @@
 	}
 }
 
-// run carries asks over one stream until it breaks or is idle.
+// run forwards loan requests over one stream until the stream fails or is idle.
 func (l *loanSources) run(ctx context.Context, to, address string, s *loanStream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	pending := &pendingRequests{bySequence: map[uint64]quota.Outgoing{}}
 	err := l.forward(ctx, address, s, pending)
 	if err != nil && ctx.Err() == nil {
-		l.d.log.Debug("lend_stream_failed", "peer", to, "err", err)
+		l.d.log.Debug("loan_stream_failed", "peer", to, "err", err)
 	}
 	l.mu.Lock()
 	delete(l.streams, to)
@@ -265,7 +273,8 @@
 	}
 }
 
-// pendingRequests are the asks of one stream that have not been answered.
+// pendingRequests contains the requests of one stream that have no response
+// yet.
 type pendingRequests struct {
 	mu           sync.Mutex
 	lastSequence uint64
@@ -299,13 +308,14 @@
 	return all
 }
 
-// Lend answers a peer that borrows; it implements peer.DRPCQuotaServer.
+// Lend responds to the loan requests of a peer. It implements
+// peer.DRPCQuotaServer.
 func (d *Daemon) Lend(stream peer.DRPCQuota_LendStream) error {
 	responder := &loanResponder{stream: stream}
 	for {
 		in, err := stream.Recv()
 		if err != nil {
-			return errors.Wrap(err, "lend")
+			return errors.Wrap(err, "daemon: receive a loan request")
 		}
 		request := borrowRequestFromWire(in)
 		grant, ticket := d.ledger.Lend(request, time.Now())
@@ -322,7 +332,7 @@
 	}
 }
 
-// loanResponder sends replies on one stream, one at a time.
+// loanResponder sends the responses on one stream, one at a time.
 type loanResponder struct {
 	mu     sync.Mutex
 	stream peer.DRPCQuota_LendStream
--- a/internal/daemon/regionlimiter.go
+++ b/internal/daemon/regionlimiter.go
@@ -11,12 +11,14 @@
 	"balsambarrow/internal/wire"
 )
 
-// regionLimiter holds the limit of this daemon's region in front of its handler.
+// regionLimiter enforces the request rate limit of this daemon's region in
+// front of its handler.
 //
-// Load pattern: hosts of several regions send to one region at the same time,
-// each by lagging headroom and unaware of the others. The limit is a quota
-// over the slots of the region's own zones, taken where the work arrives, so
-// no mistaken steering decision can put more than the limit on the region.
+// Hosts of several regions may send to one region at the same time. Each of
+// them works with delayed headroom reports and does not know about the others'
+// requests. The limit is a quota that is shared out over the slots of the
+// region's own zones, and its tokens are taken where the request arrives. A
+// wrong steering decision can therefore never exceed the limit of the region.
 type regionLimiter struct {
 	next   relay.Runner
 	view   *view.Publisher
@@ -39,7 +41,8 @@
 	return answer, problem
 }
 
-// regionQuota names the quota of the daemon's region, if it has one.
+// regionQuota returns the name of the quota of the daemon's region, and whether
+// the region has a limit.
 func (g *regionLimiter) regionQuota() (string, bool) {
 	snap := g.view.Load()
 	if snap.Config == nil {
--- a/internal/daemon/slotreceiver.go
+++ b/internal/daemon/slotreceiver.go
@@ -8,17 +8,18 @@
 	"balsambarrow/internal/quota"
 )
 
-// pendingLevelsTTL is how long tokens wait for the store to confirm their slot.
+// pendingLevelsTTL is how long transferred tokens are kept until the store
+// confirms that their slot belongs to this daemon.
 const pendingLevelsTTL = 5 * time.Second
 
-// slotReceiver implements peer.DRPCHandoverServer for slots.
+// slotReceiver implements the slot part of peer.DRPCHandoverServer.
 type slotReceiver struct {
 	peer.DRPCHandoverUnimplementedServer
 	d *Daemon
 }
 
-// TakeSlots receives the levels of slots that a peer of the zone gave to this
-// daemon.
+// TakeSlots receives the bucket levels of slots that a peer of the zone has
+// transferred to this daemon.
 func (t *slotReceiver) TakeSlots(_ context.Context, in *peer.SlotHandover) (*peer.HandoverReply, error) {
 	var levels []quota.Level
 	for _, l := range in.Levels {
@@ -30,7 +31,8 @@
 	return &peer.HandoverReply{Taken: true}, nil
 }
 
-// slotTransferred: a mate's entry in the store names this daemon from now on.
+// slotTransferred reports that a peer has written the slot's store entry so
+// that it names this daemon as the holder.
 type slotTransferred struct {
 	slot   int
 	levels []quota.Level
@@ -42,8 +44,9 @@
 	c.slots.nextRoundAt = now
 }
 
-// applyPendingLevels adds the tokens of slots that this daemon holds by now. The
-// shares were raised when the slot's snapshot was published.
+// applyPendingLevels adds the transferred tokens of the slots that this daemon
+// holds by now. A slot must be in the published snapshot first, because
+// publishing raises the shares that limit the tokens.
 func (c *control) applyPendingLevels(now time.Time) {
 	if len(c.slots.pendingLevels) == 0 {
 		return
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -12,29 +12,33 @@
 	"balsambarrow/internal/quota"
 )
 
-// fastRoundInterval is the time between two rounds while slots are about to move: a
-// mate joined or left, or a holder fell silent.
+// fastRoundInterval is the time between two rounds while slots are expected to
+// move, because a peer of the zone has joined or left or a holder has become
+// unresponsive.
 const fastRoundInterval = time.Second
 
-// slotState is the control thread's part for slots.
+// slotState is the control thread's state for slots.
 type slotState struct {
 	ownership       *membership.Custody
 	leaseID         uint64
 	nextRoundAt     time.Time
 	roundInProgress bool
-	// holderAddresses are the addresses of the daemons that the store names; a
-	// holder that no list shows is still asked before its slot is taken.
+	// holderAddresses lists the addresses of the slot holders named by the
+	// store. A holder that is in no other list must be contacted before its
+	// slot is taken.
 	holderAddresses []string
-	// readyPeers counts the zone's daemons, to see when one joins or leaves.
+	// readyPeers is the number of ready peers of the zone. A change shows that
+	// a peer has joined or left.
 	readyPeers int
-	// pendingLevels came with a hand-over and wait for their slots.
+	// pendingLevels contains the levels that were transferred for slots which
+	// the store has not confirmed yet, by slot.
 	pendingLevels map[int]pendingLevels
-	// released is closed when a leaving daemon holds no slot any more.
+	// released is closed when a leaving daemon holds no more slots.
 	released chan struct{}
 }
 
-// pendingLevels are tokens that came with a slot which the store has not yet
-// confirmed.
+// pendingLevels are the tokens that were transferred with a slot which the
+// store has not confirmed yet.
 type pendingLevels struct {
 	levels    []quota.Level
 	expiresAt time.Time
@@ -42,8 +46,8 @@
 
 func newSlotState() slotState { return slotState{pendingLevels: map[int]pendingLevels{}} }
 
-// ownership is made at the first use: the daemon's own address is known only
-// once it listens.
+// ownership returns the slot ownership state, which is created at the first use
+// because the daemon's own address is known only after its listeners are open.
 func (c *control) ownership() *membership.Custody {
 	if c.slots.ownership == nil {
 		self := membership.Holder{Instance: c.d.identity.Instance, Peers: c.d.identity.Peers}
@@ -52,7 +56,8 @@
 	return c.slots.ownership
 }
 
-// detectSlotPause comes before everything else that the control thread does.
+// detectSlotPause suspends the use of slots after a pause of the process. The
+// control thread calls it before any other work.
 func (c *control) detectSlotPause(now time.Time) {
 	if c.ownership().Run(now) {
 		c.d.log.Warn("paused", "slots", "suspended")
@@ -77,16 +82,17 @@
 	}
 }
 
-// releaseContestedSlots gives way to a mate that spends from the same slots.
+// releaseContestedSlots releases the slots that a peer of the zone also spends
+// from, if this daemon's lease may have expired.
 func (c *control) releaseContestedSlots(m membership.Member, now time.Time) {
 	if dropped := c.ownership().Heard(m, now); len(dropped) > 0 {
-		c.d.log.Error("slots_yielded", "to", m.Instance, "slots", dropped)
+		c.d.log.Error("contested_slots_released", "to", m.Instance, "slots", dropped)
 		c.slots.nextRoundAt = now
 		c.publishPending = true
 	}
 }
 
-// mates are the other daemons of the zone that are remembered.
+// zonePeers returns the other known daemons of the zone, live or not.
 func (c *control) zonePeers() []membership.Member {
 	var peers []membership.Member
 	for _, m := range c.members.table.All() {
@@ -97,7 +103,8 @@
 	return peers
 }
 
-// countRemaining counts the mates that did not say that they leave.
+// countRemaining returns the number of peers that have not reported that they
+// are leaving.
 func countRemaining(peers []membership.Member) int {
 	n := 0
 	for _, m := range peers {
@@ -125,13 +132,14 @@
 	c.d.spawn(func(ctx context.Context) { c.send(c.d.readSlots(ctx, leaseID)) })
 }
 
-// slotReadResult: the lease was renewed and the zone's entries were read.
+// slotReadResult reports that the first half of a slot round has ended:
+// renewing the lease and reading the zone's slot entries.
 type slotReadResult struct {
 	leaseID uint64
-	// renewedAt is when the call was sent that renewed the lease; zero if none
-	// succeeded.
+	// renewedAt is when the call that renewed the lease was sent. It is zero if
+	// no renewal succeeded.
 	renewedAt time.Time
-	// reading is nil if the store was not read.
+	// reading is nil if the store could not be read.
 	reading *membership.Reading
 }
 
@@ -154,8 +162,10 @@
 	return result
 }
 
-// ensureLease renews the lease or gets a new one, with the entry that shows it.
-// A grant whose answer is lost leaves a lease without entry, which lapses.
+// ensureLease renews the lease. If the lease has expired, or if there is none,
+// it requests a new lease and writes the entry that announces it. If the
+// response to the grant is lost, the lease remains without an entry and
+// expires.
 func (d *Daemon) ensureLease(ctx context.Context, leaseID uint64) (uint64, error) {
 	if leaseID != 0 {
 		err := d.store.Renew(ctx, leaseID)
@@ -198,8 +208,8 @@
 	c.d.spawn(func(ctx context.Context) { c.send(c.d.writeSlots(ctx, writes)) })
 }
 
-// planSlots leaves everything as it is between the start of a planned stop and
-// the moment when no request runs any more.
+// planSlots plans the slot changes of a round. From the start of a planned stop
+// until the last request has ended, the slots stay unchanged.
 func (c *control) planSlots(r *membership.Reading, now time.Time) []membership.Step {
 	leaving := c.slots.released != nil
 	if c.state == membership.StateLeaving && !leaving {
@@ -209,15 +219,17 @@
 	return c.ownership().Plan(membership.Round{Reading: r, Slots: slots, Mates: c.zonePeers(), Leaving: leaving}, now)
 }
 
-// slotWrite is a step with the bucket levels that go along.
+// slotWrite is a planned write of a slot entry, with the bucket levels that are
+// transferred together with the slot.
 type slotWrite struct {
 	membership.Step
 	levels []quota.Level
 }
 
-// withdrawLevels takes the levels out of the buckets of a leaving daemon, so that
-// nobody spends them here any more, and parts them over the slots that it
-// gives to mates. A slot that moves for balance starts empty at its new holder.
+// withdrawLevels removes the levels from the buckets of a leaving daemon, so
+// that their tokens are no longer spent here, and divides them evenly among the
+// slots that it releases to peers. A slot that moves for balance is empty at
+// its new holder.
 func (c *control) withdrawLevels(steps []membership.Step, now time.Time) []slotWrite {
 	writes := make([]slotWrite, 0, len(steps))
 	for _, s := range steps {
@@ -239,11 +251,11 @@
 	return writes
 }
 
-// slotWriteResults: the writes of a round ended.
+// slotWriteResults reports that the writes of a round have ended.
 type slotWriteResults struct{ results []slotWriteResult }
 
-// slotWriteResult is how one write ended; revision is 0 if the store refused it or
-// its outcome is unknown.
+// slotWriteResult is the result of one write. revision is 0 if the store
+// rejected the write or its outcome is unknown.
 type slotWriteResult struct {
 	step     membership.Step
 	revision uint64
@@ -275,9 +287,9 @@
 	return d.store.CompareAndSwap(ctx, key, write.At, write.To.Value(), 0)
 }
 
-// sendLevels tells the new holder that a slot is its own, with the levels. It
-// is sent once: levels that are lost on the way are lost tokens, sent twice
-// they would be made.
+// sendLevels notifies the new holder of a slot and transfers the levels. The
+// message is sent only once. Levels that are lost in transit are lost tokens,
+// whereas levels that arrived twice would create tokens.
 func (d *Daemon) sendLevels(ctx context.Context, write slotWrite) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -286,7 +298,7 @@
 		message.Levels = append(message.Levels, &peer.Level{Quota: l.Quota, Tokens: l.Tokens})
 	}
 	if _, err := peer.NewDRPCHandoverClient(d.conns.To(ctx, write.To.Peers)).TakeSlots(ctx, message); err != nil {
-		d.log.Warn("levels_not_passed", "slot", write.Slot, "to", write.To.Instance, "err", err)
+		d.log.Warn("levels_not_sent", "slot", write.Slot, "to", write.To.Instance, "err", err)
 	}
 }
 
@@ -299,12 +311,12 @@
 		}
 	}
 	c.d.log.Info("slots_changed", "started", started, "held", len(c.ownership().Usable(now)))
-	// The next reading shows what became of the writes.
+	// The next reading shows whether the writes succeeded.
 	c.endSlotRound(now, false)
 }
 
-// endSlotRound closes a round; a settled zone is looked at again when the
-// lease is due, an unsettled one soon.
+// endSlotRound ends a round. If the zone is settled, the next round starts when
+// the lease must be renewed, otherwise after fastRoundInterval.
 func (c *control) endSlotRound(now time.Time, settled bool) {
 	c.slots.roundInProgress = false
 	if !settled || c.zonePeerUnresponsive(now) {
@@ -321,8 +333,8 @@
 	}
 }
 
-// zonePeerUnresponsive tells whether a mate of the zone is silent and may be taken
-// over from soon.
+// zonePeerUnresponsive reports whether a peer of the zone is unresponsive
+// without having announced its leaving, so that its slots may soon be taken.
 func (c *control) zonePeerUnresponsive(now time.Time) bool {
 	for _, m := range c.zonePeers() {
 		if now.Sub(m.HeardAt) > membership.GoneAfter && m.State != membership.StateLeaving {
--- a/internal/daemon/steering.go
+++ b/internal/daemon/steering.go
@@ -9,18 +9,18 @@
 	"balsambarrow/internal/view"
 )
 
-// steerState is the control thread's part for steering and lookups.
+// steerState is the control thread's state for steering and lookups.
 type steerState struct {
 	builder *steer.Builder
-	// index is made once for each version of the configuration.
+	// index is built once for each configuration version.
 	index        *lookup.Index
 	indexVersion uint64
 }
 
 func newSteerState(zone string) steerState { return steerState{builder: steer.NewBuilder(zone)} }
 
-// publishSteering adds to a snapshot what traffic threads steer and answer
-// lookups by.
+// publishSteering adds to a snapshot the tables from which traffic threads
+// steer requests and answer lookups.
 func (c *control) publishSteering(snap *view.Snapshot, now time.Time) {
 	if c.steer.index == nil || c.steer.indexVersion != snap.Config.Version {
 		c.steer.index = lookup.NewIndex(snap.Config.Config)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -10,25 +10,27 @@
 	"balsambarrow/internal/membership"
 )
 
-// leaveNoticeDelay is how long other daemons may still name this one in their lookup
-// answers: until they hear that it leaves, or hear it no more. The lookup ttl
-// runs from the last such answer; without the margin a caller that got it uses
-// a listener that is closed.
+// leaveNoticeDelay is how long other daemons may still name this daemon in
+// their lookup responses: until they learn that it is leaving or consider it
+// gone. The lookup TTL runs from the last such response. Without this delay, a
+// caller that received the response could connect to a closed listener.
 const leaveNoticeDelay = membership.GoneAfter
 
-// slotReleaseTimeout bounds the passing on of slots: above two rounds of calls to a
-// slow store, so that an outage of it does not hold a stop up for long.
+// slotReleaseTimeout limits the release of the slots. It exceeds two rounds of
+// calls to a slow store, and is short enough that a store outage does not delay
+// a stop for long.
 const slotReleaseTimeout = 5 * time.Second
 
-// Stop leaves the fleet and ends the daemon without cutting off a request: it
-// leaves the lookup answers at once, waits until callers have looked elsewhere,
-// lets what runs finish, and gives its slots back. ctx bounds it all.
+// Stop leaves the fleet and stops the daemon without aborting a request. The
+// daemon removes itself from the lookup responses at once, waits until callers
+// have looked up other hosts, lets the running requests finish, and transfers
+// its postings and slots. ctx limits the total time.
 //
-// A connection that is kept alive and closed by the server while a request is
-// on its way would cut that request off. While callers look elsewhere every
-// answer therefore says "Connection: close": the caller closes, at a moment
-// when nothing is on its way. Only connections that were idle all that time
-// are closed from here.
+// If the server closed a keep-alive connection while a request was in transit,
+// that request would be lost. While callers look up other hosts, every response
+// therefore carries "Connection: close", and the caller closes the connection
+// when no request is in transit. The server closes only connections that were
+// idle during all of that time.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.log.Info("stopping")
 	leaving := make(chan struct{})
@@ -44,12 +46,14 @@
 	return err
 }
 
-// transferReserve is kept of a stop's bound for passing postings and slots on:
-// a request that hangs must not use it up, or every posting that this daemon
-// remembers would be in doubt for good.
+// transferReserve is the part of a stop's time limit that is reserved for the
+// transfer of postings and slots. A hanging request must not consume it,
+// because the outcome of every posting recorded in this daemon would then stay
+// unknown permanently.
 const transferReserve = 10 * time.Second
 
-// drainRequests lets what runs end, for as long as the reserve stays.
+// drainRequests waits for the running requests until only transferReserve
+// remains.
 func (d *Daemon) drainRequests(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
@@ -61,20 +65,21 @@
 	return d.shutDownServers(ctx)
 }
 
-// shutDownServers waits for the requests of all listeners, the callers' first: a
-// caller's request may need this daemon's relay listener to the end.
+// shutDownServers waits for the requests of all listeners. The callers'
+// listener is first, because a caller's request may need this daemon's relay
+// listener until its end.
 func (d *Daemon) shutDownServers(ctx context.Context) error {
 	var firstErr error
 	for _, server := range d.servers {
 		if err := server.Shutdown(ctx); err != nil && firstErr == nil {
-			firstErr = errors.Wrap(err, "shut down")
+			firstErr = errors.Wrap(err, "daemon: shut down a server")
 		}
 	}
 	return firstErr
 }
 
-// closeWhileLeaving asks for each connection to be closed by its user while the daemon
-// leaves.
+// closeWhileLeaving asks clients to close their connections while the daemon is
+// leaving.
 func (d *Daemon) closeWhileLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.view.Load().Self.State == membership.StateLeaving {
@@ -84,8 +89,9 @@
 	})
 }
 
-// connectionCloseWriter sets the header last: handlers strip hop-by-hop headers from
-// what they copy, and would take it off again.
+// connectionCloseWriter sets the header just before the response header is
+// written. Handlers remove hop-by-hop headers from the response that they copy,
+// and would remove a header that was set earlier.
 type connectionCloseWriter struct{ http.ResponseWriter }
 
 func (w *connectionCloseWriter) WriteHeader(status int) {
@@ -98,19 +104,20 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// Flush keeps answers streaming.
+// Flush implements http.Flusher, so that responses can be streamed.
 func (w *connectionCloseWriter) Flush() {
 	if f, ok := w.ResponseWriter.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (w *connectionCloseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// releaseSlots passes the slots and their levels to the zone's other daemons.
-// Where the store does not answer within the bound the entries stay: others
-// take the slots when this daemon's lease has lapsed.
+// releaseSlots transfers the slots and their levels to the other daemons of the
+// zone. If the store does not respond within slotReleaseTimeout, its entries
+// stay unchanged, and other daemons take the slots when this daemon's lease has
+// expired.
 func (d *Daemon) releaseSlots(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, slotReleaseTimeout)
 	defer cancel()
@@ -130,7 +137,8 @@
 	}
 }
 
-// releaseRequest: no request runs any more; all slots are to go to mates.
+// releaseRequest starts the release of all slots to the peers of the zone. It
+// is sent when no request runs any more.
 type releaseRequest struct {
 	released chan struct{}
 	leaseID  chan uint64
@@ -146,7 +154,8 @@
 	c.slots.nextRoundAt = time.Time{}
 }
 
-// Kill ends the daemon at once, as a crash would. Tests use it.
+// Kill ends the daemon at once, like a crash. Tests use it, and so does
+// balsambarrowd after a listener has failed.
 func (d *Daemon) Kill() {
 	d.cancel()
 	for _, server := range d.servers {
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -12,14 +12,15 @@
 	"balsambarrow/internal/wire"
 )
 
-// tlsRefreshInterval is how often the TLS files are read: a withdrawn authority
-// counts within seconds, for the price of three small reads.
+// tlsRefreshInterval is the time between two reads of the TLS files. A
+// withdrawn certificate authority takes effect within seconds, at the cost of
+// three small reads.
 const tlsRefreshInterval = 2 * time.Second
 
-// fleetTLS protects the peers and relay listeners. The relay listener believes
-// what it is told about customer and key, since the sender has checked it:
-// mutual TLS is what makes sure that the sender is a daemon of the fleet.
-// Without it (settings: tls.plain) whoever reaches the port is believed.
+// fleetTLS protects the peers and relay listeners. The relay listener trusts
+// the customer and key in a request, because the sender has checked them.
+// Mutual TLS ensures that the sender is a daemon of the fleet. Without TLS
+// (settings: tls.plain), every client that can reach the port is trusted.
 type fleetTLS struct {
 	source *tlsfiles.Source
 }
@@ -32,7 +33,7 @@
 	return fleetTLS{source: source}, err
 }
 
-// scheme of URLs of relay listeners.
+// scheme returns the URL scheme of relay listeners.
 func (s fleetTLS) scheme() string {
 	if s.source == nil {
 		return "http"
@@ -40,7 +41,8 @@
 	return "https"
 }
 
-// clientConfig returns the configuration of new connections; nil means plain TCP.
+// clientConfig returns a function that provides the TLS configuration of new
+// connections, or nil for plain TCP.
 func (s fleetTLS) clientConfig() func() *tls.Config {
 	if s.source == nil {
 		return nil
@@ -55,8 +57,9 @@
 	return tls.NewListener(l, s.source.ServerConfig())
 }
 
-// requireTrustedClient refuses requests of clients that the authority in force no longer
-// vouches for, on connections made before it changed.
+// requireTrustedClient rejects requests of clients whose certificate is not
+// signed by the certificate authority in force. Such requests arrive on
+// connections that were opened before the authority changed.
 func (s fleetTLS) requireTrustedClient(next http.Handler) http.Handler {
 	if s.source == nil {
 		return next
@@ -71,7 +74,7 @@
 	})
 }
 
-// watchTLSFiles takes over changed files until the daemon ends.
+// watchTLSFiles applies changed TLS files until the daemon ends.
 func (d *Daemon) watchTLSFiles(ctx context.Context) {
 	ticker := time.NewTicker(tlsRefreshInterval)
 	defer ticker.Stop()
