--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -168,7 +168,7 @@
 		Handler: d.handler, Client: d.client, KeyValid: d.keyValid, Tracer: d.tracing.Tracer, Retries: retry.NewBudgets(),
 	}
 	limiter := &regionLimiter{next: runner, view: &d.view, ledger: d.ledger}
-	front := entry.New(entry.Deps{
+	entryServer := entry.New(entry.Deps{
 		View: &d.view, Ledger: d.ledger, Postings: d.postings, Local: limiter,
 		Relay:        relay.NewClient(d.relayClient, d.fleetTLS.scheme(), d.identity.Instance),
 		MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Tracer: d.tracing.Tracer, Log: d.log, Retries: retry.NewBudgets(),
@@ -177,10 +177,10 @@
 		View: &d.view, Repository: config.NewRepository(d.store, time.Now), Metrics: d.metrics.Set,
 		Adopt: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
 	})
-	relays := &relay.Server{Handle: limiter, Posting: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.paceResponse}
+	relayServer := &relay.Server{Handle: limiter, Posting: entry.PostingRunner{Server: entryServer}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.paceResponse}
 	var err error
 	if d.identity.Callers, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
-		Handler: &requestMetrics{next: d.gauge.Bounded(front), metrics: d.metrics, isKnownService: d.hasService},
+		Handler: &requestMetrics{next: d.gauge.Bounded(entryServer), metrics: d.metrics, isKnownService: d.hasService},
 	}, plainTCP); err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 	}, plainTCP); err != nil {
 		return nil, err
 	}
-	if d.identity.Relay, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.fleetTLS.requireTrustedClient(relays)}, d.fleetTLS.wrapListener); err != nil {
+	if d.identity.Relay, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.fleetTLS.requireTrustedClient(relayServer)}, d.fleetTLS.wrapListener); err != nil {
 		return nil, err
 	}
 	peers, err := net.Listen("tcp", d.settings.Listen.Peers)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -14,7 +14,7 @@
 
 // Timing of membership.
 const (
-	hostListInterval = 2 * time.Second
+	minHostListInterval = 2 * time.Second
 	// hostListIntervalPerDaemon is multiplied by the number of daemons to get
 	// the time between two reads of the host list, so that the fleet together
 	// makes at most 50 calls a second. Daemons that the list shows late are
@@ -60,7 +60,7 @@
 	c.members.table.Forget(now, memberRetention)
 	if !now.Before(c.members.nextHostReadAt) {
 		fleetSize := time.Duration(len(c.members.table.All()))
-		c.members.nextHostReadAt = now.Add(max(hostListInterval, fleetSize*hostListIntervalPerDaemon))
+		c.members.nextHostReadAt = now.Add(max(minHostListInterval, fleetSize*hostListIntervalPerDaemon))
 		c.d.spawn(c.d.refreshHostList)
 	}
 	if !now.Before(c.members.nextHeartbeatAt) {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -60,23 +60,23 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (o *requestMetrics) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *requestMetrics) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rest, isService := strings.CutPrefix(r.URL.Path, "/svc/")
 	if !isService {
-		o.metrics.Lookup()
-		o.next.ServeHTTP(w, r)
+		m.metrics.Lookup()
+		m.next.ServeHTTP(w, r)
 		return
 	}
 	service, _, _ := strings.Cut(rest, "/")
-	if !o.isKnownService(service) {
+	if !m.isKnownService(service) {
 		service = "unknown"
 	}
 	startedAt := time.Now()
 	result := &resultWriter{ResponseWriter: w}
 	// The handler aborts an incomplete response by a panic. The deferred call
 	// counts such a response too.
-	defer func() { o.metrics.Request(service, result.result(), time.Since(startedAt)) }()
-	o.next.ServeHTTP(result, r)
+	defer func() { m.metrics.Request(service, result.result(), time.Since(startedAt)) }()
+	m.next.ServeHTTP(result, r)
 }
 
 // resultWriter records the status and the outcome of a response.
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -104,9 +104,9 @@
 	return nil
 }
 
-// splitTable splits a table into parts of at most maxPartBytes. An empty table
-// is transferred too. Only with the table can the successor report ids that
-// never arrived as not-run.
+// splitTable splits a table into parts. A part exceeds maxPartBytes only if a
+// single posting does. An empty table is transferred too: only with the table
+// can the successor report ids that never arrived as not-run.
 func splitTable(table posting.Handover) []*peer.PostingTable {
 	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
@@ -178,14 +178,14 @@
 // TakePostings receives one part of a table. The response says whether the full
 // table has been received. A daemon that answered for an instance with an
 // incomplete table would report the missing postings as not-run.
-func (h *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
+func (r *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
 	postings, err := postingsFromWire(in)
 	if err != nil {
 		return nil, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	a := h.assembly(in.Instance, time.Now())
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	a := r.assembly(in.Instance, time.Now())
 	if a == nil || uint64(len(a.postings)+len(postings)) > posting.MaxRecords {
 		return &peer.HandoverReply{}, nil
 	}
@@ -193,28 +193,28 @@
 		a.add(record)
 	}
 	if a.answerBytes > posting.MaxAnswerBytes {
-		delete(h.assemblies, in.Instance)
+		delete(r.assemblies, in.Instance)
 		return &peer.HandoverReply{}, nil
 	}
 	if uint64(len(a.postings)) < in.Total {
 		return &peer.HandoverReply{}, nil
 	}
-	delete(h.assemblies, in.Instance)
-	return &peer.HandoverReply{Taken: h.d.storeTable(in, a)}, nil
+	delete(r.assemblies, in.Instance)
+	return &peer.HandoverReply{Taken: r.d.storeTable(in, a)}, nil
 }
 
 // assembly returns the assembly of an instance's table, and creates it if
 // needed. It returns nil if there are too many assemblies.
-func (h *postingReceiver) assembly(instance string, now time.Time) *assembly {
-	for name, a := range h.assemblies {
+func (r *postingReceiver) assembly(instance string, now time.Time) *assembly {
+	for name, a := range r.assemblies {
 		if now.Sub(a.startedAt) > assemblyTTL {
-			delete(h.assemblies, name)
+			delete(r.assemblies, name)
 		}
 	}
-	a := h.assemblies[instance]
-	if a == nil && len(h.assemblies) < maxAssemblies {
+	a := r.assemblies[instance]
+	if a == nil && len(r.assemblies) < maxAssemblies {
 		a = &assembly{startedAt: now, postings: map[postingKey]posting.Kept{}}
-		h.assemblies[instance] = a
+		r.assemblies[instance] = a
 	}
 	return a
 }
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -32,9 +32,8 @@
 // quotaState is the control thread's state for quotas.
 type quotaState struct {
 	partitions quota.Cuts
-	// transferredAt contains the slots that were transferred together with
-	// their tokens, and for each slot the time since which this daemon holds
-	// it.
+	// transferredAt maps each slot that was transferred together with its
+	// tokens to the time since which this daemon holds it.
 	transferredAt map[int]time.Time
 	shape         *quota.Shape
 	demandScores  map[string]float64
@@ -57,7 +56,7 @@
 		Slots:    c.spendableSlots(snap.Self.Held, now),
 		Versions: c.quota.partitions.Observe(snap.Config, members, now),
 	}
-	if old := c.quota.shape; old != nil && slices.Equal(old.Slots, shape.Slots) && slices.Equal(old.Versions, shape.Versions) {
+	if previous := c.quota.shape; previous != nil && slices.Equal(previous.Slots, shape.Slots) && slices.Equal(previous.Versions, shape.Versions) {
 		return
 	}
 	c.quota.shape = shape
@@ -281,30 +280,30 @@
 	bySequence   map[uint64]quota.Outgoing
 }
 
-func (w *pendingRequests) add(outgoing quota.Outgoing) uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastSequence++
-	w.bySequence[w.lastSequence] = outgoing
-	return w.lastSequence
+func (p *pendingRequests) add(outgoing quota.Outgoing) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastSequence++
+	p.bySequence[p.lastSequence] = outgoing
+	return p.lastSequence
 }
 
-func (w *pendingRequests) remove(sequence uint64) (quota.Outgoing, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	outgoing, ok := w.bySequence[sequence]
-	delete(w.bySequence, sequence)
+func (p *pendingRequests) remove(sequence uint64) (quota.Outgoing, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	outgoing, ok := p.bySequence[sequence]
+	delete(p.bySequence, sequence)
 	return outgoing, ok
 }
 
-func (w *pendingRequests) removeAll() []quota.Outgoing {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *pendingRequests) removeAll() []quota.Outgoing {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var all []quota.Outgoing
-	for _, outgoing := range w.bySequence {
+	for _, outgoing := range p.bySequence {
 		all = append(all, outgoing)
 	}
-	clear(w.bySequence)
+	clear(p.bySequence)
 	return all
 }
 
--- a/internal/daemon/regionlimiter.go
+++ b/internal/daemon/regionlimiter.go
@@ -26,25 +26,25 @@
 }
 
 // Run implements relay.Runner.
-func (g *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
-	name, limited := g.regionQuota()
+func (l *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+	name, limited := l.regionQuota()
 	if !limited {
-		return g.next.Run(ctx, call)
+		return l.next.Run(ctx, call)
 	}
-	if ok, wait := g.ledger.Take(name, 1, time.Now()); !ok {
+	if ok, wait := l.ledger.Take(name, 1, time.Now()); !ok {
 		return nil, wire.Refuse(wire.TypeNoRoom, "the region is at its limit", max(wait, 0))
 	}
-	answer, problem := g.next.Run(ctx, call)
+	answer, problem := l.next.Run(ctx, call)
 	if problem != nil && problem.Outcome == wire.OutcomeNotRun {
-		g.ledger.Refund(name, 1, time.Now())
+		l.ledger.Refund(name, 1, time.Now())
 	}
 	return answer, problem
 }
 
 // regionQuota returns the name of the quota of the daemon's region, and whether
 // the region has a limit.
-func (g *regionLimiter) regionQuota() (string, bool) {
-	snap := g.view.Load()
+func (l *regionLimiter) regionQuota() (string, bool) {
+	snap := l.view.Load()
 	if snap.Config == nil {
 		return "", false
 	}
--- a/internal/daemon/slotreceiver.go
+++ b/internal/daemon/slotreceiver.go
@@ -20,13 +20,13 @@
 
 // TakeSlots receives the bucket levels of slots that a peer of the zone has
 // transferred to this daemon.
-func (t *slotReceiver) TakeSlots(_ context.Context, in *peer.SlotHandover) (*peer.HandoverReply, error) {
+func (r *slotReceiver) TakeSlots(_ context.Context, in *peer.SlotHandover) (*peer.HandoverReply, error) {
 	var levels []quota.Level
 	for _, l := range in.Levels {
 		levels = append(levels, quota.Level{Quota: l.Quota, Tokens: l.Tokens})
 	}
 	for _, slot := range in.Slots {
-		t.d.control.send(slotTransferred{slot: int(slot), levels: levels})
+		r.d.control.send(slotTransferred{slot: int(slot), levels: levels})
 	}
 	return &peer.HandoverReply{Taken: true}, nil
 }
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -125,6 +125,8 @@
 	return n
 }
 
+// startSlotRound starts a round. A round renews the lease, reads the zone's slot
+// entries, and writes the planned changes to the store.
 func (c *control) startSlotRound(now time.Time) {
 	c.slots.roundInProgress = true
 	c.slots.nextRoundAt = now.Add(membership.RenewEvery)
@@ -244,8 +246,8 @@
 	}
 	for i := range writes {
 		for _, l := range levels {
-			fraction := quota.Level{Quota: l.Quota, Tokens: l.Tokens / float64(len(writes))}
-			writes[i].levels = append(writes[i].levels, fraction)
+			portion := quota.Level{Quota: l.Quota, Tokens: l.Tokens / float64(len(writes))}
+			writes[i].levels = append(writes[i].levels, portion)
 		}
 	}
 	return writes
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -34,8 +34,8 @@
 }
 
 // scheme returns the URL scheme of relay listeners.
-func (s fleetTLS) scheme() string {
-	if s.source == nil {
+func (t fleetTLS) scheme() string {
+	if t.source == nil {
 		return "http"
 	}
 	return "https"
@@ -43,29 +43,29 @@
 
 // clientConfig returns a function that provides the TLS configuration of new
 // connections, or nil for plain TCP.
-func (s fleetTLS) clientConfig() func() *tls.Config {
-	if s.source == nil {
+func (t fleetTLS) clientConfig() func() *tls.Config {
+	if t.source == nil {
 		return nil
 	}
-	return s.source.ClientConfig
+	return t.source.ClientConfig
 }
 
-func (s fleetTLS) wrapListener(l net.Listener) net.Listener {
-	if s.source == nil {
+func (t fleetTLS) wrapListener(l net.Listener) net.Listener {
+	if t.source == nil {
 		return l
 	}
-	return tls.NewListener(l, s.source.ServerConfig())
+	return tls.NewListener(l, t.source.ServerConfig())
 }
 
 // requireTrustedClient rejects requests of clients whose certificate is not
 // signed by the certificate authority in force. Such requests arrive on
 // connections that were opened before the authority changed.
-func (s fleetTLS) requireTrustedClient(next http.Handler) http.Handler {
-	if s.source == nil {
+func (t fleetTLS) requireTrustedClient(next http.Handler) http.Handler {
+	if t.source == nil {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := s.source.VerifyClient(r.TLS); err != nil {
+		if err := t.source.VerifyClient(r.TLS); err != nil {
 			w.Header().Set("Connection", "close")
 			wire.Refuse(wire.TypeNoRoom, "relay: "+err.Error(), tlsRefreshInterval).Write(w)
 			return
