--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -99,8 +99,8 @@
 // Flush implements http.Flusher.
 func (w *resultWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
 
-// result returns the outcome of the response. For a rejected request it also
-// contains the status text.
+// result returns the outcome of the response. If the outcome is not "ran", the
+// result also contains the status text. A response without a status is "broken".
 func (w *resultWriter) result() string {
 	outcome := w.Header().Get(wire.HeaderOutcome)
 	switch {
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -57,9 +57,9 @@
 	return tls.NewListener(l, t.source.ServerConfig())
 }
 
-// requireTrustedClient rejects requests of clients whose certificate is not
-// signed by the certificate authority in force. Such requests arrive on
-// connections that were opened before the authority changed.
+// requireTrustedClient rejects requests of clients whose certificate fails
+// verification against the certificate authority in force. Such requests arrive
+// on connections that were opened before the authority changed.
 func (t fleetTLS) requireTrustedClient(next http.Handler) http.Handler {
 	if t.source == nil {
 		return next
