--- a/cmd/balsamlab/serve.go
+++ b/cmd/balsamlab/serve.go
@@ -92,13 +92,13 @@
 			ctx, cancel := context.WithTimeout(cmd.Context(), storeBound)
 			defer cancel()
 			store := platform.NewStore(url, (&net.Dialer{}).DialContext, func(string, error) {})
-			return store.Put(ctx, membership.HostKey(host.Name), host.Value(), 0)
+			return store.Put(ctx, membership.HostKey(host.Name), host.Encode(), 0)
 		},
 	}
 	cmd.Flags().StringVar(&url, "platform", "", "the platform's URL")
 	cmd.Flags().StringVar(&host.Name, "name", "", "the host's name")
 	cmd.Flags().StringVar(&host.Zone, "zone", "", "the host's zone")
-	cmd.Flags().StringVar(&host.Peers, "peers", "", "the host's peers address")
+	cmd.Flags().StringVar(&host.PeerAddress, "peers", "", "the host's peers address")
 	return cmd
 }
 
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadRecord says that the stored value cannot be read.
-var ErrBadRecord = errors.New("config: stored record cannot be read")
+// ErrInvalidRecord says that the stored value cannot be read.
+var ErrInvalidRecord = errors.New("config: stored record cannot be read")
 
 // ErrNotApplied says that this submission certainly did not take effect. An
 // earlier one with the same change id may have.
@@ -31,10 +31,10 @@
 	// Conflicts are JSON pointers that the change writes and that were
 	// written since Base. It may be empty: the base is stale all the same.
 	Conflicts []string
-	// Forgotten says that the change that followed Base is no longer among
+	// HistoryTruncated says that the change that followed Base is no longer among
 	// the recent ones: whether an earlier submission of the same change took
 	// effect cannot be told any more.
-	Forgotten bool
+	HistoryTruncated bool
 }
 
 func (e *StaleError) Error() string {
@@ -42,7 +42,7 @@
 	if len(e.Conflicts) > 0 {
 		text += fmt.Sprintf(", conflicting paths %v", e.Conflicts)
 	}
-	if e.Forgotten {
+	if e.HistoryTruncated {
 		text += ", an earlier submission of it may have taken effect"
 	}
 	return text
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -17,9 +17,9 @@
 	// MaxChanges is more than can be submitted (6,200 a day is one in 14 s)
 	// while a lost answer is being settled, and a quarter of an hour of them.
 	MaxChanges = 64
-	// MaxKeptPatch is the largest patch kept whole, in bytes: any drain, move,
+	// MaxStoredPatchBytes is the largest patch kept whole, in bytes: any drain, move,
 	// key or customer. MaxChanges of them take an eighth of the store's limit.
-	MaxKeptPatch = 2 << 10
+	MaxStoredPatchBytes = 2 << 10
 	// maxKeptPaths bounds the paths kept of a larger patch.
 	maxKeptPaths = 32
 )
@@ -47,7 +47,7 @@
 	AtUnixMs int64 `json:"at_unix_ms"`
 	// PatchSHA256 is the digest of the compact patch, in hexadecimal.
 	PatchSHA256 string `json:"patch_sha256"`
-	// Patch is what was submitted, if it is at most MaxKeptPatch.
+	// Patch is what was submitted, if it is at most MaxStoredPatchBytes.
 	Patch json.RawMessage `json:"patch,omitempty"`
 	// Paths are the paths that a larger patch wrote; where there are more
 	// than fit, the parents of them.
@@ -76,14 +76,14 @@
 	return raw, errors.Wrap(err, "encode record")
 }
 
-// ParseRecord reads a stored value; ErrBadRecord if it is none.
+// ParseRecord reads a stored value; ErrInvalidRecord if it is none.
 func ParseRecord(value []byte) (*Record, error) {
 	r := &Record{}
 	if err := json.Unmarshal(value, r); err != nil {
-		return nil, errors.Wrap(ErrBadRecord, err.Error())
+		return nil, errors.Wrap(ErrInvalidRecord, err.Error())
 	}
 	if r.Version == 0 || len(r.Document) == 0 {
-		return nil, errors.Wrap(ErrBadRecord, "no version or no document")
+		return nil, errors.Wrap(ErrInvalidRecord, "no version or no document")
 	}
 	r.raw = value
 	return r, nil
@@ -91,7 +91,7 @@
 
 func newChange(p Patch, version uint64, now time.Time) Change {
 	c := Change{ID: p.ChangeID, Version: version, AtUnixMs: now.UnixMilli(), PatchSHA256: patchDigest(p.Merge)}
-	if len(p.Merge) <= MaxKeptPatch {
+	if len(p.Merge) <= MaxStoredPatchBytes {
 		c.Patch = p.Merge
 		return c
 	}
--- a/internal/config/repository.go
+++ b/internal/config/repository.go
@@ -30,12 +30,12 @@
 	Base uint64
 	// Merge is a JSON Merge Patch (RFC 7396).
 	Merge json.RawMessage
-	// Floor is the version in force where the change is submitted.
-	Floor uint64
+	// ActiveVersion is the version in force where the change is submitted.
+	ActiveVersion uint64
 }
 
-// Applied is a change that took effect.
-type Applied struct {
+// AppliedChange is a change that took effect.
+type AppliedChange struct {
 	// Record is the store's, at the change's version or a later one.
 	Record *Record
 	// Version that the change made.
@@ -70,23 +70,23 @@
 // Apply writes a change. Errors: *StaleError, *ReusedIDError, *TooLargeError,
 // jsonc.Faults, ErrStoreBehind, ErrNotApplied, ErrOutcomeUnknown. Submitting
 // an applied change again tells that it was applied and changes nothing.
-func (r *Repository) Apply(ctx context.Context, p Patch) (Applied, error) {
+func (r *Repository) Apply(ctx context.Context, p Patch) (AppliedChange, error) {
 	old, revision, err := r.Load(ctx)
 	if err != nil {
-		return Applied{}, errors.Wrap(ErrNotApplied, err.Error())
+		return AppliedChange{}, errors.Wrap(ErrNotApplied, err.Error())
 	}
 	if old == nil {
 		old = &Record{Document: json.RawMessage(`{}`)}
 	}
-	if old.Version < p.Floor {
-		return Applied{}, errors.Wrapf(ErrStoreBehind, "version %d, in force %d", old.Version, p.Floor)
+	if old.Version < p.ActiveVersion {
+		return AppliedChange{}, errors.Wrapf(ErrStoreBehind, "version %d, in force %d", old.Version, p.ActiveVersion)
 	}
 	if applied, err := old.settle(p); applied.Record != nil || err != nil {
 		return applied, err
 	}
 	next, err := old.next(p, r.now())
 	if err != nil {
-		return Applied{}, err
+		return AppliedChange{}, err
 	}
 	return r.write(ctx, next, revision, p)
 }
@@ -94,9 +94,9 @@
 // write sends the same write until its outcome is known. That is safe: each
 // try names the same revision, so at most one of them takes effect, and a try
 // that comes late finds another revision.
-func (r *Repository) write(ctx context.Context, next *Record, revision uint64, p Patch) (Applied, error) {
+func (r *Repository) write(ctx context.Context, next *Record, revision uint64, p Patch) (AppliedChange, error) {
 	if len(next.raw) > kv.MaxValueBytes {
-		return Applied{}, &TooLargeError{Bytes: len(next.raw), Limit: kv.MaxValueBytes}
+		return AppliedChange{}, &TooLargeError{Bytes: len(next.raw), Limit: kv.MaxValueBytes}
 	}
 	doubt := false
 	for try := range writeTries {
@@ -107,13 +107,13 @@
 		var conflict *kv.ConflictError
 		switch {
 		case err == nil:
-			return Applied{Record: next, Version: next.Version}, nil
+			return AppliedChange{Record: next, Version: next.Version}, nil
 		case errors.As(err, &conflict):
 			return r.afterConflict(ctx, p, doubt)
 		case errors.Is(err, kv.ErrOutcomeUnknown):
 			doubt = true
 		case !doubt:
-			return Applied{}, errors.Wrap(ErrNotApplied, err.Error())
+			return AppliedChange{}, errors.Wrap(ErrNotApplied, err.Error())
 		}
 	}
 	return r.afterConflict(ctx, p, doubt)
@@ -122,7 +122,7 @@
 // afterConflict guards against a lost answer: the write took effect, the
 // daemon sees an error, sends it again and meets a conflict with its own
 // change. The change id in the record tells whose write it was.
-func (r *Repository) afterConflict(ctx context.Context, p Patch, doubt bool) (Applied, error) {
+func (r *Repository) afterConflict(ctx context.Context, p Patch, doubt bool) (AppliedChange, error) {
 	rec, _, err := r.Load(ctx)
 	if err == nil && rec != nil {
 		if applied, err := rec.settle(p); applied.Record != nil || err != nil {
@@ -130,28 +130,28 @@
 		}
 	}
 	if !doubt {
-		return Applied{}, errors.Wrap(ErrNotApplied, "lost against another write")
+		return AppliedChange{}, errors.Wrap(ErrNotApplied, "lost against another write")
 	}
-	return Applied{}, ErrOutcomeUnknown
+	return AppliedChange{}, ErrOutcomeUnknown
 }
 
 // settle tells what has become of a change: applied, refused for good, or, by
 // the zero values, still open. A change based on version n could only make
 // version n+1, so whatever made that version settles it. While n is current,
 // a write may still be on its way and nothing is settled.
-func (r *Record) settle(p Patch) (Applied, error) {
+func (r *Record) settle(p Patch) (AppliedChange, error) {
 	if c := r.change(p.ChangeID); c != nil {
 		if c.Version != p.Base+1 || c.PatchSHA256 != patchDigest(p.Merge) {
-			return Applied{}, &ReusedIDError{ID: p.ChangeID, Version: c.Version}
+			return AppliedChange{}, &ReusedIDError{ID: p.ChangeID, Version: c.Version}
 		}
-		return Applied{Record: r, Version: c.Version}, nil
+		return AppliedChange{Record: r, Version: c.Version}, nil
 	}
 	if p.Base == r.Version {
-		return Applied{}, nil
+		return AppliedChange{}, nil
 	}
-	return Applied{}, &StaleError{
+	return AppliedChange{}, &StaleError{
 		Base: p.Base, Current: r.Version, Conflicts: r.conflicts(p),
-		Forgotten: p.Base < r.Version && r.made(p.Base+1) == nil,
+		HistoryTruncated: p.Base < r.Version && r.made(p.Base+1) == nil,
 	}
 }
 
--- a/internal/config/repository_test.go
+++ b/internal/config/repository_test.go
@@ -40,7 +40,7 @@
 	repo  *config.Repository
 }
 
-func (b *bench) apply(id string, version uint64, merge string) (config.Applied, error) {
+func (b *bench) apply(id string, version uint64, merge string) (config.AppliedChange, error) {
 	return b.repo.Apply(context.Background(), config.Patch{ChangeID: id, Base: version, Merge: json.RawMessage(merge)})
 }
 
@@ -76,26 +76,26 @@
 		b.mustApply("first", 0, fmt.Sprintf(base, 1, 2))
 	})
 
-	DescribeTable("takes effect once", func(submit func() (config.Applied, error), made, now uint64) {
+	DescribeTable("takes effect once", func(submit func() (config.AppliedChange, error), made, now uint64) {
 		applied, err := submit()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(applied.Version).To(Equal(made))
 		Expect(b.record().Version).To(Equal(now))
 	},
-		Entry("on its base", func() (config.Applied, error) { return b.apply("a", 1, rate20) }, uint64(2), uint64(2)),
-		Entry("submitted again", func() (config.Applied, error) {
+		Entry("on its base", func() (config.AppliedChange, error) { return b.apply("a", 1, rate20) }, uint64(2), uint64(2)),
+		Entry("submitted again", func() (config.AppliedChange, error) {
 			b.mustApply("a", 1, rate20)
 			return b.apply("a", 1, rate20)
 		}, uint64(2), uint64(2)),
-		Entry("submitted again in another format", func() (config.Applied, error) {
+		Entry("submitted again in another format", func() (config.AppliedChange, error) {
 			b.mustApply("a", 1, rate20)
 			return b.apply("a", 1, strings.ReplaceAll(rate20, ":", " : "))
 		}, uint64(2), uint64(2)),
-		Entry("its answer lost", func() (config.Applied, error) {
+		Entry("its answer lost", func() (config.AppliedChange, error) {
 			b.store.SetFaults(standin.Faults{LoseAnswers: 1})
 			return b.apply("a", 1, rate20)
 		}, uint64(2), uint64(2)),
-		Entry("submitted again after another operator's change", func() (config.Applied, error) {
+		Entry("submitted again after another operator's change", func() (config.AppliedChange, error) {
 			b.mustApply("a", 1, rate20)
 			b.mustApply("b", 2, rate30)
 			return b.apply("a", 1, rate20)
@@ -148,7 +148,7 @@
 			return err
 		}, config.StaleError{Base: 1, Current: 2}),
 		Entry("on a stale version, against a large change", func() error {
-			b.mustApply("a", 1, strings.Replace(manyCustomers(config.MaxKeptPatch), `"c-0"`, `"farm":{"burst":20},"c-0"`, 1))
+			b.mustApply("a", 1, strings.Replace(manyCustomers(config.MaxStoredPatchBytes), `"c-0"`, `"farm":{"burst":20},"c-0"`, 1))
 			_, err := b.apply("b", 1, `{"customers":{"farm":{"rate":999}}}`)
 			return err
 		}, config.StaleError{Base: 1, Current: 2, Conflicts: []string{"/customers/farm/rate"}}),
@@ -163,7 +163,7 @@
 			}
 			_, err := b.apply("a", 1, `{"services":{"lookup":{"timeout_ms":999}}}`)
 			return err
-		}, config.StaleError{Base: 1, Current: 2 + config.MaxChanges, Forgotten: true}),
+		}, config.StaleError{Base: 1, Current: 2 + config.MaxChanges, HistoryTruncated: true}),
 		Entry("with the id of another patch", func() error {
 			b.mustApply("a", 1, rate20)
 			_, err := b.apply("a", 1, `{"customers":{"farm":{"rate":999}}}`)
@@ -182,7 +182,7 @@
 		}, config.ErrNotApplied),
 		Entry("on a store that lost data", func() error {
 			_, err := b.repo.Apply(context.Background(), config.Patch{
-				ChangeID: "a", Base: 1, Floor: 2, Merge: json.RawMessage(`{"customers":{"farm":{"rate":999}}}`),
+				ChangeID: "a", Base: 1, ActiveVersion: 2, Merge: json.RawMessage(`{"customers":{"farm":{"rate":999}}}`),
 			})
 			return err
 		}, config.ErrStoreBehind),
--- a/internal/daemon/adoption_test.go
+++ b/internal/daemon/adoption_test.go
@@ -152,7 +152,7 @@
 	case errors.Is(err, config.ErrOutcomeUnknown):
 		op.doubt = true
 	case errors.As(err, &stale):
-		op.refused = !stale.Forgotten
+		op.refused = !stale.HistoryTruncated
 	case errors.Is(err, config.ErrNotApplied):
 		op.refused = op.refused || !op.doubt
 	default:
--- a/internal/daemon/answers_test.go
+++ b/internal/daemon/answers_test.go
@@ -362,7 +362,7 @@
 	f, u := edgeFleet(t)
 	for i, w := range []way{ways[4], ways[5]} {
 		name := "left-" + strconv.Itoa(i)
-		url := "http://" + f.daemons[w.entry].Identity().Callers + "/svc/posting/slow"
+		url := "http://" + f.daemons[w.entry].Identity().CallerAddress + "/svc/posting/slow"
 		ctx, cancel := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, w.method, url, http.NoBody)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -426,7 +426,7 @@
 		for _, entry := range []string{"me-1", "vt-1"} {
 			t.Run(name+" at "+entry, func(t *testing.T) {
 				g := NewWithT(t)
-				conn, err := net.Dial("tcp", f.daemons[entry].Identity().Callers)
+				conn, err := net.Dial("tcp", f.daemons[entry].Identity().CallerAddress)
 				g.Expect(err).NotTo(HaveOccurred())
 				defer func() { _ = conn.Close() }()
 				_, err = fmt.Fprintf(conn, "POST /svc/posting/fine HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\n%s: broken\r\nContent-Length: %d\r\n\r\n%s",
--- a/internal/daemon/beat_bench_test.go
+++ b/internal/daemon/beat_bench_test.go
@@ -15,7 +15,7 @@
 	return membership.Member{
 		Instance: fmt.Sprintf("host-%04d-0123abcd", i), Host: fmt.Sprintf("host-%04d", i),
 		Zone: fmt.Sprintf("zone-%03d", i%145), State: membership.StateReady,
-		Callers: "10.20.30.40:8080", Peers: fmt.Sprintf("10.20.%d.%d:8081", i/250, i%250), Relay: "10.20.30.40:8082",
+		CallerAddress: "10.20.30.40:8080", PeerAddress: fmt.Sprintf("10.20.%d.%d:8081", i/250, i%250), RelayAddress: "10.20.30.40:8082",
 		Sequence: uint64(1e6 + i), ConfigVersion: 12345, Slots: []int{0, 1},
 		Headroom: map[string]membership.Headroom{
 			"lookup": {Free: 3, Limit: 4}, "posting": {Free: 3, Limit: 4}, "report": {Free: 3, Limit: 4},
@@ -34,13 +34,13 @@
 			answers := make([]*peer.Heartbeat, members)
 			for i := range members {
 				m := benchMember(i)
-				contacts.Heard(m.Peers, now)
+				contacts.RecordHeartbeat(m.PeerAddress, now)
 				answers[i] = toWire(m)
 			}
 			raw := make([][]byte, members)
 			b.ReportAllocs()
 			for round := uint64(0); b.Loop(); round++ {
-				now = now.Add(membership.BeatEvery)
+				now = now.Add(membership.HeartbeatInterval)
 				beatRound(table, contacts, answers, raw, now)
 			}
 			b.ReportMetric(float64(len(raw[0])), "bytes/beat")
@@ -51,8 +51,8 @@
 
 func beatRound(table *membership.Table, contacts *membership.Contacts, answers []*peer.Heartbeat, raw [][]byte, now time.Time) {
 	own := benchMember(0)
-	own.Known = contacts.Gossip(now)
-	_ = contacts.Due(now)
+	own.GossipAddresses = contacts.Gossip(now)
+	_ = contacts.HeartbeatTargets(now)
 	for i, answer := range answers {
 		answer.Sequence++
 		raw[i], _ = proto.Marshal(toWire(own))
@@ -60,9 +60,9 @@
 		decoded := &peer.Heartbeat{}
 		_ = proto.Unmarshal(received, decoded)
 		m := fromWire(decoded)
-		table.Hear(m, now)
-		contacts.Heard(m.Peers, now)
-		contacts.Rumored(m.Known, now)
+		table.Update(m, now)
+		contacts.RecordHeartbeat(m.PeerAddress, now)
+		contacts.AddGossip(m.GossipAddresses, now)
 	}
 	_ = table.Live(now)
 }
--- a/internal/daemon/config_peers.go
+++ b/internal/daemon/config_peers.go
@@ -47,7 +47,7 @@
 	c.config.pulls.running[source.Instance] = now
 	have := c.config.version()
 	c.d.spawn(func(ctx context.Context) {
-		c.send(pullDone{source.Instance, c.d.pull(ctx, source.Peers, have)})
+		c.send(pullDone{source.Instance, c.d.pull(ctx, source.PeerAddress, have)})
 	})
 }
 
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := time.Now()
-	reply, err := peer.NewDRPCConfigurationClient(d.conns.To(ctx, address)).Pull(ctx, &peer.PullRequest{HaveVersion: have})
+	reply, err := peer.NewDRPCConfigurationClient(d.conns.Conn(ctx, address)).Pull(ctx, &peer.PullRequest{HaveVersion: have})
 	if err != nil {
 		d.log.Debug("pull_failed", "peer", address, "err", err)
 		return pulled{err: err}
@@ -164,7 +164,7 @@
 
 func (m recordWanted) apply(c *control) {
 	a := recordAnswer{version: c.config.version(), confirmed: c.config.confirmed}
-	a.peers = append(slices.Collect(maps.Keys(c.peerAddresses())), c.d.identity.Peers)
+	a.peers = append(slices.Collect(maps.Keys(c.peerAddresses())), c.d.identity.PeerAddress)
 	if a.version > m.have {
 		a.record = c.config.record
 	}
@@ -208,10 +208,10 @@
 	if len(known) == 0 || have == 0 {
 		hosts, _ := d.readHosts(ctx)
 		for _, h := range hosts {
-			known[h.Peers] = true
+			known[h.PeerAddress] = true
 		}
 	}
-	asked := map[string]bool{d.identity.Peers: true}
+	asked := map[string]bool{d.identity.PeerAddress: true}
 	var answers []pulled
 	for {
 		round := slices.Collect(maps.Keys(known))
--- a/internal/daemon/config_store.go
+++ b/internal/daemon/config_store.go
@@ -24,7 +24,7 @@
 	watchGrace = time.Second
 	// takeOverAfter is how long a zone may be without a watcher that reaches
 	// the store before the others try: two heartbeats.
-	takeOverAfter = 2 * membership.BeatEvery
+	takeOverAfter = 2 * membership.HeartbeatInterval
 	// watchDeaf is how long a watch may hear nothing of changes that are made, by the
 	// platform's account of its store.
 	watchDeaf = time.Second
@@ -95,8 +95,8 @@
 		if m.Instance < c.d.identity.Instance || c.state == membership.StateLeaving {
 			w.first = false
 		}
-		if m.Watches {
-			c.config.store.watched = later(c.config.store.watched, m.HeardAt)
+		if m.WatchesStore {
+			c.config.store.watched = later(c.config.store.watched, m.HeartbeatAt)
 		}
 	}
 	return w
@@ -215,7 +215,7 @@
 	case errors.Is(m.err, kv.ErrNotFound):
 		// The store answers, and holds no configuration.
 		c.caughtUp(m.at)
-	case errors.Is(m.err, config.ErrBadRecord):
+	case errors.Is(m.err, config.ErrInvalidRecord):
 		c.d.log.Error("config_unreadable", "err", m.err)
 	default:
 		c.d.log.Debug("config_not_read", "err", m.err)
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -92,8 +92,8 @@
 			f.start("vt-1", "vt-a")
 			f.start("vt-2", "vt-a")
 			f.awaitReady(f.apply("vt-1", twoRegions()))
-			f.g.Expect(f.daemons["vt-1"].View().Self.Watches).To(BeTrue())
-			f.g.Expect(f.daemons["vt-2"].View().Self.Watches).To(BeFalse())
+			f.g.Expect(f.daemons["vt-1"].View().Self.WatchesStore).To(BeTrue())
+			f.g.Expect(f.daemons["vt-2"].View().Self.WatchesStore).To(BeFalse())
 			lose(f)
 			version := f.write(rate(900))
 			for host := range f.daemons {
@@ -142,7 +142,7 @@
 			old := f.start("vt-1", "vt-a")
 			newer := f.start("vt-2", "vt-a")
 			peers := freeAddress(f.g)
-			f.list(membership.Host{Name: "me-1", Zone: "me-a", Peers: peers})
+			f.list(membership.Host{Name: "me-1", Zone: "me-a", PeerAddress: peers})
 			first := f.apply("vt-1", twoRegions())
 			f.awaitReady(first)
 			f.g.Eventually(func() int { return len(old.View().Fleet.Hosts) }, settle).Should(Equal(2))
@@ -153,7 +153,7 @@
 			f.platform.SetFaults(faults)
 
 			f.network.cutOneWay("vt-2", "me-1", peers)
-			third := f.startAt("me-1", "me-a", peers, newer.Identity().Peers, 600*time.Millisecond)
+			third := f.startAt("me-1", "me-a", peers, newer.Identity().PeerAddress, 600*time.Millisecond)
 			f.g.Eventually(func() membership.State { return third.View().Self.State }, settle, time.Millisecond).
 				Should(Equal(membership.StateReady))
 			f.g.Expect(third.View().Self.ConfigVersion).To(Equal(second))
@@ -281,7 +281,7 @@
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.start("me-1", "me-a")
-	f.list(membership.Host{Name: "me-2", Zone: "me-a", Peers: "127.0.0.1:1"})
+	f.list(membership.Host{Name: "me-2", Zone: "me-a", PeerAddress: "127.0.0.1:1"})
 	f.awaitReady(f.apply("vt-1", twoRegions()))
 	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedMs }, settle).Should(BeNumerically(">=", 0))
 	f.kill("me-1")
--- a/internal/daemon/confirm_test.go
+++ b/internal/daemon/confirm_test.go
@@ -107,14 +107,14 @@
 	const peer = "127.0.0.1:2"
 	now := time.Now()
 	c.config.confirmed = now
-	c.knownContacts().Answered(peer, now)
+	c.knownContacts().RecordResponse(peer, now)
 	asked := map[time.Duration]bool{}
-	for since := time.Duration(0); since < 10*time.Second; since += membership.BeatEvery {
+	for since := time.Duration(0); since < 10*time.Second; since += membership.HeartbeatInterval {
 		beat := now.Add(since)
-		c.knownContacts().Heard(peer, beat.Add(-100*time.Millisecond))
+		c.knownContacts().RecordHeartbeat(peer, beat.Add(-100*time.Millisecond))
 		asked[since] = slices.Contains(c.beatTargets(false, beat), peer)
 	}
-	g.Expect(asked[membership.BeatEvery]).To(BeFalse(), "both have each other's account and a fresh confirmation")
+	g.Expect(asked[membership.HeartbeatInterval]).To(BeFalse(), "both have each other's account and a fresh confirmation")
 	for since, asks := range asked {
 		g.Expect(asks).To(Equal(since > confirmWithin), since.String())
 	}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -145,16 +145,16 @@
 	m.ConfigVersion = c.config.version()
 	m.ConfigRejected = c.config.rejected
 	m.ConfirmedAt = c.config.confirmed
-	m.Watches = c.watches(now)
+	m.WatchesStore = c.watches(now)
 	m.Demand = c.quota.scores
-	m.Held = c.custody().Usable(now)
-	for _, h := range m.Held {
+	m.HeldSlots = c.custody().Usable(now)
+	for _, h := range m.HeldSlots {
 		m.Slots = append(m.Slots, h.Slot)
 	}
 	m.Headroom = c.d.handler.Headroom()
 	m.Load = c.d.gauge.Load()
 	m.PostingEpoch = c.d.postings.Epoch(now)
-	m.AnswersFor = c.d.postings.AnswersFor(now)
+	m.PostingsFrom = c.d.postings.AnswersFor(now)
 	return m
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -156,8 +156,8 @@
 	d.spawn(d.control.run)
 	d.spawn(d.borrow)
 	d.spawn((&upstream.Prober{Handler: d.handler, Client: d.client}).Run)
-	d.log.Info("listening", "instance", d.identity.Instance, "callers", d.identity.Callers,
-		"operators", d.OperatorsAddress(), "peers", d.identity.Peers, "relay", d.identity.Relay)
+	d.log.Info("listening", "instance", d.identity.Instance, "callers", d.identity.CallerAddress,
+		"operators", d.OperatorsAddress(), "peers", d.identity.PeerAddress, "relay", d.identity.RelayAddress)
 	return nil
 }
 
@@ -177,7 +177,7 @@
 	})
 	relays := &relay.Server{Handle: handle, Posting: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.pace}
 	var err error
-	if d.identity.Callers, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
+	if d.identity.CallerAddress, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
 		Handler: &observed{next: d.gauge.Bounded(front), metrics: d.metrics, known: d.knownService},
 	}, asIs); err != nil {
 		return nil, err
@@ -187,14 +187,14 @@
 	}, asIs); err != nil {
 		return nil, err
 	}
-	if d.identity.Relay, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.security.guarded(relays)}, d.security.listener); err != nil {
+	if d.identity.RelayAddress, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.security.guarded(relays)}, d.security.listener); err != nil {
 		return nil, err
 	}
 	peers, err := net.Listen("tcp", d.settings.Listen.Peers)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
 	}
-	d.identity.Peers = peers.Addr().String()
+	d.identity.PeerAddress = peers.Addr().String()
 	d.peers = peer.Bounded(peers)
 	return d.security.listener(d.peers), nil
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -30,7 +30,7 @@
 		last.ConfirmedAt = m.ConfirmedAt
 		m = last
 	} else {
-		m.HeardAt = now
+		m.HeartbeatAt = now
 	}
 	h.Zone, h.LastReport = m.Zone, m
 	c.fleet.hosts[m.Host] = h
@@ -62,9 +62,9 @@
 	maps.DeleteFunc(c.fleet.hosts, func(_ string, h view.Host) bool {
 		bound := forgetAfter
 		if h.LastReport.State == membership.StateLeaving {
-			bound = membership.GoneAfter
+			bound = membership.MemberTimeout
 		}
-		return !h.Listed && now.Sub(h.LastReport.HeardAt) > bound
+		return !h.Listed && now.Sub(h.LastReport.HeartbeatAt) > bound
 	})
 }
 
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -171,9 +171,9 @@
 	f.g.Expect(d.Start()).To(Succeed())
 	id := d.Identity()
 	f.network.mu.Lock()
-	f.network.sides[id.Peers], f.network.sides[id.Relay] = host, host
+	f.network.sides[id.PeerAddress], f.network.sides[id.RelayAddress] = host, host
 	f.network.mu.Unlock()
-	f.list(membership.Host{Name: host, Zone: zone, Peers: id.Peers})
+	f.list(membership.Host{Name: host, Zone: zone, PeerAddress: id.PeerAddress})
 	f.daemons[host] = d
 	return d
 }
@@ -181,7 +181,7 @@
 // list enters a host in the host list.
 func (f *fleet) list(h membership.Host) {
 	h.State = membership.HostLive
-	f.platform.Put(membership.HostKey(h.Name), h.Value())
+	f.platform.Put(membership.HostKey(h.Name), h.Encode())
 }
 
 // kill ends a daemon as a crash would.
@@ -209,7 +209,7 @@
 	f.g.Eventually(func() bool {
 		for _, d := range f.daemons {
 			snap := d.View()
-			if snap.Self.ConfigVersion < version || len(snap.Ready) != len(f.daemons) || !settled(snap.Self.Held) {
+			if snap.Self.ConfigVersion < version || len(snap.Ready) != len(f.daemons) || !settled(snap.Self.HeldSlots) {
 				return false
 			}
 		}
@@ -218,7 +218,7 @@
 }
 
 // settled allows for two runs of the control thread after the quarantine.
-func settled(held []membership.Holding) bool {
+func settled(held []membership.HeldSlot) bool {
 	for _, h := range held {
 		if time.Since(h.Since) < quota.Quarantine+200*time.Millisecond {
 			return false
@@ -251,7 +251,7 @@
 
 // call sends one request to a host as the holder of a key.
 func (f *fleet) call(host, method, path, key string, header map[string]string) reply {
-	return f.callAt(f.daemons[host].Identity().Callers, method, path, key, header)
+	return f.callAt(f.daemons[host].Identity().CallerAddress, method, path, key, header)
 }
 
 // callAt is call by address, which may be that of a host that is gone.
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -46,7 +46,7 @@
 func (c *control) handling(snap *view.Snapshot, now time.Time) []membership.Member {
 	out := slices.Clone(snap.Ready)
 	for _, m := range append([]membership.Member{snap.Self}, snap.Members...) {
-		if m.State == membership.StateLeaving && m.Handles(now) {
+		if m.State == membership.StateLeaving && m.HandlesUpstreams(now) {
 			out = append(out, m)
 		}
 	}
--- a/internal/daemon/keys_test.go
+++ b/internal/daemon/keys_test.go
@@ -75,7 +75,7 @@
 }
 
 func (f *fleet) open(host, path, key string) *http.Response {
-	req, err := http.NewRequest(http.MethodGet, "http://"+f.daemons[host].Identity().Callers+"/svc/"+path, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+f.daemons[host].Identity().CallerAddress+"/svc/"+path, nil)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := f.client.Do(req)
@@ -120,7 +120,7 @@
 	client := upstream.NewClient(nil)
 	t.Cleanup(client.Close)
 	_, problem := relay.NewClient(client, "http", "lagging").Send(
-		context.Background(), f.daemons["me-1"].Identity().Relay, wire.RoleHandle, &wire.Call{
+		context.Background(), f.daemons["me-1"].Identity().RelayAddress, wire.RoleHandle, &wire.Call{
 			Service: "lookup", Path: "/x", Method: http.MethodGet, Header: http.Header{}, Customer: "farm",
 			KeyDigest: config.DigestOf("secret").String(), Deadline: time.Now().Add(settle),
 		})
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -88,7 +88,7 @@
 // load is an open-loop load over a fleet.
 func (f *fleet) load(l standin.Load) *standin.Report {
 	l.Config = f.daemons["vt-a-1"].View().Config.Config
-	l.Entry = f.daemons["vt-a-1"].Identity().Callers
+	l.Entry = f.daemons["vt-a-1"].Identity().CallerAddress
 	l.Key = func(customer string) string { return "key-" + customer }
 	l.Seed = 1
 	r, err := standin.Run(context.Background(), l)
@@ -99,7 +99,7 @@
 // host returns the entry of a host.
 func (f *fleet) host(name string) lookup.Entry {
 	id := f.daemons[name].Identity()
-	return lookup.Entry{Address: id.Callers, Zone: id.Zone, Instance: id.Instance}
+	return lookup.Entry{Address: id.CallerAddress, Zone: id.Zone, Instance: id.Instance}
 }
 
 // skewed sends four fifths of the requests to one host until move, then to
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -22,7 +22,7 @@
 	// confirmWithin is the age of the configuration's confirmation from which
 	// all peers are asked: a watcher's confirmation is up to watchWait and watchDeaf
 	// old, and a peer that asks it in turn half a heartbeat more.
-	confirmWithin = watchWait + watchDeaf + membership.BeatEvery
+	confirmWithin = watchWait + watchDeaf + membership.HeartbeatInterval
 	// forgetAfter keeps a silent peer's last account for status and posting
 	// ids; it no longer counts as live long before.
 	forgetAfter = time.Minute
@@ -47,13 +47,13 @@
 // only once it listens.
 func (c *control) knownContacts() *membership.Contacts {
 	if c.members.contacts == nil {
-		c.members.contacts = membership.NewContacts(c.d.identity.Peers)
+		c.members.contacts = membership.NewContacts(c.d.identity.PeerAddress)
 	}
 	return c.members.contacts
 }
 
 func (c *control) tickMembers(now time.Time) {
-	c.members.table.Forget(now, forgetAfter)
+	c.members.table.RemoveExpired(now, forgetAfter)
 	if !now.Before(c.members.nextHosts) {
 		fleet := time.Duration(len(c.members.table.All()))
 		c.members.nextHosts = now.Add(max(hostsEvery, fleet*hostsShare))
@@ -61,7 +61,7 @@
 	}
 	if !now.Before(c.members.nextBeat) {
 		news := c.members.nextBeat.IsZero()
-		c.members.nextBeat = now.Add(membership.BeatEvery)
+		c.members.nextBeat = now.Add(membership.HeartbeatInterval)
 		c.beat(news, now)
 	}
 }
@@ -72,7 +72,7 @@
 func (m heardFrom) apply(c *control) {
 	now := time.Now()
 	before, known := c.members.table.Find(m.member.Instance)
-	newest := c.members.table.Hear(m.member, now)
+	newest := c.members.table.Update(m.member, now)
 	if !known || before.State != m.member.State {
 		c.news = true
 	}
@@ -91,7 +91,7 @@
 }
 
 func (m answeredBy) apply(c *control) {
-	c.knownContacts().Answered(m.address, time.Now())
+	c.knownContacts().RecordResponse(m.address, time.Now())
 	heardFrom{m.member}.apply(c)
 }
 
@@ -101,28 +101,28 @@
 func (m hostsListed) apply(c *control) {
 	addresses := make([]string, 0, len(m.hosts))
 	for _, h := range m.hosts {
-		addresses = append(addresses, h.Peers)
+		addresses = append(addresses, h.PeerAddress)
 	}
-	c.knownContacts().Listed(addresses)
+	c.knownContacts().SetHostList(addresses)
 	c.listedHosts(m.hosts, time.Now())
 }
 
 // contact notes where a member is and whom it hears.
 func (c *control) contact(m membership.Member, now time.Time) {
 	contacts := c.knownContacts()
-	contacts.Rumored(m.Known, now)
+	contacts.AddGossip(m.GossipAddresses, now)
 	if m.State == membership.StateLeaving {
-		contacts.Left(m.Peers)
+		contacts.Remove(m.PeerAddress)
 		return
 	}
-	contacts.Heard(m.Peers, now)
+	contacts.RecordHeartbeat(m.PeerAddress, now)
 }
 
 // beat sends a heartbeat to every address that may be a daemon's.
 func (c *control) beat(news bool, now time.Time) {
 	c.members.sequence++
 	self := c.self(now)
-	self.Known = c.knownContacts().Gossip(now)
+	self.GossipAddresses = c.knownContacts().Gossip(now)
 	message := toWire(self)
 	for _, address := range c.beatTargets(news, now) {
 		c.d.spawn(func(ctx context.Context) { c.d.beatTo(ctx, address, message) })
@@ -143,15 +143,15 @@
 	if news || now.Sub(c.config.confirmed) > confirmWithin {
 		return due
 	}
-	return slices.DeleteFunc(due, func(address string) bool { return c.knownContacts().Fresh(address, now) })
+	return slices.DeleteFunc(due, func(address string) bool { return c.knownContacts().ExchangedRecently(address, now) })
 }
 
 // beatAddresses adds to the contacts the holders that the store names: they
 // are asked before their slots are taken.
 func (c *control) beatAddresses(now time.Time) []string {
-	due := c.knownContacts().Due(now)
+	due := c.knownContacts().HeartbeatTargets(now)
 	for _, address := range c.slots.holders {
-		if address != c.d.identity.Peers && !slices.Contains(due, address) {
+		if address != c.d.identity.PeerAddress && !slices.Contains(due, address) {
 			due = append(due, address)
 		}
 	}
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := time.Now()
-	reply, err := peer.NewDRPCMembershipClient(d.conns.To(ctx, address)).Beat(ctx, message)
+	reply, err := peer.NewDRPCMembershipClient(d.conns.Conn(ctx, address)).Beat(ctx, message)
 	if err != nil {
 		d.log.Debug("beat_failed", "peer", address, "err", err)
 		return
@@ -203,12 +203,12 @@
 func toWire(m membership.Member) *peer.Heartbeat {
 	out := &peer.Heartbeat{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: string(m.State),
-		Callers: m.Callers, Peers: m.Peers, Relay: m.Relay, Sequence: m.Sequence,
-		ConfigVersion: m.ConfigVersion, PostingEpoch: m.PostingEpoch, Watches: m.Watches,
-		AnswersFor:     m.AnswersFor,
+		Callers: m.CallerAddress, Peers: m.PeerAddress, Relay: m.RelayAddress, Sequence: m.Sequence,
+		ConfigVersion: m.ConfigVersion, PostingEpoch: m.PostingEpoch, Watches: m.WatchesStore,
+		AnswersFor:     m.PostingsFrom,
 		Load:           m.Load,
 		ConfirmedAgeMs: ageMs(m.ConfirmedAt, time.Now()), ConfigRejected: m.ConfigRejected,
-		Known: m.Known,
+		Known: m.GossipAddresses,
 	}
 	for _, slot := range m.Slots {
 		out.Slots = append(out.Slots, uint32(slot))
@@ -227,14 +227,14 @@
 func fromWire(in *peer.Heartbeat) membership.Member {
 	m := membership.Member{
 		Instance: in.Instance, Host: in.Host, Zone: in.Zone, State: membership.State(in.State),
-		Callers: in.Callers, Peers: in.Peers, Relay: in.Relay, Sequence: in.Sequence,
-		ConfigVersion: in.ConfigVersion, PostingEpoch: in.PostingEpoch, Watches: in.Watches,
-		AnswersFor:     in.AnswersFor,
-		Load:           in.Load,
-		ConfigRejected: in.ConfigRejected,
-		Headroom:       map[string]membership.Headroom{},
-		Known:          in.Known,
-		Demand:         map[string]float64{},
+		CallerAddress: in.Callers, PeerAddress: in.Peers, RelayAddress: in.Relay, Sequence: in.Sequence,
+		ConfigVersion: in.ConfigVersion, PostingEpoch: in.PostingEpoch, WatchesStore: in.Watches,
+		PostingsFrom:    in.AnswersFor,
+		Load:            in.Load,
+		ConfigRejected:  in.ConfigRejected,
+		Headroom:        map[string]membership.Headroom{},
+		GossipAddresses: in.Known,
+		Demand:          map[string]float64{},
 	}
 	for _, slot := range in.Slots {
 		m.Slots = append(m.Slots, int(slot))
--- a/internal/daemon/posting_test.go
+++ b/internal/daemon/posting_test.go
@@ -188,7 +188,7 @@
 
 	entries := map[string]string{}
 	for host, d := range f.daemons {
-		entries[host] = d.Identity().Callers
+		entries[host] = d.Identity().CallerAddress
 	}
 	stories := make([][]*postingStory, callersPerRun)
 	over := make(chan struct{})
@@ -331,7 +331,7 @@
 	defer func() { _ = conns.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), settle)
 	defer cancel()
-	client := peer.NewDRPCHandoverClient(conns.To(ctx, f.daemons["vt-1"].Identity().Peers))
+	client := peer.NewDRPCHandoverClient(conns.Conn(ctx, f.daemons["vt-1"].Identity().PeerAddress))
 	digest := make([]byte, 32)
 	for name, table := range map[string]*peer.PostingTable{
 		"incomplete":      {Instance: "gone", Total: 2, Postings: []*peer.Posting{{Id: "gone-0.1", State: "ran", Digest: digest}}},
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -84,7 +84,7 @@
 }
 
 func (d *Daemon) passTable(ctx context.Context, to membership.Member, table posting.Handover) error {
-	client := peer.NewDRPCHandoverClient(d.conns.To(ctx, to.Peers))
+	client := peer.NewDRPCHandoverClient(d.conns.Conn(ctx, to.PeerAddress))
 	var reply *peer.HandoverReply
 	for _, part := range parts(table) {
 		bounded, cancel := context.WithTimeout(ctx, partTimeout)
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -50,7 +50,7 @@
 	members := append([]membership.Member{snap.Self}, snap.Members...)
 	shape := &quota.Shape{
 		Zone:     snap.Self.Zone,
-		Slots:    c.settled(snap.Self.Held, now),
+		Slots:    c.settled(snap.Self.HeldSlots, now),
 		Versions: c.quota.cuts.Observe(snap.Config, members, now),
 	}
 	if old := c.quota.shape; old != nil && slices.Equal(old.Slots, shape.Slots) && slices.Equal(old.Versions, shape.Versions) {
@@ -64,7 +64,7 @@
 // loans that its earlier holder made of it; while they run, the borrowers and
 // this daemon together would exceed the quota. A slot that came with tokens is
 // free of loans: see quota.Ledger.Surrender.
-func (c *control) settled(held []membership.Holding, now time.Time) []int {
+func (c *control) settled(held []membership.HeldSlot, now time.Time) []int {
 	var out []int
 	for _, h := range held {
 		if len(c.slots.levels[h.Slot].levels) > 0 {
@@ -87,7 +87,7 @@
 		c.d.ledger.DropIdle(now)
 	}
 	if !now.Before(c.quota.nextScore) || c.state == membership.StateLeaving {
-		c.quota.nextScore = now.Add(membership.BeatEvery)
+		c.quota.nextScore = now.Add(membership.HeartbeatInterval)
 		c.scoreQuotas(now)
 	}
 	members := c.members.table.Live(now)
@@ -196,7 +196,7 @@
 	if s == nil {
 		s = &lendStream{asks: make(chan quota.Outgoing, asksBuffered)}
 		l.streams[out.To] = s
-		l.d.spawn(func(context.Context) { l.run(ctx, out.To, m.Peers, s) })
+		l.d.spawn(func(context.Context) { l.run(ctx, out.To, m.PeerAddress, s) })
 	}
 	select {
 	case s.asks <- out:
@@ -227,7 +227,7 @@
 }
 
 func (l *lenders) carry(ctx context.Context, address string, s *lendStream, waiting *waitingAsks) error {
-	stream, err := peer.NewDRPCQuotaClient(l.d.conns.To(ctx, address)).Lend(ctx)
+	stream, err := peer.NewDRPCQuotaClient(l.d.conns.Conn(ctx, address)).Lend(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/quota_test.go
+++ b/internal/daemon/quota_test.go
@@ -85,7 +85,7 @@
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for host := range hosts {
-		address := f.daemons[host].Identity().Callers
+		address := f.daemons[host].Identity().CallerAddress
 		callers.Go(func() { f.flood(address, 5*rate/len(hosts), stop) })
 	}
 	g.Eventually(func() int { return len(seen.times()) }, settle).Should(BeNumerically(">", 4*rate))
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -18,7 +18,7 @@
 
 // slotState is the control thread's part for slots.
 type slotState struct {
-	custody *membership.Custody
+	custody *membership.SlotOwnership
 	lease   uint64
 	next    time.Time
 	busy    bool
@@ -44,17 +44,17 @@
 
 // custody is made at the first use: the daemon's own address is known only
 // once it listens.
-func (c *control) custody() *membership.Custody {
+func (c *control) custody() *membership.SlotOwnership {
 	if c.slots.custody == nil {
-		self := membership.Holder{Instance: c.d.identity.Instance, Peers: c.d.identity.Peers}
-		c.slots.custody = membership.NewCustody(self, time.Now())
+		self := membership.Holder{Instance: c.d.identity.Instance, PeerAddress: c.d.identity.PeerAddress}
+		c.slots.custody = membership.NewSlotOwnership(self, time.Now())
 	}
 	return c.slots.custody
 }
 
 // guardSlots comes before everything else that the control thread does.
 func (c *control) guardSlots(now time.Time) {
-	if c.custody().Run(now) {
+	if c.custody().DetectPause(now) {
 		c.d.log.Warn("paused", "slots", "suspended")
 		c.slots.next = now
 	}
@@ -62,7 +62,7 @@
 
 func (c *control) tickSlots(now time.Time) {
 	mates := c.mates()
-	if c.custody().Hearing(c.members.table.LastHeard(), staying(mates), now) {
+	if c.custody().DetectIsolation(c.members.table.LastHeartbeat(), staying(mates), now) {
 		c.d.log.Warn("isolated", "slots", "suspended")
 	}
 	c.adoptLevels(now)
@@ -79,7 +79,7 @@
 
 // yieldSlots gives way to a mate that spends from the same slots.
 func (c *control) yieldSlots(m membership.Member, now time.Time) {
-	if dropped := c.custody().Heard(m, now); len(dropped) > 0 {
+	if dropped := c.custody().ResolveConflicts(m, now); len(dropped) > 0 {
 		c.d.log.Error("slots_yielded", "to", m.Instance, "slots", dropped)
 		c.slots.next = now
 		c.news = true
@@ -111,7 +111,7 @@
 func readyMates(mates []membership.Member, now time.Time) int {
 	n := 0
 	for _, m := range mates {
-		if m.State == membership.StateReady && now.Sub(m.HeardAt) <= membership.GoneAfter {
+		if m.State == membership.StateReady && now.Sub(m.HeartbeatAt) <= membership.MemberTimeout {
 			n++
 		}
 	}
@@ -120,7 +120,7 @@
 
 func (c *control) startSlotRound(now time.Time) {
 	c.slots.busy = true
-	c.slots.next = now.Add(membership.RenewEvery)
+	c.slots.next = now.Add(membership.LeaseRenewInterval)
 	lease := c.slots.lease
 	c.d.spawn(func(ctx context.Context) { c.send(c.d.readSlots(ctx, lease)) })
 }
@@ -132,7 +132,7 @@
 	// succeeded.
 	renewed time.Time
 	// reading is nil if the store was not read.
-	reading *membership.Reading
+	reading *membership.SlotState
 }
 
 // readSlots is the first half of a round.
@@ -150,7 +150,7 @@
 		d.log.Warn("slots_not_listed", "err", err)
 		return out
 	}
-	out.reading = membership.ReadSlots(d.identity.Zone, l.Items)
+	out.reading = membership.ParseSlots(d.identity.Zone, l.Items)
 	return out
 }
 
@@ -168,8 +168,8 @@
 	if err != nil {
 		return 0, err
 	}
-	self := membership.Holder{Instance: d.identity.Instance, Peers: d.identity.Peers}
-	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, lease), 0, self.Value(), lease); err != nil {
+	self := membership.Holder{Instance: d.identity.Instance, PeerAddress: d.identity.PeerAddress}
+	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, lease), 0, self.Encode(), lease); err != nil {
 		return 0, err
 	}
 	return lease, nil
@@ -185,8 +185,8 @@
 		c.endSlotRound(now, false)
 		return
 	}
-	c.slots.holders = m.reading.Holders()
-	if dropped := c.custody().Observe(m.reading); len(dropped) > 0 {
+	c.slots.holders = m.reading.HolderAddresses()
+	if dropped := c.custody().Reconcile(m.reading); len(dropped) > 0 {
 		c.d.log.Error("slots_dropped", "slots", dropped)
 	}
 	steps := c.planSlots(m.reading, now)
@@ -200,28 +200,28 @@
 
 // planSlots leaves everything as it is between the start of a planned stop and
 // the moment when no request runs any more.
-func (c *control) planSlots(r *membership.Reading, now time.Time) []membership.Step {
+func (c *control) planSlots(r *membership.SlotState, now time.Time) []membership.SlotWrite {
 	leaving := c.slots.givenUp != nil
 	if c.state == membership.StateLeaving && !leaving {
 		return nil
 	}
 	slots := c.active().Config.Zones[c.d.identity.Zone].Slots
-	return c.custody().Plan(membership.Round{Reading: r, Slots: slots, Mates: c.mates(), Leaving: leaving}, now)
+	return c.custody().Plan(membership.PlanInput{State: r, SlotCount: slots, ZonePeers: c.mates(), Leaving: leaving}, now)
 }
 
 // gift is a step with the bucket levels that go along.
 type gift struct {
-	membership.Step
+	membership.SlotWrite
 	levels []quota.Level
 }
 
 // withdraw takes the levels out of the buckets of a leaving daemon, so that
 // nobody spends them here any more, and parts them over the slots that it
 // gives to mates. A slot that moves for balance starts empty at its new holder.
-func (c *control) withdraw(steps []membership.Step, now time.Time) []gift {
+func (c *control) withdraw(steps []membership.SlotWrite, now time.Time) []gift {
 	gifts := make([]gift, 0, len(steps))
 	for _, s := range steps {
-		gifts = append(gifts, gift{Step: s})
+		gifts = append(gifts, gift{SlotWrite: s})
 	}
 	if c.slots.givenUp == nil || len(gifts) == 0 {
 		return gifts
@@ -245,7 +245,7 @@
 // slotResult is how one write ended; revision is 0 if the store refused it or
 // its outcome is unknown.
 type slotResult struct {
-	step     membership.Step
+	step     membership.SlotWrite
 	revision uint64
 }
 
@@ -256,11 +256,11 @@
 		revision, err := d.writeSlot(ctx, g)
 		if err != nil {
 			d.log.Warn("slot_not_written", "slot", g.Slot, "err", err)
-			out.results = append(out.results, slotResult{step: g.Step})
+			out.results = append(out.results, slotResult{step: g.SlotWrite})
 			continue
 		}
-		out.results = append(out.results, slotResult{step: g.Step, revision: revision})
-		if g.To.Instance != "" && g.To.Instance != d.identity.Instance {
+		out.results = append(out.results, slotResult{step: g.SlotWrite, revision: revision})
+		if g.Holder.Instance != "" && g.Holder.Instance != d.identity.Instance {
 			d.passLevels(ctx, g)
 		}
 	}
@@ -269,10 +269,10 @@
 
 func (d *Daemon) writeSlot(ctx context.Context, g gift) (uint64, error) {
 	key := membership.SlotKey(d.identity.Zone, g.Slot)
-	if g.To.Instance == "" {
-		return 0, d.store.Delete(ctx, key, g.At)
+	if g.Holder.Instance == "" {
+		return 0, d.store.Delete(ctx, key, g.Revision)
 	}
-	return d.store.CompareAndSwap(ctx, key, g.At, g.To.Value(), 0)
+	return d.store.CompareAndSwap(ctx, key, g.Revision, g.Holder.Encode(), 0)
 }
 
 // passLevels tells the new holder that a slot is its own, with the levels. It
@@ -285,8 +285,8 @@
 	for _, l := range g.levels {
 		message.Levels = append(message.Levels, &peer.Level{Quota: l.Quota, Tokens: l.Tokens})
 	}
-	if _, err := peer.NewDRPCHandoverClient(d.conns.To(ctx, g.To.Peers)).TakeSlots(ctx, message); err != nil {
-		d.log.Warn("levels_not_passed", "slot", g.Slot, "to", g.To.Instance, "err", err)
+	if _, err := peer.NewDRPCHandoverClient(d.conns.Conn(ctx, g.Holder.PeerAddress)).TakeSlots(ctx, message); err != nil {
+		d.log.Warn("levels_not_passed", "slot", g.Slot, "to", g.Holder.Instance, "err", err)
 	}
 }
 
@@ -294,7 +294,7 @@
 	now := time.Now()
 	started := 0
 	for _, r := range m.results {
-		if c.custody().Done(r.step, r.revision, now) {
+		if c.custody().RecordWrite(r.step, r.revision, now) {
 			started++
 		}
 	}
@@ -325,7 +325,7 @@
 // over from soon.
 func (c *control) holderSilent(now time.Time) bool {
 	for _, m := range c.mates() {
-		if now.Sub(m.HeardAt) > membership.GoneAfter && m.State != membership.StateLeaving {
+		if now.Sub(m.HeartbeatAt) > membership.MemberTimeout && m.State != membership.StateLeaving {
 			return true
 		}
 	}
--- a/internal/daemon/slots_test.go
+++ b/internal/daemon/slots_test.go
@@ -135,9 +135,9 @@
 	f.awaitReady(f.apply("vt-1", oneZone()))
 	g.Eventually(f.slotsOf, settle).Should(Equal(allFour))
 	asleep := time.Now()
-	d.StallControl(membership.TickBound + time.Second)
+	d.StallControl(membership.PauseThreshold + time.Second)
 	g.Eventually(func(g Gomega) {
-		held := d.View().Self.Held
+		held := d.View().Self.HeldSlots
 		g.Expect(held).To(HaveLen(4))
 		for _, h := range held {
 			g.Expect(h.Since).To(BeTemporally(">", asleep))
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -14,7 +14,7 @@
 // answers: until they hear that it leaves, or hear it no more. The lookup ttl
 // runs from the last such answer; without the margin a caller that got it uses
 // a listener that is closed.
-const leaveMargin = membership.GoneAfter
+const leaveMargin = membership.MemberTimeout
 
 // giveUpBound bounds the passing on of slots: above two rounds of calls to a
 // slow store, so that an outage of it does not hold a stop up for long.
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -71,7 +71,7 @@
 	}
 	if len(ask) == 0 {
 		for _, d := range s.f.daemons {
-			ask = append(ask, d.Identity().Callers)
+			ask = append(ask, d.Identity().CallerAddress)
 		}
 	}
 	s.mu.Unlock()
@@ -80,7 +80,7 @@
 		if err != nil {
 			continue
 		}
-		var answer lookup.Answer
+		var answer lookup.Response
 		err = json.NewDecoder(resp.Body).Decode(&answer)
 		_ = resp.Body.Close()
 		if err == nil && len(answer.Entries) > 0 {
@@ -189,7 +189,7 @@
 	f.g.Expect(stopWithin(d, settle)).To(Succeed())
 	took := time.Since(start)
 	// Without a hand-over a mate takes the slots SilenceBound later.
-	f.g.Eventually(f.slotsOf, membership.SilenceBound/2, 5*time.Millisecond).Should(Equal(allFour))
+	f.g.Eventually(f.slotsOf, membership.HolderTimeout/2, 5*time.Millisecond).Should(Equal(allFour))
 	return took
 }
 
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -95,7 +95,7 @@
 		return
 	}
 	d.log.Info("tls_files_changed")
-	d.conns.DropIdle()
+	d.conns.CloseIdle()
 	d.peers.CloseConns()
 	d.relayClient.Close()
 }
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -81,7 +81,7 @@
 	own, err := tls.LoadX509KeyPair(wrong.CertFile, wrong.KeyFile)
 	g.Expect(err).NotTo(HaveOccurred())
 	ask := func(scheme string, transport *http.Transport) error {
-		req, err := http.NewRequest(http.MethodGet, scheme+"://"+f.daemons["me-1"].Identity().Relay+"/relay/lookup/x", nil)
+		req, err := http.NewRequest(http.MethodGet, scheme+"://"+f.daemons["me-1"].Identity().RelayAddress+"/relay/lookup/x", nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		req.Header.Set(wire.HeaderRole, wire.RoleHandle)
 		req.Header.Set(wire.HeaderCustomer, "farm")
--- a/internal/entry/post.go
+++ b/internal/entry/post.go
@@ -40,7 +40,7 @@
 func (s *Server) askOwner(ctx context.Context, call *wire.Call, id posting.ID) (*wire.Answer, *wire.Problem) {
 	snap := s.View.Load()
 	for _, m := range owners(snap, id.Instance) {
-		answer, problem := s.Relay.Send(ctx, m.Relay, wire.RolePosting, call)
+		answer, problem := s.Relay.Send(ctx, m.RelayAddress, wire.RolePosting, call)
 		if problem == nil || !problem.Unreached {
 			return answer, problem
 		}
@@ -56,7 +56,7 @@
 		owners = append(owners, m)
 	}
 	for _, m := range snap.Members {
-		for _, other := range m.AnswersFor {
+		for _, other := range m.PostingsFrom {
 			if other == instance {
 				owners = append(owners, m)
 			}
--- a/internal/entry/steer.go
+++ b/internal/entry/steer.go
@@ -67,7 +67,7 @@
 	}
 	ctx, span := s.Tracer.Start(ctx, "relay")
 	defer span.End()
-	return s.Relay.Send(ctx, member.Relay, wire.RoleHandle, call)
+	return s.Relay.Send(ctx, member.RelayAddress, wire.RoleHandle, call)
 }
 
 // another tells whether another handler may be asked after a problem.
--- a/internal/lookup/entries.go
+++ b/internal/lookup/entries.go
@@ -30,8 +30,8 @@
 	PostingPrefix string `json:"posting_prefix"`
 }
 
-// Answer is the body of GET /v1/entries.
-type Answer struct {
+// Response is the body of GET /v1/entries.
+type Response struct {
 	Version uint64  `json:"version"`
 	TTLMs   int64   `json:"ttl_ms"`
 	Entries []Entry `json:"entries"`
@@ -92,7 +92,7 @@
 	h := host{
 		weight: max(1-m.Load, leastWeight),
 		entry: Entry{
-			Address: m.Callers, Zone: m.Zone, Instance: m.Instance,
+			Address: m.CallerAddress, Zone: m.Zone, Instance: m.Instance,
 			PostingPrefix: posting.Prefix(m.Instance, m.PostingEpoch),
 		},
 	}
@@ -105,9 +105,9 @@
 
 // Entries answers a caller: the hosts of its near zones in their order, then
 // of their regions, then of all others; within each spread by weight.
-func (d *Directory) Entries(caller netip.Addr, rng *rand.Rand) Answer {
+func (d *Directory) Entries(caller netip.Addr, rng *rand.Rand) Response {
 	p := picker{rng: rng, entries: make([]Entry, 0, MaxEntries)}
-	near := d.index.Near(caller)
+	near := d.index.NearestZones(caller)
 	for _, zone := range near {
 		p.take(d.zones[zone])
 	}
@@ -115,7 +115,7 @@
 		p.take(d.regions[d.regionOf[zone]])
 	}
 	p.take(d.all)
-	return Answer{Version: d.version, TTLMs: TTL.Milliseconds(), Entries: p.entries}
+	return Response{Version: d.version, TTLMs: TTL.Milliseconds(), Entries: p.entries}
 }
 
 // picker collects entries without repeating one.
--- a/internal/lookup/index.go
+++ b/internal/lookup/index.go
@@ -41,9 +41,9 @@
 	return ix
 }
 
-// Near returns the zones nearest to a caller, nearest first; nil if no client
+// NearestZones returns the zones nearest to a caller, nearest first; nil if no client
 // block holds it.
-func (ix *Index) Near(caller netip.Addr) []string {
+func (ix *Index) NearestZones(caller netip.Addr) []string {
 	place, ok := ix.blocks.Lookup(caller)
 	if !ok {
 		return nil
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -14,7 +14,7 @@
 )
 
 func host(name, zone string, load float64) membership.Member {
-	return membership.Member{Instance: name, Host: name, Zone: zone, Callers: name + ":80", State: membership.StateReady, Load: load}
+	return membership.Member{Instance: name, Host: name, Zone: zone, CallerAddress: name + ":80", State: membership.StateReady, Load: load}
 }
 
 func fourZones() *config.Config {
--- a/internal/membership/contacts.go
+++ b/internal/membership/contacts.go
@@ -53,29 +53,29 @@
 	}
 }
 
-// Listed replaces the addresses of the host list.
-func (c *Contacts) Listed(addresses []string) {
+// SetHostList replaces the addresses of the host list.
+func (c *Contacts) SetHostList(addresses []string) {
 	clear(c.listed)
 	for _, a := range addresses[:min(len(addresses), maxContacts)] {
 		c.listed[a] = true
 	}
 }
 
-// Heard notes that the daemon at address was heard.
-func (c *Contacts) Heard(address string, now time.Time) { note(c.heard, address, now) }
+// RecordHeartbeat notes that the daemon at address was heard.
+func (c *Contacts) RecordHeartbeat(address string, now time.Time) { note(c.heard, address, now) }
 
-// Answered notes that the daemon at address has answered a heartbeat.
-func (c *Contacts) Answered(address string, now time.Time) { note(c.answered, address, now) }
+// RecordResponse notes that the daemon at address has answered a heartbeat.
+func (c *Contacts) RecordResponse(address string, now time.Time) { note(c.answered, address, now) }
 
-// Left notes that the daemon at address has said that it leaves.
-func (c *Contacts) Left(address string) {
+// Remove notes that the daemon at address has said that it leaves.
+func (c *Contacts) Remove(address string) {
 	delete(c.heard, address)
 	delete(c.rumored, address)
 	delete(c.answered, address)
 }
 
-// Rumored notes addresses that another daemon hears.
-func (c *Contacts) Rumored(addresses []string, now time.Time) {
+// AddGossip notes addresses that another daemon hears.
+func (c *Contacts) AddGossip(addresses []string, now time.Time) {
 	for _, a := range addresses[:min(len(addresses), GossipSize)] {
 		note(c.rumored, a, now)
 	}
@@ -87,15 +87,15 @@
 	}
 }
 
-// Due returns the addresses to send a heartbeat to at now, in order.
-func (c *Contacts) Due(now time.Time) []string {
+// HeartbeatTargets returns the addresses to send a heartbeat to at now, in order.
+func (c *Contacts) HeartbeatTargets(now time.Time) []string {
 	c.forget(now)
 	due := maps.Clone(c.listed)
 	for a := range c.rumored {
 		due[a] = true
 	}
 	for a, heard := range c.heard {
-		if now.Sub(heard) <= GoneAfter || now.Sub(c.tried[a]) >= silentEvery {
+		if now.Sub(heard) <= MemberTimeout || now.Sub(c.tried[a]) >= silentEvery {
 			c.tried[a] = now
 			due[a] = true
 		}
@@ -106,18 +106,18 @@
 }
 
 // freshFor is how long a daemon that was heard needs no heartbeat: a little
-// less than BeatEvery, so that a beat is never left out twice in a row.
-const freshFor = BeatEvery * 4 / 5
+// less than HeartbeatInterval, so that a beat is never left out twice in a row.
+const freshFor = HeartbeatInterval * 4 / 5
 
 // answerEvery is the longest time without an answer from a daemon that is heard.
 // Only an answer tells when its configuration was confirmed.
-const answerEvery = 10 * BeatEvery
+const answerEvery = 10 * HeartbeatInterval
 
-// Fresh tells whether the daemon at address was heard so lately that it has
+// ExchangedRecently tells whether the daemon at address was heard so lately that it has
 // this daemon's account too: a heartbeat and its answer carry both. Without
-// this each pair of daemons would exchange both accounts twice every BeatEvery.
+// this each pair of daemons would exchange both accounts twice every HeartbeatInterval.
 // A daemon that always beats first is asked every answerEvery all the same.
-func (c *Contacts) Fresh(address string, now time.Time) bool {
+func (c *Contacts) ExchangedRecently(address string, now time.Time) bool {
 	heard, ok := c.heard[address]
 	return ok && now.Sub(heard) < freshFor && now.Sub(c.answered[address]) < answerEvery
 }
@@ -149,7 +149,7 @@
 func (c *Contacts) Gossip(now time.Time) []string {
 	var live []string
 	for _, a := range slices.Sorted(maps.Keys(c.heard)) {
-		if now.Sub(c.heard[a]) <= GoneAfter {
+		if now.Sub(c.heard[a]) <= MemberTimeout {
 			live = append(live, a)
 		}
 	}
--- a/internal/membership/contacts_test.go
+++ b/internal/membership/contacts_test.go
@@ -16,10 +16,10 @@
 func TestMissingHostIsReachedByRumor(t *testing.T) {
 	g := NewWithT(t)
 	c := NewContacts("self")
-	c.Listed([]string{"self", "gone", "b"})
-	c.Rumored([]string{"missing"}, t0)
-	g.Expect(c.Due(t0)).To(Equal([]string{"b", "gone", "missing"}))
-	g.Expect(c.Due(t0.Add(rumorFor + time.Second))).To(Equal([]string{"b", "gone"}))
+	c.SetHostList([]string{"self", "gone", "b"})
+	c.AddGossip([]string{"missing"}, t0)
+	g.Expect(c.HeartbeatTargets(t0)).To(Equal([]string{"b", "gone", "missing"}))
+	g.Expect(c.HeartbeatTargets(t0.Add(rumorFor + time.Second))).To(Equal([]string{"b", "gone"}))
 }
 
 // Two regions lose each other for minutes. Peers that no list shows must still
@@ -27,16 +27,16 @@
 func TestSilentPeersAreTriedAfterACut(t *testing.T) {
 	g := NewWithT(t)
 	c := NewContacts("self")
-	c.Heard("far", t0)
+	c.RecordHeartbeat("far", t0)
 	tries := 0
-	for now := t0; now.Before(t0.Add(10 * time.Minute)); now = now.Add(BeatEvery) {
-		tries += len(c.Due(now))
+	for now := t0; now.Before(t0.Add(10 * time.Minute)); now = now.Add(HeartbeatInterval) {
+		tries += len(c.HeartbeatTargets(now))
 	}
 	g.Expect(tries).To(BeNumerically("~", 10*60/5, 5))
-	c.Heard("far", t0.Add(10*time.Minute))
-	g.Expect(c.Due(t0.Add(10*time.Minute + BeatEvery))).To(Equal([]string{"far"}))
-	c.Left("far")
-	g.Expect(c.Due(t0.Add(10*time.Minute + 2*BeatEvery))).To(BeEmpty())
+	c.RecordHeartbeat("far", t0.Add(10*time.Minute))
+	g.Expect(c.HeartbeatTargets(t0.Add(10*time.Minute + HeartbeatInterval))).To(Equal([]string{"far"}))
+	c.Remove("far")
+	g.Expect(c.HeartbeatTargets(t0.Add(10*time.Minute + 2*HeartbeatInterval))).To(BeEmpty())
 }
 
 // A peer whose heartbeats always come first would never be asked, and when its
@@ -45,11 +45,11 @@
 	g := NewWithT(t)
 	c := NewContacts("self")
 	asked := 0
-	for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(BeatEvery) {
-		c.Heard("early", now.Add(-BeatEvery/10))
-		if !c.Fresh("early", now) {
+	for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(HeartbeatInterval) {
+		c.RecordHeartbeat("early", now.Add(-HeartbeatInterval/10))
+		if !c.ExchangedRecently("early", now) {
 			asked++
-			c.Answered("early", now)
+			c.RecordResponse("early", now)
 		}
 	}
 	g.Expect(asked).To(Equal(int(time.Minute / answerEvery)))
@@ -59,9 +59,9 @@
 func TestGossipNamesLivePeersInTurn(t *testing.T) {
 	g := NewWithT(t)
 	c := NewContacts("self")
-	c.Heard("silent", t0.Add(-time.Minute))
+	c.RecordHeartbeat("silent", t0.Add(-time.Minute))
 	for i := range 10 {
-		c.Heard(fmt.Sprintf("p%d", i), t0)
+		c.RecordHeartbeat(fmt.Sprintf("p%d", i), t0)
 	}
 	named := map[string]bool{}
 	for range 4 {
@@ -80,9 +80,9 @@
 	c, table := NewContacts("self"), NewTable()
 	for i := range 3 * maxContacts {
 		a := fmt.Sprintf("p%d", i)
-		c.Heard(a, t0)
-		c.Rumored([]string{a}, t0)
-		table.Hear(Member{Instance: a, Host: a, Sequence: 1}, t0)
+		c.RecordHeartbeat(a, t0)
+		c.AddGossip([]string{a}, t0)
+		table.Update(Member{Instance: a, Host: a, Sequence: 1}, t0)
 	}
 	g.Expect(len(c.heard)).To(Equal(maxContacts))
 	g.Expect(len(c.rumored)).To(Equal(maxContacts))
@@ -94,8 +94,8 @@
 func TestNewInstanceReplacesTheOneAtItsAddress(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
-	table.Hear(Member{Instance: "a-1", Host: "a", Peers: "10.0.0.1:1", Sequence: 9}, t0)
-	table.Hear(Member{Instance: "a-2", Host: "a", Peers: "10.0.0.1:1", Sequence: 1}, t0)
+	table.Update(Member{Instance: "a-1", Host: "a", PeerAddress: "10.0.0.1:1", Sequence: 9}, t0)
+	table.Update(Member{Instance: "a-2", Host: "a", PeerAddress: "10.0.0.1:1", Sequence: 1}, t0)
 	live := table.Live(t0)
 	g.Expect(live).To(HaveLen(1))
 	g.Expect(live[0].Instance).To(Equal("a-2"))
@@ -105,8 +105,8 @@
 func TestOvertakenAccountIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
-	g.Expect(table.Hear(Member{Instance: "a", State: StateLeaving, Sequence: 2}, t0)).To(BeTrue())
-	g.Expect(table.Hear(Member{Instance: "a", State: StateReady, Sequence: 1}, t0)).To(BeFalse())
+	g.Expect(table.Update(Member{Instance: "a", State: StateLeaving, Sequence: 2}, t0)).To(BeTrue())
+	g.Expect(table.Update(Member{Instance: "a", State: StateReady, Sequence: 1}, t0)).To(BeFalse())
 	m, _ := table.Find("a")
 	g.Expect(m.State).To(Equal(StateLeaving))
 	g.Expect(m.LeavingSince).To(Equal(t0))
--- a/internal/membership/hosts.go
+++ b/internal/membership/hosts.go
@@ -29,12 +29,12 @@
 	Name  string    `json:"name"`
 	Zone  string    `json:"zone"`
 	State HostState `json:"state"`
-	// Peers is the address of the host's peers listener.
-	Peers string `json:"peers"`
+	// PeerAddress is the address of the host's peers listener.
+	PeerAddress string `json:"peers"`
 }
 
-// Value is the line's value in the store.
-func (h Host) Value() []byte {
+// Encode returns the line's value in the store.
+func (h Host) Encode() []byte {
 	raw, err := json.Marshal(h)
 	if err != nil {
 		panic(err) // four strings always encode
--- a/internal/membership/hosts_test.go
+++ b/internal/membership/hosts_test.go
@@ -20,8 +20,8 @@
 	fake := standin.NewKVStore()
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.Close)
-	host := membership.Host{Name: "vt-1", Zone: "vt-a", State: membership.HostLeaving, Peers: "10.0.0.1:7"}
-	fake.Put(membership.HostKey("vt-1"), host.Value())
+	host := membership.Host{Name: "vt-1", Zone: "vt-a", State: membership.HostLeaving, PeerAddress: "10.0.0.1:7"}
+	fake.Put(membership.HostKey("vt-1"), host.Encode())
 	fake.Put(membership.HostKey("vt-2"), []byte("{"))
 	store := platform.NewStore(server.URL, (&net.Dialer{}).DialContext, func(string, error) {})
 	hosts, unreadable, err := membership.ListHosts(context.Background(), store)
--- a/internal/membership/custody.go
+++ b/internal/membership/ownership.go
@@ -8,31 +8,31 @@
 
 // Timing of the custody of slots. The order of the bounds is what keeps two
 // daemons from spending from one slot: a paused or isolated holder stops
-// within TickBound or IsolatedAfter, a taker waits for SilenceBound. Between
+// within PauseThreshold or IsolationTimeout, a taker waits for HolderTimeout. Between
 // them lie a beat, the bound of a call (1 s) and 2 s to spare for clock drift
 // and scheduling.
 const (
 	// LeaseTTL is the life of a daemon's lease without renewal.
 	LeaseTTL = 10 * time.Second
-	// RenewEvery gives three tries before the lease lapses.
-	RenewEvery = LeaseTTL / 3
+	// LeaseRenewInterval gives three tries before the lease lapses.
+	LeaseRenewInterval = LeaseTTL / 3
 	// LeaseMargin is subtracted from the holder's view of its lease: clock
 	// drift and the way of the answer.
 	LeaseMargin = time.Second
-	// TickBound is the gap between two runs of the control thread above which
+	// PauseThreshold is the gap between two runs of the control thread above which
 	// the daemon counts as having been paused. Far above what a busy host
 	// causes, so that load alone does not suspend a holder.
-	TickBound = 3 * time.Second
-	// IsolatedAfter is the silence of everybody after which a daemon counts as
+	PauseThreshold = 3 * time.Second
+	// IsolationTimeout is the silence of everybody after which a daemon counts as
 	// cut off from everything: eight beats.
-	IsolatedAfter = 8 * BeatEvery
-	// SilenceBound is how long a holder must be silent in its zone before
+	IsolationTimeout = 8 * HeartbeatInterval
+	// HolderTimeout is how long a holder must be silent in its zone before
 	// another daemon takes its slots.
-	SilenceBound = 8 * time.Second
+	HolderTimeout = 8 * time.Second
 )
 
-// Holding is a slot that this daemon spends from.
-type Holding struct {
+// HeldSlot is a slot that this daemon spends from.
+type HeldSlot struct {
 	Slot int
 	// Since is when spending from it began or was confirmed after a pause.
 	Since time.Time
@@ -44,7 +44,7 @@
 	since    time.Time
 }
 
-// Custody decides which slots of its zone this daemon spends from. It belongs
+// SlotOwnership decides which slots of its zone this daemon spends from. It belongs
 // to the control thread.
 //
 // The load pattern answered: pauses, lapsed leases, lost answers and long
@@ -54,7 +54,7 @@
 // is still on its way then fails. Without the suspension a paused holder that
 // wakes would spend next to the one that took its slot. spec/slots.pml checks
 // the protocol.
-type Custody struct {
+type SlotOwnership struct {
 	self       Holder
 	held       map[int]holding
 	epoch      uint64
@@ -64,22 +64,22 @@
 	seen       map[string]time.Time
 }
 
-// NewCustody returns the custody of a daemon that holds nothing.
-func NewCustody(self Holder, now time.Time) *Custody {
-	return &Custody{
+// NewSlotOwnership returns the ownership of a daemon that holds nothing.
+func NewSlotOwnership(self Holder, now time.Time) *SlotOwnership {
+	return &SlotOwnership{
 		self: self, held: map[int]holding{}, lastRun: now, observing: now,
 		seen: map[string]time.Time{},
 	}
 }
 
-// Run notes that the control thread runs at now, before it does anything
+// DetectPause notes that the control thread runs at now, before it does anything
 // else, and reports whether the daemon had been paused. The wall clock is
 // compared too: the monotonic one stands still while a virtual machine is
 // suspended.
-func (c *Custody) Run(now time.Time) (paused bool) {
+func (c *SlotOwnership) DetectPause(now time.Time) (paused bool) {
 	gap := max(now.Sub(c.lastRun), now.Round(0).Sub(c.lastRun.Round(0)))
 	c.lastRun = now
-	if gap <= TickBound {
+	if gap <= PauseThreshold {
 		return false
 	}
 	c.suspend()
@@ -88,12 +88,12 @@
 	return true
 }
 
-// Hearing tells how the daemon is connected. A daemon whose zone has others,
+// DetectIsolation tells how the daemon is connected. A daemon whose zone has others,
 // which hears nobody at all and whose lease may have lapsed, is suspended: the
 // others may be taking its slots. It reports whether that happened. A daemon
 // that knows of no other in its zone goes on: nobody could take them.
-func (c *Custody) Hearing(lastHeard time.Time, mates int, now time.Time) (isolated bool) {
-	if mates == 0 || now.Before(c.leaseUntil) || now.Sub(lastHeard) <= IsolatedAfter {
+func (c *SlotOwnership) DetectIsolation(lastHeard time.Time, mates int, now time.Time) (isolated bool) {
+	if mates == 0 || now.Before(c.leaseUntil) || now.Sub(lastHeard) <= IsolationTimeout {
 		return false
 	}
 	c.observing = now
@@ -104,12 +104,12 @@
 	return true
 }
 
-// Heard takes in a mate's account of itself. Where both spend from a slot, the
+// ResolveConflicts takes in a mate's account of itself. Where both spend from a slot, the
 // one whose lease may have lapsed gives way at once, and does not wait for its
 // next reading of the store. It happens only where two daemons of one zone
 // could not reach each other: a lone daemon that is cut off cannot tell that
 // from its whole zone being cut off, and goes on.
-func (c *Custody) Heard(m Member, now time.Time) (dropped []int) {
+func (c *SlotOwnership) ResolveConflicts(m Member, now time.Time) (dropped []int) {
 	if now.Before(c.leaseUntil) {
 		return nil
 	}
@@ -124,37 +124,37 @@
 
 // suspend stops all spending until the store confirms each slot by a swap.
 // Answers to calls from before do not count any more.
-func (c *Custody) suspend() {
+func (c *SlotOwnership) suspend() {
 	c.epoch++
 	clear(c.held)
 }
 
 // LeaseRenewed notes a grant or renewal by a call that was sent at sent.
-func (c *Custody) LeaseRenewed(sent time.Time) {
+func (c *SlotOwnership) LeaseRenewed(sent time.Time) {
 	c.leaseUntil = sent.Add(LeaseTTL - LeaseMargin)
 }
 
 // SpendUntil is when spending must stop unless the control thread ran again.
 // Traffic threads compare it with the time at which they spend: after a pause
 // they may run before the control thread does.
-func (c *Custody) SpendUntil() time.Time { return c.lastRun.Add(TickBound) }
+func (c *SlotOwnership) SpendUntil() time.Time { return c.lastRun.Add(PauseThreshold) }
 
 // Usable returns the slots that may be spent from at now, in order.
-func (c *Custody) Usable(now time.Time) []Holding {
+func (c *SlotOwnership) Usable(now time.Time) []HeldSlot {
 	if now.After(c.SpendUntil()) {
 		return nil
 	}
-	out := make([]Holding, 0, len(c.held))
+	out := make([]HeldSlot, 0, len(c.held))
 	for _, slot := range slices.Sorted(maps.Keys(c.held)) {
-		out = append(out, Holding{Slot: slot, Since: c.held[slot].since})
+		out = append(out, HeldSlot{Slot: slot, Since: c.held[slot].since})
 	}
 	return out
 }
 
-// Observe compares what is held with a reading of the store. A slot that is
+// Reconcile compares what is held with a reading of the store. A slot that is
 // another's by the store is dropped; it happens only where daemons of one zone
 // could not reach each other.
-func (c *Custody) Observe(r *Reading) (dropped []int) {
+func (c *SlotOwnership) Reconcile(r *SlotState) (dropped []int) {
 	for slot, h := range c.held {
 		e := r.Slots[slot]
 		if e.Holder.Instance != c.self.Instance {
@@ -168,11 +168,11 @@
 	return dropped
 }
 
-// Done takes in how a step ended; revision is the entry's after a step that
+// RecordWrite takes in how a step ended; revision is the entry's after a step that
 // the store confirmed, and 0 if it refused or the outcome is unknown. Nothing
 // is concluded from an unknown outcome: the next reading shows it.
-func (c *Custody) Done(s Step, revision uint64, now time.Time) (started bool) {
-	if revision == 0 || s.epoch != c.epoch || s.To.Instance != c.self.Instance {
+func (c *SlotOwnership) RecordWrite(s SlotWrite, revision uint64, now time.Time) (started bool) {
+	if revision == 0 || s.epoch != c.epoch || s.Holder.Instance != c.self.Instance {
 		return false
 	}
 	c.held[s.Slot] = holding{revision: revision, since: now}
@@ -181,7 +181,7 @@
 
 // silent tells whether a holder has been silent for the bound while this
 // daemon was listening.
-func (c *Custody) silent(instance string, heard time.Time, now time.Time) bool {
+func (c *SlotOwnership) silent(instance string, heard time.Time, now time.Time) bool {
 	since := c.observing
 	if heard.After(since) {
 		since = heard
@@ -189,11 +189,11 @@
 	if first, ok := c.seen[instance]; ok && first.After(since) {
 		since = first
 	}
-	return now.Sub(since) >= SilenceBound
+	return now.Sub(since) >= HolderTimeout
 }
 
 // noteHolders remembers when each holder was first met in the store.
-func (c *Custody) noteHolders(r *Reading, now time.Time) {
+func (c *SlotOwnership) noteHolders(r *SlotState, now time.Time) {
 	named := map[string]time.Time{}
 	for _, e := range r.Slots {
 		first, ok := c.seen[e.Holder.Instance]
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Step is one write to the store that the plan asks for.
-type Step struct {
+// SlotWrite is one write to the store that the plan asks for.
+type SlotWrite struct {
 	Slot int
-	// At is the entry's revision that the write replaces; 0: there is none.
-	At uint64
-	// To is the holder from then on; the zero value deletes the entry.
-	To Holder
-	// Part is what the slot was of the slots held, for a hand-over: it says
+	// Revision is the entry's revision that the write replaces; 0: there is none.
+	Revision uint64
+	// Holder is the holder from then on; the zero value deletes the entry.
+	Holder Holder
+	// Fraction is what the slot was of the slots held, for a hand-over: it says
 	// which part of each bucket's level goes along.
-	Part  float64
-	epoch uint64
+	Fraction float64
+	epoch    uint64
 }
 
-// Round is what a plan is made from.
-type Round struct {
-	Reading *Reading
-	// Slots is how many slots the zone has.
-	Slots int
-	// Mates are the other daemons of the zone that are known, live or not.
-	Mates []Member
+// PlanInput is what a plan is made from.
+type PlanInput struct {
+	State *SlotState
+	// SlotCount is how many slots the zone has.
+	SlotCount int
+	// ZonePeers are the other daemons of the zone that are known, live or not.
+	ZonePeers []Member
 	// Leaving: this daemon is to give away all it holds.
 	Leaving bool
 }
@@ -36,9 +36,9 @@
 // callers find a part of the quota and the loss of one host loses a small
 // part. A daemon gives only where another has at least two fewer, so that no
 // slot moves to and fro.
-func (c *Custody) Plan(r Round, now time.Time) []Step {
-	c.noteHolders(r.Reading, now)
-	p := &plan{custody: c, Round: r, now: now, count: map[string]int{}}
+func (c *SlotOwnership) Plan(r PlanInput, now time.Time) []SlotWrite {
+	c.noteHolders(r.State, now)
+	p := &plan{custody: c, PlanInput: r, now: now, count: map[string]int{}}
 	p.countSlots()
 	if r.Leaving {
 		p.giveAll()
@@ -51,24 +51,24 @@
 
 // plan is the making of one plan.
 type plan struct {
-	Round
-	custody *Custody
+	PlanInput
+	custody *SlotOwnership
 	now     time.Time
 	// takers are the daemons that slots may go to, by instance.
 	takers []Holder
 	count  map[string]int
-	steps  []Step
+	steps  []SlotWrite
 }
 
 func (p *plan) countSlots() {
 	if !p.Leaving {
 		p.takers = append(p.takers, p.custody.self)
 	}
-	for _, m := range p.Mates {
+	for _, m := range p.ZonePeers {
 		// A mate without a lease does not reach the store and could not
 		// confirm what it is given.
-		if m.State == StateReady && p.now.Sub(m.HeardAt) <= GoneAfter && p.Reading.Leased[m.Instance] {
-			p.takers = append(p.takers, Holder{Instance: m.Instance, Peers: m.Peers})
+		if m.State == StateReady && p.now.Sub(m.HeartbeatAt) <= MemberTimeout && p.State.Leased[m.Instance] {
+			p.takers = append(p.takers, Holder{Instance: m.Instance, PeerAddress: m.PeerAddress})
 		}
 	}
 	slices.SortFunc(p.takers, func(a, b Holder) int {
@@ -77,7 +77,7 @@
 		}
 		return 1
 	})
-	for _, e := range p.Reading.Slots {
+	for _, e := range p.State.Slots {
 		p.count[e.Holder.Instance]++
 	}
 }
@@ -86,9 +86,9 @@
 // ones up to an even share.
 func (p *plan) claimAll() {
 	self := p.custody.self
-	share := (p.Slots + len(p.takers) - 1) / len(p.takers)
-	for slot := range p.Slots {
-		e, entered := p.Reading.Slots[slot]
+	share := (p.SlotCount + len(p.takers) - 1) / len(p.takers)
+	for slot := range p.SlotCount {
+		e, entered := p.State.Slots[slot]
 		if _, held := p.custody.held[slot]; held {
 			continue
 		}
@@ -108,19 +108,19 @@
 // gone tells whether a holder certainly does not spend any more.
 func (p *plan) gone(h Holder) bool {
 	var heard time.Time
-	for _, m := range p.Mates {
+	for _, m := range p.ZonePeers {
 		if m.Instance == h.Instance {
-			heard = m.HeardAt
+			heard = m.HeartbeatAt
 		}
 	}
-	return !p.Reading.Leased[h.Instance] && p.custody.silent(h.Instance, heard, p.now)
+	return !p.State.Leased[h.Instance] && p.custody.silent(h.Instance, heard, p.now)
 }
 
 // giveExcess gives to those with fewer slots. Every daemon works out the same
 // moves from the same reading and makes its own of them.
 func (p *plan) giveExcess() {
 	for slot := range p.custody.held {
-		if slot >= p.Slots {
+		if slot >= p.SlotCount {
 			p.give(slot, Holder{})
 		}
 	}
@@ -159,7 +159,7 @@
 // giveAll gives every slot to those with the fewest, or frees it where the
 // zone has no other daemon.
 func (p *plan) giveAll() {
-	for slot, e := range p.Reading.Slots {
+	for slot, e := range p.State.Slots {
 		if e.Holder.Instance != p.custody.self.Instance {
 			continue
 		}
@@ -192,9 +192,9 @@
 	h := p.custody.held[slot]
 	delete(p.custody.held, slot)
 	p.add(slot, h.revision, to)
-	p.steps[len(p.steps)-1].Part = part
+	p.steps[len(p.steps)-1].Fraction = part
 }
 
 func (p *plan) add(slot int, at uint64, to Holder) {
-	p.steps = append(p.steps, Step{Slot: slot, At: at, To: to, epoch: p.custody.epoch})
+	p.steps = append(p.steps, SlotWrite{Slot: slot, Revision: at, Holder: to, epoch: p.custody.epoch})
 }
--- a/internal/membership/reading.go
+++ b/internal/membership/slotstate.go
@@ -26,12 +26,12 @@
 // Holder is a daemon as a slot's entry names it.
 type Holder struct {
 	Instance string `json:"instance"`
-	// Peers is the address at which it answers other daemons.
-	Peers string `json:"peers"`
+	// PeerAddress is the address at which it answers other daemons.
+	PeerAddress string `json:"peers"`
 }
 
-// Value is the entry's value in the store.
-func (h Holder) Value() []byte {
+// Encode returns the entry's value in the store.
+func (h Holder) Encode() []byte {
 	raw, err := json.Marshal(h)
 	if err != nil {
 		panic(err) // two strings always encode
@@ -45,18 +45,18 @@
 	Revision uint64
 }
 
-// Reading is what the store says of a zone.
-type Reading struct {
+// SlotState is what the store says of a zone.
+type SlotState struct {
 	// Slots by index; a slot without an entry is free.
 	Slots map[int]SlotEntry
 	// Leased are the instances whose lease is in force.
 	Leased map[string]bool
 }
 
-// ReadSlots sorts the entries under a zone's prefix. An entry that cannot be
+// ParseSlots sorts the entries under a zone's prefix. An entry that cannot be
 // read is held by nobody known: it is taken like a silent daemon's.
-func ReadSlots(zone string, entries []kv.Item) *Reading {
-	r := &Reading{Slots: map[int]SlotEntry{}, Leased: map[string]bool{}}
+func ParseSlots(zone string, entries []kv.Item) *SlotState {
+	r := &SlotState{Slots: map[int]SlotEntry{}, Leased: map[string]bool{}}
 	for _, e := range entries {
 		name := strings.TrimPrefix(e.Key, SlotPrefix(zone))
 		var holder Holder
@@ -72,12 +72,12 @@
 	return r
 }
 
-// Holders returns the addresses of the daemons that the entries name.
-func (r *Reading) Holders() []string {
+// HolderAddresses returns the addresses of the daemons that the entries name.
+func (r *SlotState) HolderAddresses() []string {
 	seen := map[string]bool{}
 	var out []string
 	for _, e := range r.Slots {
-		if peers := e.Holder.Peers; peers != "" && !seen[peers] {
+		if peers := e.Holder.PeerAddress; peers != "" && !seen[peers] {
 			seen[peers] = true
 			out = append(out, peers)
 		}
--- a/internal/membership/zone_test.go
+++ b/internal/membership/zone_test.go
@@ -24,21 +24,21 @@
 	revision uint64
 }
 
-func (s *simStore) swap(st Step) uint64 {
-	if s.slots[st.Slot].Revision != st.At {
+func (s *simStore) swap(st SlotWrite) uint64 {
+	if s.slots[st.Slot].Revision != st.Revision {
 		return 0
 	}
 	s.revision++
-	if st.To.Instance == "" {
+	if st.Holder.Instance == "" {
 		delete(s.slots, st.Slot)
 		return s.revision
 	}
-	s.slots[st.Slot] = SlotEntry{Holder: st.To, Revision: s.revision}
+	s.slots[st.Slot] = SlotEntry{Holder: st.Holder, Revision: s.revision}
 	return s.revision
 }
 
-func (s *simStore) read(now time.Time) *Reading {
-	r := &Reading{Slots: map[int]SlotEntry{}, Leased: map[string]bool{}}
+func (s *simStore) read(now time.Time) *SlotState {
+	r := &SlotState{Slots: map[int]SlotEntry{}, Leased: map[string]bool{}}
 	for slot, e := range s.slots {
 		r.Slots[slot] = e
 	}
@@ -58,7 +58,7 @@
 }
 
 type simDaemon struct {
-	custody  *Custody
+	custody  *SlotOwnership
 	self     Member
 	table    *Table
 	paused   bool
@@ -102,9 +102,9 @@
 
 func (z *simZone) start() {
 	id := fmt.Sprintf("d%d", len(z.daemons))
-	m := Member{Instance: id, Peers: id, Zone: "vt-a", State: StateReady}
+	m := Member{Instance: id, PeerAddress: id, Zone: "vt-a", State: StateReady}
 	z.daemons = append(z.daemons, &simDaemon{
-		self: m, table: NewTable(), custody: NewCustody(Holder{Instance: id, Peers: id}, z.now), next: z.now,
+		self: m, table: NewTable(), custody: NewSlotOwnership(Holder{Instance: id, PeerAddress: id}, z.now), next: z.now,
 	})
 }
 
@@ -143,9 +143,9 @@
 }
 
 func (z *simZone) run(d *simDaemon) {
-	d.custody.Run(z.now)
+	d.custody.DetectPause(z.now)
 	z.hear(d)
-	d.custody.Hearing(d.table.LastHeard(), len(d.table.All()), z.now)
+	d.custody.DetectIsolation(d.table.LastHeartbeat(), len(d.table.All()), z.now)
 	if c := d.busy; c != nil {
 		switch {
 		case c.acted && !z.now.Before(c.answer) && !d.isolated:
@@ -173,8 +173,8 @@
 			for _, h := range other.custody.Usable(z.now) {
 				m.Slots = append(m.Slots, h.Slot)
 			}
-			d.table.Hear(m, z.now)
-			d.custody.Heard(m, z.now)
+			d.table.Update(m, z.now)
+			d.custody.ResolveConflicts(m, z.now)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 const hurry = time.Second
 
 func (z *simZone) round(d *simDaemon) {
-	var reading *Reading
+	var reading *SlotState
 	sent := z.now
 	z.call(d, func(now time.Time) {
 		z.store.leases[d.self.Instance] = now.Add(LeaseTTL)
@@ -192,12 +192,12 @@
 			return
 		}
 		d.custody.LeaseRenewed(sent)
-		d.custody.Observe(reading)
-		z.write(d, d.custody.Plan(Round{Reading: reading, Slots: simSlots, Mates: d.table.All(), Leaving: d.leaving}, z.now))
+		d.custody.Reconcile(reading)
+		z.write(d, d.custody.Plan(PlanInput{State: reading, SlotCount: simSlots, ZonePeers: d.table.All(), Leaving: d.leaving}, z.now))
 	})
 }
 
-func (z *simZone) write(d *simDaemon, steps []Step) {
+func (z *simZone) write(d *simDaemon, steps []SlotWrite) {
 	if len(steps) == 0 {
 		return
 	}
@@ -206,7 +206,7 @@
 		if lost {
 			revision = 0
 		}
-		d.custody.Done(steps[0], revision, z.now)
+		d.custody.RecordWrite(steps[0], revision, z.now)
 		z.write(d, steps[1:])
 	})
 }
@@ -322,7 +322,7 @@
 	z.store.down = true
 	z.advance(LeaseTTL)
 	z.daemons[2].paused = true
-	z.advance(SilenceBound + time.Second)
+	z.advance(HolderTimeout + time.Second)
 	z.store.down, z.flying = false, nil
 	for _, d := range z.daemons[:2] {
 		d.busy, d.next = nil, z.now.Add(10*time.Second)
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -61,7 +61,7 @@
 		fail(w, badPatchStatus(failure.Type), *failure)
 		return
 	}
-	patch.Floor = s.View.Load().Self.ConfigVersion
+	patch.ActiveVersion = s.View.Load().Self.ConfigVersion
 	// The write goes on if the operator's connection breaks: it is settled
 	// by its change id either way.
 	applied, err := s.Repository.Apply(context.WithoutCancel(r.Context()), patch)
@@ -109,7 +109,7 @@
 	case errors.As(err, &stale):
 		fail(w, http.StatusConflict, Failure{
 			Type: FailStale, Detail: err.Error(), Current: stale.Current,
-			Conflicts: stale.Conflicts, Forgotten: stale.Forgotten,
+			Conflicts: stale.Conflicts, Forgotten: stale.HistoryTruncated,
 		})
 	case errors.As(err, &reused):
 		fail(w, http.StatusConflict, Failure{Type: FailReusedID, Detail: err.Error()})
--- a/internal/operator/ctl/ctl_test.go
+++ b/internal/operator/ctl/ctl_test.go
@@ -268,7 +268,7 @@
 	now := time.Now()
 	heard := func(version uint64) view.Host {
 		return view.Host{Name: "me-1", Zone: "me-a", Listed: true, KnownSince: now, LastReport: membership.Member{
-			Instance: "me-1-x", Host: "me-1", Zone: "me-a", State: membership.StateReady, ConfigVersion: version, HeardAt: now,
+			Instance: "me-1-x", Host: "me-1", Zone: "me-a", State: membership.StateReady, ConfigVersion: version, HeartbeatAt: now,
 		}}
 	}
 	for name, tc := range map[string]struct {
@@ -296,7 +296,7 @@
 }
 
 func silent(h view.Host) view.Host {
-	h.LastReport.HeardAt = h.LastReport.HeardAt.Add(-time.Minute)
+	h.LastReport.HeartbeatAt = h.LastReport.HeartbeatAt.Add(-time.Minute)
 	return h
 }
 
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -71,18 +71,18 @@
 	return DaemonStatus{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: m.State,
 		ConfigVersion: m.ConfigVersion, ConfigRejected: m.ConfigRejected,
-		Slots: m.Slots, Watches: m.Watches, ConfirmedMs: age(m.ConfirmedAt, now),
+		Slots: m.Slots, Watches: m.WatchesStore, ConfirmedMs: age(m.ConfirmedAt, now),
 	}
 }
 
 func hostStatus(h view.Host, now time.Time) DaemonStatus {
 	d := statusOf(h.LastReport, now)
 	d.Host, d.Zone, d.Listed = h.Name, h.Zone, h.Listed
-	d.HeardMs = age(h.LastReport.HeardAt, now)
+	d.HeardMs = age(h.LastReport.HeartbeatAt, now)
 	if d.HeardMs < 0 {
 		d.HeardMs = age(h.KnownSince, now)
 	}
-	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeardAt) > membership.GoneAfter {
+	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeartbeatAt) > membership.MemberTimeout {
 		d.State, d.Slots, d.Watches = StateSilent, nil, false
 	}
 	return d
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -49,9 +49,9 @@
 	return &Conns{pool: drpcpool.New[string, drpcpool.Conn](opts), dial: dial, tls: conf}
 }
 
-// To returns a connection to the peers listener at address. It is made at the
+// Conn returns a connection to the peers listener at address. It is made at the
 // first call; a failure to make it is reported by that call.
-func (c *Conns) To(ctx context.Context, address string) drpc.Conn {
+func (c *Conns) Conn(ctx context.Context, address string) drpc.Conn {
 	return c.pool.Get(ctx, address, c.open)
 }
 
@@ -73,8 +73,8 @@
 	return drpcconn.New(secured), nil
 }
 
-// DropIdle closes the idle connections; new ones take their place.
-func (c *Conns) DropIdle() { _ = c.pool.Close() }
+// CloseIdle closes the idle connections; new ones take their place.
+func (c *Conns) CloseIdle() { _ = c.pool.Close() }
 
 // Close closes all idle connections.
 func (c *Conns) Close() error { return c.pool.Close() }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,9 +14,9 @@
 
 // Bounds of what a peer may send.
 const (
-	// MaxMessage bounds one message: a configuration value of a megabyte with
+	// MaxMessageBytes bounds one message: a configuration value of a megabyte with
 	// its list of changes fits. A longer one ends the connection.
-	MaxMessage = 4 << 20
+	MaxMessageBytes = 4 << 20
 	// silenceBound ends a connection on which nothing arrives: twice the time
 	// for which the other side keeps an idle one.
 	silenceBound = 2 * idleTime
@@ -27,7 +27,7 @@
 // otherwise whoever connects and stays silent holds memory for good.
 func Serve(ctx context.Context, handler drpc.Handler, l net.Listener) error {
 	options := drpcserver.Options{Manager: drpcmanager.Options{
-		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessage},
+		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
 	}}
 	return drpcserver.NewWithOptions(handler, options).Serve(ctx, l)
 }
@@ -43,9 +43,9 @@
 }
 
 // Bounded wraps a listener for peers.
-func Bounded(l net.Listener) *Listener { return newListener(l, silenceBound) }
+func Bounded(l net.Listener) *Listener { return newListenerWithTimeout(l, silenceBound) }
 
-func newListener(l net.Listener, silence time.Duration) *Listener {
+func newListenerWithTimeout(l net.Listener, silence time.Duration) *Listener {
 	return &Listener{Listener: l, silence: silence, open: map[*boundedConn]struct{}{}}
 }
 
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -34,7 +34,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = Serve(ctx, mux, newListener(l, silence))
+		_ = Serve(ctx, mux, newListenerWithTimeout(l, silence))
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -51,10 +51,10 @@
 	address, s := serve(t, time.Minute)
 	conns := NewConns(nil, nil)
 	defer func() { _ = conns.Close() }()
-	client := NewDRPCHandoverClient(conns.To(context.Background(), address))
+	client := NewDRPCHandoverClient(conns.Conn(context.Background(), address))
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	_, err := client.TakePostings(ctx, &PostingTable{Postings: []*Posting{{Body: make([]byte, MaxMessage+1)}}})
+	_, err := client.TakePostings(ctx, &PostingTable{Postings: []*Posting{{Body: make([]byte, MaxMessageBytes+1)}}})
 	g.Expect(err).To(HaveOccurred())
 
 	raw, err := net.Dial("tcp", address)
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -106,7 +106,7 @@
 		return nil, errors.Wrap(err, "look entry hosts up")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var answer lookup.Answer
+	var answer lookup.Response
 	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
 		return nil, errors.Wrap(err, "entry hosts")
 	}
