--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -195,7 +195,7 @@
 		return nil, errors.Wrap(err, "listen for peers")
 	}
 	d.identity.PeerAddress = peers.Addr().String()
-	d.peers = peer.Bounded(peers)
+	d.peers = peer.NewListener(peers)
 	return d.security.listener(d.peers), nil
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -42,8 +42,8 @@
 	open map[*boundedConn]struct{}
 }
 
-// Bounded wraps a listener for peers.
-func Bounded(l net.Listener) *Listener { return newListenerWithTimeout(l, silenceBound) }
+// NewListener wraps a listener for peers.
+func NewListener(l net.Listener) *Listener { return newListenerWithTimeout(l, silenceBound) }
 
 func newListenerWithTimeout(l net.Listener, silence time.Duration) *Listener {
 	return &Listener{Listener: l, silence: silence, open: map[*boundedConn]struct{}{}}
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -87,7 +87,7 @@
 	g := NewWithT(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	l := Bounded(raw)
+	l := NewListener(raw)
 	defer func() { _ = l.Close() }()
 	client, err := net.Dial("tcp", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
