--- a/internal/daemon/config_peers.go
+++ b/internal/daemon/config_peers.go
@@ -48,7 +48,7 @@
 	c.config.pulls.inFlight[source.Instance] = now
 	haveVersion := c.config.version()
 	c.d.spawn(func(ctx context.Context) {
-		c.send(pullDone{source.Instance, c.d.pull(ctx, source.Peers, haveVersion)})
+		c.send(pullDone{source.Instance, c.d.pull(ctx, source.PeerAddress, haveVersion)})
 	})
 }
 
@@ -116,7 +116,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	reply, err := peer.NewDRPCConfigurationClient(d.conns.To(ctx, address)).Pull(ctx, &peer.PullRequest{HaveVersion: haveVersion})
+	reply, err := peer.NewDRPCConfigurationClient(d.conns.Conn(ctx, address)).Pull(ctx, &peer.PullRequest{HaveVersion: haveVersion})
 	if err != nil {
 		d.log.Debug("pull_failed", "peer", address, "err", err)
 		return pullResult{err: err}
@@ -167,7 +167,7 @@
 
 func (m recordRequest) apply(c *control) {
 	response := recordResponse{version: c.config.version(), confirmedAt: c.config.confirmedAt}
-	response.peers = append(slices.Collect(maps.Keys(c.peerAddresses())), c.d.identity.Peers)
+	response.peers = append(slices.Collect(maps.Keys(c.peerAddresses())), c.d.identity.PeerAddress)
 	if response.version > m.haveVersion {
 		response.record = c.config.record
 	}
@@ -214,10 +214,10 @@
 	if len(known) == 0 || haveVersion == 0 {
 		hosts, _ := d.readHosts(ctx)
 		for _, h := range hosts {
-			known[h.Peers] = true
+			known[h.PeerAddress] = true
 		}
 	}
-	polled := map[string]bool{d.identity.Peers: true}
+	polled := map[string]bool{d.identity.PeerAddress: true}
 	var results []pullResult
 	for {
 		addresses := slices.Collect(maps.Keys(known))
--- a/internal/daemon/config_store.go
+++ b/internal/daemon/config_store.go
@@ -27,7 +27,7 @@
 	watchResponseGrace = time.Second
 	// watchLossDelay is how long a zone may have no watcher that reaches the
 	// store before its other daemons read the store: two heartbeats.
-	watchLossDelay = 2 * membership.BeatEvery
+	watchLossDelay = 2 * membership.HeartbeatInterval
 	// watchMaxLag is the longest time after which a watch reports a change. The
 	// platform documents this value for its store.
 	watchMaxLag = time.Second
@@ -104,8 +104,8 @@
 		if m.Instance < c.d.identity.Instance || c.state == membership.StateLeaving {
 			role.isWatcher = false
 		}
-		if m.Watches {
-			c.config.store.watcherSeenAt = maxTime(c.config.store.watcherSeenAt, m.HeardAt)
+		if m.WatchesStore {
+			c.config.store.watcherSeenAt = maxTime(c.config.store.watcherSeenAt, m.HeartbeatAt)
 		}
 	}
 	return role
@@ -228,7 +228,7 @@
 	case errors.Is(m.err, kv.ErrNotFound):
 		// The store is reachable and contains no configuration.
 		c.markVerified(m.validAt)
-	case errors.Is(m.err, config.ErrBadRecord):
+	case errors.Is(m.err, config.ErrInvalidRecord):
 		c.d.log.Error("config_unreadable", "err", m.err)
 	default:
 		c.d.log.Debug("config_not_read", "err", m.err)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -150,16 +150,16 @@
 	m.ConfigVersion = c.config.version()
 	m.ConfigRejected = c.config.rejectedVersion
 	m.ConfirmedAt = c.config.confirmedAt
-	m.Watches = c.watchesStore(now)
+	m.WatchesStore = c.watchesStore(now)
 	m.Demand = c.quota.demandScores
-	m.Held = c.ownership().Usable(now)
-	for _, h := range m.Held {
+	m.HeldSlots = c.ownership().Usable(now)
+	for _, h := range m.HeldSlots {
 		m.Slots = append(m.Slots, h.Slot)
 	}
 	m.Headroom = c.d.handler.Headroom()
 	m.Load = c.d.gauge.Load()
 	m.PostingEpoch = c.d.postings.Epoch(now)
-	m.AnswersFor = c.d.postings.AnswersFor(now)
+	m.PostingsFrom = c.d.postings.AnswersFor(now)
 	return m
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,8 +158,8 @@
 	d.spawn(d.control.run)
 	d.spawn(d.runBorrower)
 	d.spawn((&upstream.Prober{Handler: d.handler, Client: d.client}).Run)
-	d.log.Info("listening", "instance", d.identity.Instance, "callers", d.identity.Callers,
-		"operators", d.OperatorsAddress(), "peers", d.identity.Peers, "relay", d.identity.Relay)
+	d.log.Info("listening", "instance", d.identity.Instance, "callers", d.identity.CallerAddress,
+		"operators", d.OperatorsAddress(), "peers", d.identity.PeerAddress, "relay", d.identity.RelayAddress)
 	return nil
 }
 
@@ -179,7 +179,7 @@
 	})
 	relayServer := &relay.Server{Handle: limiter, Posting: entry.PostingRunner{Server: entryServer}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.paceResponse}
 	var err error
-	if d.identity.Callers, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
+	if d.identity.CallerAddress, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
 		Handler: &requestMetrics{next: d.gauge.Bounded(entryServer), metrics: d.metrics, isKnownService: d.hasService},
 	}, plainTCP); err != nil {
 		return nil, err
@@ -189,15 +189,15 @@
 	}, plainTCP); err != nil {
 		return nil, err
 	}
-	if d.identity.Relay, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.fleetTLS.requireTrustedClient(relayServer)}, d.fleetTLS.wrapListener); err != nil {
+	if d.identity.RelayAddress, err = d.serveHTTP(d.settings.Listen.Relay, &http.Server{Handler: d.fleetTLS.requireTrustedClient(relayServer)}, d.fleetTLS.wrapListener); err != nil {
 		return nil, err
 	}
 	peers, err := net.Listen("tcp", d.settings.Listen.Peers)
 	if err != nil {
 		return nil, errors.Wrap(err, "daemon: listen for peers")
 	}
-	d.identity.Peers = peers.Addr().String()
-	d.peers = peer.Bounded(peers)
+	d.identity.PeerAddress = peers.Addr().String()
+	d.peers = peer.NewListener(peers)
 	return d.fleetTLS.wrapListener(d.peers), nil
 }
 
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -32,7 +32,7 @@
 		lastReport.ConfirmedAt = m.ConfirmedAt
 		m = lastReport
 	} else {
-		m.HeardAt = now
+		m.HeartbeatAt = now
 	}
 	h.Zone, h.LastReport = m.Zone, m
 	c.fleet.hosts[m.Host] = h
@@ -65,9 +65,9 @@
 	maps.DeleteFunc(c.fleet.hosts, func(_ string, h view.Host) bool {
 		retention := memberRetention
 		if h.LastReport.State == membership.StateLeaving {
-			retention = membership.GoneAfter
+			retention = membership.MemberTimeout
 		}
-		return !h.Listed && now.Sub(h.LastReport.HeardAt) > retention
+		return !h.Listed && now.Sub(h.LastReport.HeartbeatAt) > retention
 	})
 }
 
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -50,7 +50,7 @@
 func (c *control) handlingMembers(snap *view.Snapshot, now time.Time) []membership.Member {
 	members := slices.Clone(snap.Ready)
 	for _, m := range append([]membership.Member{snap.Self}, snap.Members...) {
-		if m.State == membership.StateLeaving && m.Handles(now) {
+		if m.State == membership.StateLeaving && m.HandlesUpstreams(now) {
 			members = append(members, m)
 		}
 	}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -25,7 +25,7 @@
 	// a zone's watcher is at most watchDuration plus watchMaxLag old, and that
 	// of a peer which receives it from the watcher is half a heartbeat interval
 	// older.
-	maxConfirmationAge = watchDuration + watchMaxLag + membership.BeatEvery
+	maxConfirmationAge = watchDuration + watchMaxLag + membership.HeartbeatInterval
 	// memberRetention is how long the last report of an unresponsive peer is
 	// kept for the fleet status and for posting ids. Long before that, the peer
 	// no longer counts as live.
@@ -51,13 +51,13 @@
 // the daemon's own address is known only after its listeners are open.
 func (c *control) contacts() *membership.Contacts {
 	if c.members.contacts == nil {
-		c.members.contacts = membership.NewContacts(c.d.identity.Peers)
+		c.members.contacts = membership.NewContacts(c.d.identity.PeerAddress)
 	}
 	return c.members.contacts
 }
 
 func (c *control) tickMembers(now time.Time) {
-	c.members.table.Forget(now, memberRetention)
+	c.members.table.RemoveExpired(now, memberRetention)
 	if !now.Before(c.members.nextHostReadAt) {
 		fleetSize := time.Duration(len(c.members.table.All()))
 		c.members.nextHostReadAt = now.Add(max(minHostListInterval, fleetSize*hostListIntervalPerDaemon))
@@ -65,7 +65,7 @@
 	}
 	if !now.Before(c.members.nextHeartbeatAt) {
 		urgent := c.members.nextHeartbeatAt.IsZero()
-		c.members.nextHeartbeatAt = now.Add(membership.BeatEvery)
+		c.members.nextHeartbeatAt = now.Add(membership.HeartbeatInterval)
 		c.sendHeartbeats(urgent, now)
 	}
 }
@@ -77,7 +77,7 @@
 func (m heartbeatReceived) apply(c *control) {
 	now := time.Now()
 	previous, known := c.members.table.Find(m.member.Instance)
-	newest := c.members.table.Hear(m.member, now)
+	newest := c.members.table.Update(m.member, now)
 	if !known || previous.State != m.member.State {
 		c.publishPending = true
 	}
@@ -97,7 +97,7 @@
 }
 
 func (m heartbeatAnswered) apply(c *control) {
-	c.contacts().Answered(m.address, time.Now())
+	c.contacts().RecordResponse(m.address, time.Now())
 	heartbeatReceived{m.member}.apply(c)
 }
 
@@ -107,9 +107,9 @@
 func (m hostListRead) apply(c *control) {
 	addresses := make([]string, 0, len(m.hosts))
 	for _, h := range m.hosts {
-		addresses = append(addresses, h.Peers)
+		addresses = append(addresses, h.PeerAddress)
 	}
-	c.contacts().Listed(addresses)
+	c.contacts().SetHostList(addresses)
 	c.recordHostList(m.hosts, time.Now())
 }
 
@@ -117,12 +117,12 @@
 // knows.
 func (c *control) recordContact(m membership.Member, now time.Time) {
 	contacts := c.contacts()
-	contacts.Rumored(m.Known, now)
+	contacts.AddGossip(m.GossipAddresses, now)
 	if m.State == membership.StateLeaving {
-		contacts.Left(m.Peers)
+		contacts.Remove(m.PeerAddress)
 		return
 	}
-	contacts.Heard(m.Peers, now)
+	contacts.RecordHeartbeat(m.PeerAddress, now)
 }
 
 // sendHeartbeats sends a heartbeat to every address that may belong to a
@@ -130,7 +130,7 @@
 func (c *control) sendHeartbeats(urgent bool, now time.Time) {
 	c.members.sequence++
 	self := c.selfMember(now)
-	self.Known = c.contacts().Gossip(now)
+	self.GossipAddresses = c.contacts().Gossip(now)
 	message := memberToWire(self)
 	for _, address := range c.heartbeatTargets(urgent, now) {
 		c.d.spawn(func(ctx context.Context) { c.d.sendHeartbeat(ctx, address, message) })
@@ -154,16 +154,16 @@
 	if urgent || now.Sub(c.config.confirmedAt) > maxConfirmationAge {
 		return addresses
 	}
-	return slices.DeleteFunc(addresses, func(address string) bool { return c.contacts().Fresh(address, now) })
+	return slices.DeleteFunc(addresses, func(address string) bool { return c.contacts().ExchangedRecently(address, now) })
 }
 
 // dueAddresses returns the contacts that are due, and in addition the slot
 // holders named by the store. A holder must be contacted before its slots are
 // taken.
 func (c *control) dueAddresses(now time.Time) []string {
-	due := c.contacts().Due(now)
+	due := c.contacts().HeartbeatTargets(now)
 	for _, address := range c.slots.holderAddresses {
-		if address != c.d.identity.Peers && !slices.Contains(due, address) {
+		if address != c.d.identity.PeerAddress && !slices.Contains(due, address) {
 			due = append(due, address)
 		}
 	}
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	reply, err := peer.NewDRPCMembershipClient(d.conns.To(ctx, address)).Beat(ctx, message)
+	reply, err := peer.NewDRPCMembershipClient(d.conns.Conn(ctx, address)).Beat(ctx, message)
 	if err != nil {
 		d.log.Debug("heartbeat_failed", "peer", address, "err", err)
 		return
@@ -216,12 +216,12 @@
 func memberToWire(m membership.Member) *peer.Heartbeat {
 	out := &peer.Heartbeat{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: string(m.State),
-		Callers: m.Callers, Peers: m.Peers, Relay: m.Relay, Sequence: m.Sequence,
-		ConfigVersion: m.ConfigVersion, PostingEpoch: m.PostingEpoch, Watches: m.Watches,
-		AnswersFor:     m.AnswersFor,
+		Callers: m.CallerAddress, Peers: m.PeerAddress, Relay: m.RelayAddress, Sequence: m.Sequence,
+		ConfigVersion: m.ConfigVersion, PostingEpoch: m.PostingEpoch, Watches: m.WatchesStore,
+		AnswersFor:     m.PostingsFrom,
 		Load:           m.Load,
 		ConfirmedAgeMs: ageMs(m.ConfirmedAt, time.Now()), ConfigRejected: m.ConfigRejected,
-		Known: m.Known,
+		Known: m.GossipAddresses,
 	}
 	for _, slot := range m.Slots {
 		out.Slots = append(out.Slots, uint32(slot))
@@ -240,14 +240,14 @@
 func memberFromWire(in *peer.Heartbeat) membership.Member {
 	m := membership.Member{
 		Instance: in.Instance, Host: in.Host, Zone: in.Zone, State: membership.State(in.State),
-		Callers: in.Callers, Peers: in.Peers, Relay: in.Relay, Sequence: in.Sequence,
-		ConfigVersion: in.ConfigVersion, PostingEpoch: in.PostingEpoch, Watches: in.Watches,
-		AnswersFor:     in.AnswersFor,
-		Load:           in.Load,
-		ConfigRejected: in.ConfigRejected,
-		Headroom:       map[string]membership.Headroom{},
-		Known:          in.Known,
-		Demand:         map[string]float64{},
+		CallerAddress: in.Callers, PeerAddress: in.Peers, RelayAddress: in.Relay, Sequence: in.Sequence,
+		ConfigVersion: in.ConfigVersion, PostingEpoch: in.PostingEpoch, WatchesStore: in.Watches,
+		PostingsFrom:    in.AnswersFor,
+		Load:            in.Load,
+		ConfigRejected:  in.ConfigRejected,
+		Headroom:        map[string]membership.Headroom{},
+		GossipAddresses: in.Known,
+		Demand:          map[string]float64{},
 	}
 	for _, slot := range in.Slots {
 		m.Slots = append(m.Slots, int(slot))
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -87,7 +87,7 @@
 }
 
 func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Handover) error {
-	client := peer.NewDRPCHandoverClient(d.conns.To(ctx, to.Peers))
+	client := peer.NewDRPCHandoverClient(d.conns.Conn(ctx, to.PeerAddress))
 	var reply *peer.HandoverReply
 	for _, part := range splitTable(table) {
 		partCtx, cancel := context.WithTimeout(ctx, partTimeout)
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -53,7 +53,7 @@
 	members := append([]membership.Member{snap.Self}, snap.Members...)
 	shape := &quota.HeldSlots{
 		Zone:     snap.Self.Zone,
-		Slots:    c.spendableSlots(snap.Self.Held, now),
+		Slots:    c.spendableSlots(snap.Self.HeldSlots, now),
 		Versions: c.quota.partitions.Observe(snap.Config, members, now),
 	}
 	if previous := c.quota.shape; previous != nil && slices.Equal(previous.Slots, shape.Slots) && slices.Equal(previous.Versions, shape.Versions) {
@@ -68,7 +68,7 @@
 // borrowers and this daemon could together exceed the quota, so a slot stays
 // unused for quota.Quarantine. A slot that was transferred together with its
 // free of loans: see quota.Ledger.ReleaseLevels.
-func (c *control) spendableSlots(held []membership.Holding, now time.Time) []int {
+func (c *control) spendableSlots(held []membership.HeldSlot, now time.Time) []int {
 	var out []int
 	for _, h := range held {
 		if len(c.slots.pendingLevels[h.Slot].levels) > 0 {
@@ -91,7 +91,7 @@
 		c.d.ledger.DropIdle(now)
 	}
 	if !now.Before(c.quota.nextScoreAt) || c.state == membership.StateLeaving {
-		c.quota.nextScoreAt = now.Add(membership.BeatEvery)
+		c.quota.nextScoreAt = now.Add(membership.HeartbeatInterval)
 		c.updateDemandScores(now)
 	}
 	members := c.members.table.Live(now)
@@ -203,7 +203,7 @@
 	if s == nil {
 		s = &loanStream{requests: make(chan quota.OutgoingRequest, maxQueuedRequests)}
 		l.streams[outgoing.To] = s
-		l.d.spawn(func(context.Context) { l.run(ctx, outgoing.To, m.Peers, s) })
+		l.d.spawn(func(context.Context) { l.run(ctx, outgoing.To, m.PeerAddress, s) })
 	}
 	select {
 	case s.requests <- outgoing:
@@ -234,7 +234,7 @@
 }
 
 func (l *loanSources) forward(ctx context.Context, address string, s *loanStream, pending *pendingRequests) error {
-	stream, err := peer.NewDRPCQuotaClient(l.d.conns.To(ctx, address)).Lend(ctx)
+	stream, err := peer.NewDRPCQuotaClient(l.d.conns.Conn(ctx, address)).Lend(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -19,7 +19,7 @@
 
 // slotState is the control thread's state for slots.
 type slotState struct {
-	ownership       *membership.Custody
+	ownership       *membership.SlotOwnership
 	leaseID         uint64
 	nextRoundAt     time.Time
 	roundInProgress bool
@@ -48,10 +48,10 @@
 
 // ownership returns the slot ownership state, which is created at the first use
 // because the daemon's own address is known only after its listeners are open.
-func (c *control) ownership() *membership.Custody {
+func (c *control) ownership() *membership.SlotOwnership {
 	if c.slots.ownership == nil {
-		self := membership.Holder{Instance: c.d.identity.Instance, Peers: c.d.identity.Peers}
-		c.slots.ownership = membership.NewCustody(self, time.Now())
+		self := membership.Holder{Instance: c.d.identity.Instance, PeerAddress: c.d.identity.PeerAddress}
+		c.slots.ownership = membership.NewSlotOwnership(self, time.Now())
 	}
 	return c.slots.ownership
 }
@@ -59,7 +59,7 @@
 // detectSlotPause suspends the use of slots after a pause of the process. The
 // control thread calls it before any other work.
 func (c *control) detectSlotPause(now time.Time) {
-	if c.ownership().Run(now) {
+	if c.ownership().DetectPause(now) {
 		c.d.log.Warn("paused", "slots", "suspended")
 		c.slots.nextRoundAt = now
 	}
@@ -67,7 +67,7 @@
 
 func (c *control) tickSlots(now time.Time) {
 	peers := c.zonePeers()
-	if c.ownership().Hearing(c.members.table.LastHeard(), countRemaining(peers), now) {
+	if c.ownership().DetectIsolation(c.members.table.LastHeartbeat(), countRemaining(peers), now) {
 		c.d.log.Warn("isolated", "slots", "suspended")
 	}
 	c.applyPendingLevels(now)
@@ -85,7 +85,7 @@
 // releaseContestedSlots releases the slots that a peer of the zone also spends
 // from, if this daemon's lease may have expired.
 func (c *control) releaseContestedSlots(m membership.Member, now time.Time) {
-	if dropped := c.ownership().Heard(m, now); len(dropped) > 0 {
+	if dropped := c.ownership().ResolveConflicts(m, now); len(dropped) > 0 {
 		c.d.log.Error("contested_slots_released", "to", m.Instance, "slots", dropped)
 		c.slots.nextRoundAt = now
 		c.publishPending = true
@@ -118,7 +118,7 @@
 func countReady(peers []membership.Member, now time.Time) int {
 	n := 0
 	for _, m := range peers {
-		if m.State == membership.StateReady && now.Sub(m.HeardAt) <= membership.GoneAfter {
+		if m.State == membership.StateReady && now.Sub(m.HeartbeatAt) <= membership.MemberTimeout {
 			n++
 		}
 	}
@@ -129,7 +129,7 @@
 // entries, and writes the planned changes to the store.
 func (c *control) startSlotRound(now time.Time) {
 	c.slots.roundInProgress = true
-	c.slots.nextRoundAt = now.Add(membership.RenewEvery)
+	c.slots.nextRoundAt = now.Add(membership.LeaseRenewInterval)
 	leaseID := c.slots.leaseID
 	c.d.spawn(func(ctx context.Context) { c.send(c.d.readSlots(ctx, leaseID)) })
 }
@@ -142,7 +142,7 @@
 	// no renewal succeeded.
 	renewedAt time.Time
 	// reading is nil if the store could not be read.
-	reading *membership.Reading
+	reading *membership.SlotState
 }
 
 // readSlots is the first half of a round.
@@ -160,7 +160,7 @@
 		d.log.Warn("slots_not_listed", "err", err)
 		return result
 	}
-	result.reading = membership.ReadSlots(d.identity.Zone, l.Items)
+	result.reading = membership.ParseSlots(d.identity.Zone, l.Items)
 	return result
 }
 
@@ -180,8 +180,8 @@
 	if err != nil {
 		return 0, err
 	}
-	self := membership.Holder{Instance: d.identity.Instance, Peers: d.identity.Peers}
-	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, leaseID), 0, self.Value(), leaseID); err != nil {
+	self := membership.Holder{Instance: d.identity.Instance, PeerAddress: d.identity.PeerAddress}
+	if _, err := d.store.CompareAndSwap(ctx, membership.AliveKey(d.identity.Zone, leaseID), 0, self.Encode(), leaseID); err != nil {
 		return 0, err
 	}
 	return leaseID, nil
@@ -197,8 +197,8 @@
 		c.endSlotRound(now, false)
 		return
 	}
-	c.slots.holderAddresses = m.reading.Holders()
-	if dropped := c.ownership().Observe(m.reading); len(dropped) > 0 {
+	c.slots.holderAddresses = m.reading.HolderAddresses()
+	if dropped := c.ownership().Reconcile(m.reading); len(dropped) > 0 {
 		c.d.log.Error("slots_dropped", "slots", dropped)
 	}
 	steps := c.planSlots(m.reading, now)
@@ -212,19 +212,19 @@
 
 // planSlots plans the slot changes of a round. From the start of a planned stop
 // until the last request has ended, the slots stay unchanged.
-func (c *control) planSlots(r *membership.Reading, now time.Time) []membership.Step {
+func (c *control) planSlots(r *membership.SlotState, now time.Time) []membership.SlotWrite {
 	leaving := c.slots.released != nil
 	if c.state == membership.StateLeaving && !leaving {
 		return nil
 	}
 	slots := c.activeConfig().Config.Zones[c.d.identity.Zone].Slots
-	return c.ownership().Plan(membership.Round{Reading: r, Slots: slots, Mates: c.zonePeers(), Leaving: leaving}, now)
+	return c.ownership().Plan(membership.PlanInput{State: r, SlotCount: slots, ZonePeers: c.zonePeers(), Leaving: leaving}, now)
 }
 
 // slotWrite is a planned write of a slot entry, with the bucket levels that are
 // transferred together with the slot.
 type slotWrite struct {
-	membership.Step
+	membership.SlotWrite
 	levels []quota.Level
 }
 
@@ -232,10 +232,10 @@
 // that their tokens are no longer spent here, and divides them evenly among the
 // slots that it releases to peers. A slot that moves for balance is empty at
 // its new holder.
-func (c *control) withdrawLevels(steps []membership.Step, now time.Time) []slotWrite {
+func (c *control) withdrawLevels(steps []membership.SlotWrite, now time.Time) []slotWrite {
 	writes := make([]slotWrite, 0, len(steps))
 	for _, s := range steps {
-		writes = append(writes, slotWrite{Step: s})
+		writes = append(writes, slotWrite{SlotWrite: s})
 	}
 	if c.slots.released == nil || len(writes) == 0 {
 		return writes
@@ -259,7 +259,7 @@
 // slotWriteResult is the result of one write. revision is 0 if the store
 // rejected the write or its outcome is unknown.
 type slotWriteResult struct {
-	step     membership.Step
+	step     membership.SlotWrite
 	revision uint64
 }
 
@@ -270,11 +270,11 @@
 		revision, err := d.writeSlot(ctx, write)
 		if err != nil {
 			d.log.Warn("slot_not_written", "slot", write.Slot, "err", err)
-			round.results = append(round.results, slotWriteResult{step: write.Step})
+			round.results = append(round.results, slotWriteResult{step: write.SlotWrite})
 			continue
 		}
-		round.results = append(round.results, slotWriteResult{step: write.Step, revision: revision})
-		if write.To.Instance != "" && write.To.Instance != d.identity.Instance {
+		round.results = append(round.results, slotWriteResult{step: write.SlotWrite, revision: revision})
+		if write.Holder.Instance != "" && write.Holder.Instance != d.identity.Instance {
 			d.sendLevels(ctx, write)
 		}
 	}
@@ -283,10 +283,10 @@
 
 func (d *Daemon) writeSlot(ctx context.Context, write slotWrite) (uint64, error) {
 	key := membership.SlotKey(d.identity.Zone, write.Slot)
-	if write.To.Instance == "" {
-		return 0, d.store.Delete(ctx, key, write.At)
+	if write.Holder.Instance == "" {
+		return 0, d.store.Delete(ctx, key, write.Revision)
 	}
-	return d.store.CompareAndSwap(ctx, key, write.At, write.To.Value(), 0)
+	return d.store.CompareAndSwap(ctx, key, write.Revision, write.Holder.Encode(), 0)
 }
 
 // sendLevels notifies the new holder of a slot and transfers the levels. The
@@ -299,8 +299,8 @@
 	for _, l := range write.levels {
 		message.Levels = append(message.Levels, &peer.Level{Quota: l.Quota, Tokens: l.Tokens})
 	}
-	if _, err := peer.NewDRPCHandoverClient(d.conns.To(ctx, write.To.Peers)).TakeSlots(ctx, message); err != nil {
-		d.log.Warn("levels_not_sent", "slot", write.Slot, "to", write.To.Instance, "err", err)
+	if _, err := peer.NewDRPCHandoverClient(d.conns.Conn(ctx, write.Holder.PeerAddress)).TakeSlots(ctx, message); err != nil {
+		d.log.Warn("levels_not_sent", "slot", write.Slot, "to", write.Holder.Instance, "err", err)
 	}
 }
 
@@ -308,7 +308,7 @@
 	now := time.Now()
 	started := 0
 	for _, r := range m.results {
-		if c.ownership().Done(r.step, r.revision, now) {
+		if c.ownership().RecordWrite(r.step, r.revision, now) {
 			started++
 		}
 	}
@@ -339,7 +339,7 @@
 // without having announced its leaving, so that its slots may soon be taken.
 func (c *control) zonePeerUnresponsive(now time.Time) bool {
 	for _, m := range c.zonePeers() {
-		if now.Sub(m.HeardAt) > membership.GoneAfter && m.State != membership.StateLeaving {
+		if now.Sub(m.HeartbeatAt) > membership.MemberTimeout && m.State != membership.StateLeaving {
 			return true
 		}
 	}
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -14,7 +14,7 @@
 // their lookup responses: until they learn that it is leaving or consider it
 // gone. The lookup TTL runs from the last such response. Without this delay, a
 // caller that received the response could connect to a closed listener.
-const leaveNoticeDelay = membership.GoneAfter
+const leaveNoticeDelay = membership.MemberTimeout
 
 // slotReleaseTimeout limits the release of the slots. It exceeds two rounds of
 // calls to a slow store, and is short enough that a store outage does not delay
