--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -154,7 +154,7 @@
 	m.Headroom = c.d.handler.Headroom()
 	m.Load = c.d.gauge.Load()
 	m.PostingEpoch = c.d.postings.Epoch(now)
-	m.AnswersFor = c.d.postings.AnswersFor(now)
+	m.AnswersFor = c.d.postings.ImportedInstances(now)
 	return m
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -72,7 +72,7 @@
 	ledger       *quota.Ledger
 	handler      *upstream.Handler
 	postings     *posting.Table
-	gauge        *entry.Gauge
+	gauge        *entry.RequestLimiter
 	control      *control
 	ctx          context.Context
 	cancel       context.CancelFunc
@@ -110,7 +110,7 @@
 		handler:      upstream.NewHandler(),
 		postings:     posting.NewTable(instance, time.Now(), posting.DefaultLimits()),
 		listenerErrs: make(chan error, 4),
-		gauge:        entry.NewGauge(s.Limits.MaxRunning),
+		gauge:        entry.NewRequestLimiter(s.Limits.MaxRunning),
 	}
 	d.platform = platform.NewStore(s.Platform.URL, opts.Dial, d.metrics.StoreCall)
 	d.store = kv.WithTimeout(d.platform, s.PlatformTimeout())
@@ -167,18 +167,18 @@
 	}
 	limiter := &regionLimiter{next: runner, view: &d.view, ledger: d.ledger}
 	front := entry.New(entry.Deps{
-		View: &d.view, Ledger: d.ledger, Postings: d.postings, Local: limiter,
+		View: &d.view, Ledger: d.ledger, Postings: d.postings, LocalHandler: limiter,
 		Relay:        relay.NewClient(d.relayClient, d.fleetTLS.scheme(), d.identity.Instance),
-		MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Tracer: d.tracing.Tracer, Log: d.log, Retries: retry.NewBudgets(),
+		MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Tracer: d.tracing.Tracer, Log: d.log, RetryBudgets: retry.NewBudgets(),
 	})
 	operators := operator.New(operator.Deps{
 		View: &d.view, Repository: config.NewRepository(d.store, time.Now), Metrics: d.metrics.Set,
 		Adopt: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
 	})
-	relays := &relay.Server{Handle: limiter, Posting: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.paceResponse}
+	relays := &relay.Server{HandleRunner: limiter, PostingRunner: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, PaceResponse: d.paceResponse}
 	var err error
 	if d.identity.Callers, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
-		Handler: &requestMetrics{next: d.gauge.Bounded(front), metrics: d.metrics, isKnownService: d.hasService},
+		Handler: &requestMetrics{next: d.gauge.Wrap(front), metrics: d.metrics, isKnownService: d.hasService},
 	}, plainTCP); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/linkpacing.go
+++ b/internal/daemon/linkpacing.go
@@ -20,7 +20,7 @@
 	if ownRegion == otherRegion || !linkDeclared(snap.Config.Config, ownRegion, otherRegion) {
 		return body
 	}
-	return relay.Pace(ctx, body, d.ledger, config.LinkQuota(ownRegion, otherRegion))
+	return relay.NewPacedBody(ctx, body, d.ledger, config.LinkQuota(ownRegion, otherRegion))
 }
 
 func linkDeclared(c *config.Config, from, to string) bool {
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (d *Daemon) transferTable(ctx context.Context, table posting.Handover) {
+func (d *Daemon) transferTable(ctx context.Context, table posting.Transfer) {
 	peers := d.transferTargets()
 	for _, to := range peers[:min(len(peers), maxSuccessors)] {
 		err := d.sendTable(ctx, to, table)
@@ -83,7 +83,7 @@
 	return append(sameZone, otherZones...)
 }
 
-func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Handover) error {
+func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Transfer) error {
 	client := peer.NewDRPCHandoverClient(d.conns.To(ctx, to.Peers))
 	var reply *peer.HandoverReply
 	for _, part := range splitTable(table) {
@@ -103,7 +103,7 @@
 
 // splitTable cuts a table so that each part stays small. An empty table is passed
 // too: it makes the successor's not-run true for ids that never came.
-func splitTable(table posting.Handover) []*peer.PostingTable {
+func splitTable(table posting.Transfer) []*peer.PostingTable {
 	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
 	}
@@ -149,14 +149,14 @@
 // that arrives twice counts once.
 type assembly struct {
 	startedAt   time.Time
-	postings    map[postingKey]posting.Kept
+	postings    map[postingKey]posting.TransferRecord
 	answerBytes int
 }
 
-func (a *assembly) add(record posting.Kept) {
+func (a *assembly) add(record posting.TransferRecord) {
 	k := postingKey{customer: record.Customer, id: record.ID}
-	if _, duplicate := a.postings[k]; !duplicate && record.Answer != nil {
-		a.answerBytes += len(record.Answer.Body)
+	if _, duplicate := a.postings[k]; !duplicate && record.Response != nil {
+		a.answerBytes += len(record.Response.Body)
 	}
 	a.postings[k] = record
 }
@@ -187,7 +187,7 @@
 	for _, record := range postings {
 		a.add(record)
 	}
-	if a.answerBytes > posting.MaxAnswerBytes {
+	if a.answerBytes > posting.MaxTotalResponseBytes {
 		delete(h.assemblies, in.Instance)
 		return &peer.HandoverReply{}, nil
 	}
@@ -208,18 +208,18 @@
 	}
 	a := h.assemblies[instance]
 	if a == nil && len(h.assemblies) < maxAssemblies {
-		a = &assembly{startedAt: now, postings: map[postingKey]posting.Kept{}}
+		a = &assembly{startedAt: now, postings: map[postingKey]posting.TransferRecord{}}
 		h.assemblies[instance] = a
 	}
 	return a
 }
 
 func (d *Daemon) storeTable(in *peer.PostingTable, a *assembly) bool {
-	table := posting.Handover{Instance: in.Instance, Epoch: in.Epoch}
+	table := posting.Transfer{Instance: in.Instance, Epoch: in.Epoch}
 	for _, record := range a.postings {
 		table.Postings = append(table.Postings, record)
 	}
-	accepted := d.postings.Take(table, time.Now())
+	accepted := d.postings.Import(table, time.Now())
 	d.log.Info("postings_taken", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
 	return accepted
 }
@@ -229,13 +229,13 @@
 
 var statesByName = map[string]posting.State{"ran": posting.StateRan, "unknown": posting.StateUnknown}
 
-func postingToWire(record posting.Kept) *peer.Posting {
+func postingToWire(record posting.TransferRecord) *peer.Posting {
 	out := &peer.Posting{Id: record.ID.String(), Customer: record.Customer, State: stateNames[record.State], Digest: record.Digest[:]}
-	if record.Answer == nil {
+	if record.Response == nil {
 		return out
 	}
-	out.Status, out.Body, out.Dropped = uint32(record.Answer.Status), record.Answer.Body, record.Answer.Dropped
-	for name, values := range record.Answer.Header {
+	out.Status, out.Body, out.Dropped = uint32(record.Response.Status), record.Response.Body, record.Response.Dropped
+	for name, values := range record.Response.Header {
 		out.Headers = append(out.Headers, &peer.PostingHeader{Name: name, Values: values})
 	}
 	return out
@@ -244,8 +244,8 @@
 // errInvalidPosting says that a peer's posting cannot be read.
 var errInvalidPosting = errors.New("daemon: unreadable posting in a table")
 
-func postingsFromWire(in *peer.PostingTable) ([]posting.Kept, error) {
-	var all []posting.Kept
+func postingsFromWire(in *peer.PostingTable) ([]posting.TransferRecord, error) {
+	var all []posting.TransferRecord
 	for _, p := range in.Postings {
 		record, err := postingFromWire(p)
 		if err != nil {
@@ -259,27 +259,27 @@
 	return all, nil
 }
 
-func postingFromWire(in *peer.Posting) (posting.Kept, error) {
+func postingFromWire(in *peer.Posting) (posting.TransferRecord, error) {
 	id, err := posting.ParseID(in.Id)
 	if err != nil {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, err.Error())
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, err.Error())
 	}
 	state, known := statesByName[in.State]
 	if len(in.Digest) != len(posting.Digest{}) || !known {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "digest or state")
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, "digest or state")
 	}
-	record := posting.Kept{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
+	record := posting.TransferRecord{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
 	if in.Status == 0 {
 		return record, nil
 	}
 	if in.Status < http.StatusOK || in.Status > maxHTTPStatus {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "status")
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, "status")
 	}
-	record.Answer = &posting.Answer{
+	record.Response = &posting.Response{
 		Status: int(in.Status), Header: http.Header{}, Body: in.Body, Dropped: in.Dropped,
 	}
 	for _, h := range in.Headers {
-		record.Answer.Header[h.Name] = h.Values
+		record.Response.Header[h.Name] = h.Values
 	}
 	return record, nil
 }
--- a/internal/daemon/postings_bench_test.go
+++ b/internal/daemon/postings_bench_test.go
@@ -12,12 +12,12 @@
 
 // BenchmarkHandover cuts a full table into messages, and reads them again.
 func BenchmarkHandover(b *testing.B) {
-	table := posting.Handover{Instance: "vt-1-ab"}
+	table := posting.Transfer{Instance: "vt-1-ab"}
 	for i := range posting.MaxRecords {
-		table.Postings = append(table.Postings, posting.Kept{
-			ID:       posting.ID{Instance: "vt-1-ab", Own: "0d1f7c52-5a40-4c57-9b0d-" + strconv.Itoa(100_000_000_000+i)},
+		table.Postings = append(table.Postings, posting.TransferRecord{
+			ID:       posting.ID{Instance: "vt-1-ab", Suffix: "0d1f7c52-5a40-4c57-9b0d-" + strconv.Itoa(100_000_000_000+i)},
 			Customer: "champlain-auction", State: posting.StateRan,
-			Answer: &posting.Answer{
+			Response: &posting.Response{
 				Status: http.StatusCreated, Body: make([]byte, 200),
 				Header: http.Header{"Content-Type": {"application/json"}, "Content-Length": {"200"}, "Date": {"Wed, 02 Dec 2026 12:00:00 GMT"}},
 			},
--- a/internal/daemon/regionlimiter.go
+++ b/internal/daemon/regionlimiter.go
@@ -24,13 +24,13 @@
 }
 
 // Run implements relay.Runner.
-func (g *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (g *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	name, limited := g.regionQuota()
 	if !limited {
 		return g.next.Run(ctx, call)
 	}
 	if ok, wait := g.ledger.Take(name, 1, time.Now()); !ok {
-		return nil, wire.Refuse(wire.TypeNoRoom, "the region is at its limit", max(wait, 0))
+		return nil, wire.NotRunProblem(wire.TypeNoRoom, "the region is at its limit", max(wait, 0))
 	}
 	answer, problem := g.next.Run(ctx, call)
 	if problem != nil && problem.Outcome == wire.OutcomeNotRun {
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -64,7 +64,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := s.source.VerifyClient(r.TLS); err != nil {
 			w.Header().Set("Connection", "close")
-			wire.Refuse(wire.TypeNoRoom, "relay: "+err.Error(), tlsRefreshInterval).Write(w)
+			wire.NotRunProblem(wire.TypeNoRoom, "relay: "+err.Error(), tlsRefreshInterval).Write(w)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/entry/authenticate.go
+++ b/internal/entry/authenticate.go
@@ -21,15 +21,15 @@
 	digest := config.DigestOf(strings.TrimSpace(key))
 	owner, known := snap.Config.Owner(digest)
 	if !ok || !known {
-		return nil, wire.Refuse(wire.TypeUnknownKey, "no customer has this key", 0)
+		return nil, wire.NotRunProblem(wire.TypeUnknownKey, "no customer has this key", 0)
 	}
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/svc/"), "/")
 	sv, ok := snap.Config.Config.Services[service]
 	if !ok {
-		return nil, wire.Refuse(wire.TypeUnknownService, "there is no service of this name", 0)
+		return nil, wire.NotRunProblem(wire.TypeUnknownService, "there is no service of this name", 0)
 	}
 	if !snap.Config.Allows(owner.Customer, service) {
-		return nil, wire.Refuse(wire.TypeForbidden, "the customer may not call this service", 0)
+		return nil, wire.NotRunProblem(wire.TypeForbidden, "the customer may not call this service", 0)
 	}
 	if stale := staleness(snap, owner.Customer); stale != nil {
 		return nil, stale
@@ -40,14 +40,14 @@
 	}
 	body, err := wire.ReadBody(http.MaxBytesReader(w, r.Body, s.MaxBodyBytes), r.ContentLength)
 	if err != nil {
-		return nil, wire.Refuse(wire.TypeTooLarge, "body broke off or is too large", 0)
+		return nil, wire.NotRunProblem(wire.TypeTooLarge, "body broke off or is too large", 0)
 	}
 	call := &wire.Call{
 		Service: service, Path: "/" + path, RawQuery: r.URL.RawQuery, Method: r.Method,
 		Header: r.Header.Clone(), Body: body,
 		Customer: owner.Customer, KeyDigest: digest.String(), Deadline: deadline,
 	}
-	wire.StripRequest(call.Header)
+	wire.SanitizeRequestHeaders(call.Header)
 	return call, nil
 }
 
@@ -60,7 +60,7 @@
 	if ok && s.View.Load().OwnsKey(digest, call.Customer) {
 		return nil
 	}
-	return wire.Refuse(wire.TypeUnknownKey, "the key was withdrawn", 0)
+	return wire.NotRunProblem(wire.TypeUnknownKey, "the key was withdrawn", 0)
 }
 
 // staleness refuses a customer whose operators prefer refusal to serving by a
@@ -68,7 +68,7 @@
 func staleness(snap *view.Snapshot, customer string) *wire.Problem {
 	limit := snap.Config.Config.Customers[customer].MaxStalenessMs
 	if limit > 0 && time.Since(snap.ConfirmedAt) > time.Duration(limit)*time.Millisecond {
-		return wire.Refuse(wire.TypeNoConfiguration, "the configuration is older than the customer allows", time.Second)
+		return wire.NotRunProblem(wire.TypeNoConfiguration, "the configuration is older than the customer allows", time.Second)
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 	if text := r.Header.Get(wire.HeaderTimeoutMs); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms <= 0 {
-			return time.Time{}, wire.Refuse(wire.TypeBadRequest, wire.HeaderTimeoutMs+": want a positive number of milliseconds", 0)
+			return time.Time{}, wire.NotRunProblem(wire.TypeBadRequest, wire.HeaderTimeoutMs+": want a positive number of milliseconds", 0)
 		}
 		budget = time.Duration(min(ms, sv.TimeoutMs)) * time.Millisecond
 	}
--- a/internal/entry/authenticate_test.go
+++ b/internal/entry/authenticate_test.go
@@ -24,9 +24,9 @@
 // recorder stands in for the handler and counts what reaches it.
 type recorder struct{ calls int }
 
-func (r *recorder) Run(context.Context, *wire.Call) (*wire.Answer, *wire.Problem) {
+func (r *recorder) Run(context.Context, *wire.Call) (*wire.Response, *wire.Problem) {
 	r.calls++
-	return nil, wire.Refuse(wire.TypeNoRoom, "recorded", 0)
+	return nil, wire.NotRunProblem(wire.TypeNoRoom, "recorded", 0)
 }
 
 // onRead runs a function when the request's body is read, which is after its
@@ -105,7 +105,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			handler := &recorder{}
 			server := entry.New(entry.Deps{
-				View: &published, Ledger: ledger, Local: handler, MaxBodyBytes: 1 << 20,
+				View: &published, Ledger: ledger, LocalHandler: handler, MaxBodyBytes: 1 << 20,
 				Tracer: tracing.Tracer, Log: telemetry.NewLogger(t.Output(), "info"),
 			})
 			body := onRead{func() {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -26,18 +26,18 @@
 	View     *view.Publisher
 	Ledger   *quota.Ledger
 	Postings *posting.Table
-	// Local runs a call on an upstream that this daemon handles.
-	Local relay.Runner
-	Relay *relay.Client
+	// LocalHandler runs a call on an upstream that this daemon handles.
+	LocalHandler relay.Runner
+	Relay        *relay.Client
 	// MaxBodyBytes bounds a caller's body.
 	MaxBodyBytes int64
 	// BodyTimeout bounds the reading of a held body; 0: the default.
 	BodyTimeout time.Duration
-	// Retries bounds what is sent to another handler after it may have run;
+	// RetryBudgets bounds what is sent to another handler after it may have run;
 	// nil: everything is.
-	Retries *retry.Budgets
-	Tracer  trace.Tracer
-	Log     *log.Logger
+	RetryBudgets *retry.Budgets
+	Tracer       trace.Tracer
+	Log          *log.Logger
 }
 
 // Server serves the callers' listener.
@@ -78,7 +78,7 @@
 }
 
 func noConfiguration() *wire.Problem {
-	return wire.Refuse(wire.TypeNoConfiguration, "this daemon has no current configuration yet", time.Second)
+	return wire.NotRunProblem(wire.TypeNoConfiguration, "this daemon has no current configuration yet", time.Second)
 }
 
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
@@ -88,7 +88,7 @@
 	call, problem := s.read(w, r, snap)
 	if problem == nil {
 		span.SetAttributes(attribute.String("service", call.Service), attribute.String("customer", call.Customer))
-		var answer *wire.Answer
+		var answer *wire.Response
 		answer, problem = s.serve(ctx, call, r.Header.Get(wire.HeaderIdempotencyKey))
 		if problem == nil {
 			answer.Write(w)
@@ -100,7 +100,7 @@
 }
 
 // serve runs a call: by its posting id if it bears one.
-func (s *Server) serve(ctx context.Context, call *wire.Call, idempotencyKey string) (*wire.Answer, *wire.Problem) {
+func (s *Server) serve(ctx context.Context, call *wire.Call, idempotencyKey string) (*wire.Response, *wire.Problem) {
 	if idempotencyKey == "" || call.Safe() {
 		bounded, cancel := call.WithDeadline(ctx)
 		return bindCancel(cancel)(s.admit(bounded, call))
@@ -109,7 +109,7 @@
 }
 
 // admit takes from the customer's quota and runs the call.
-func (s *Server) admit(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (s *Server) admit(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	if problem := s.takeQuota(ctx, call); problem != nil {
 		return nil, problem
 	}
--- a/internal/entry/inflight_test.go
+++ b/internal/entry/inflight_test.go
@@ -15,9 +15,9 @@
 // it must refuse at once and truthfully, and serve again when one has ended.
 func TestBoundedRefusesBeyondItsBound(t *testing.T) {
 	g := NewWithT(t)
-	gauge := entry.NewGauge(1)
+	gauge := entry.NewRequestLimiter(1)
 	running, release := make(chan struct{}), make(chan struct{})
-	handler := gauge.Bounded(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	handler := gauge.Wrap(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		running <- struct{}{}
 		<-release
 	}))
--- a/internal/entry/quota.go
+++ b/internal/entry/quota.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	if ctx.Err() != nil {
-		return wire.Refuse(wire.TypeDeadline, "given up while waiting for the customer's rate", wait)
+		return wire.NotRunProblem(wire.TypeDeadline, "given up while waiting for the customer's rate", wait)
 	}
 	_, wait = s.Ledger.ExpectedWait(name, 1, time.Now())
 	return overRate(wait)
@@ -39,5 +39,5 @@
 	if wait < 0 {
 		wait = unknownRetry
 	}
-	return wire.Refuse(wire.TypeOverRate, "the customer's rate is used up", max(wait, time.Millisecond))
+	return wire.NotRunProblem(wire.TypeOverRate, "the customer's rate is used up", max(wait, time.Millisecond))
 }
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -29,7 +29,7 @@
 	// passes, as if the caller had gone. A larger body is read while the call
 	// runs, so it may take as long as that.
 	var until time.Time
-	if !call.Body.Held() {
+	if !call.Body.Buffered() {
 		until = call.Deadline
 	}
 	_ = control.SetReadDeadline(until)
@@ -42,13 +42,13 @@
 	case !r.ProtoAtLeast(1, 1):
 		// Without chunks an answer of unknown length ends with its
 		// connection: a part would pass for the whole.
-		return wire.Refuse(wire.TypeBadRequest, "want HTTP/1.1", 0)
+		return wire.NotRunProblem(wire.TypeBadRequest, "want HTTP/1.1", 0)
 	case r.Method == http.MethodConnect || r.Method == http.MethodTrace:
-		return wire.Refuse(wire.TypeBadRequest, "method not served", 0)
+		return wire.NotRunProblem(wire.TypeBadRequest, "method not served", 0)
 	case len(r.Header.Values(wire.HeaderIdempotencyKey)) > 1:
-		return wire.Refuse(wire.TypeBadRequest, "more than one "+wire.HeaderIdempotencyKey, 0)
+		return wire.NotRunProblem(wire.TypeBadRequest, "more than one "+wire.HeaderIdempotencyKey, 0)
 	case len(r.Header.Values("Authorization")) > 1:
-		return wire.Refuse(wire.TypeBadRequest, "more than one Authorization", 0)
+		return wire.NotRunProblem(wire.TypeBadRequest, "more than one Authorization", 0)
 	}
 	return nil
 }
--- a/internal/entry/read_test.go
+++ b/internal/entry/read_test.go
@@ -33,16 +33,16 @@
 	calls []*wire.Call
 }
 
-func (w *worker) Run(_ context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (w *worker) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	body, _ := call.Body.Reader()
 	_, err := io.Copy(io.Discard, body)
 	w.mu.Lock()
 	w.calls = append(w.calls, call)
 	w.mu.Unlock()
 	if err != nil {
-		return nil, wire.Doubt(wire.TypeUpstreamFailed, err.Error())
+		return nil, wire.MayHaveRunProblem(wire.TypeUpstreamFailed, err.Error())
 	}
-	return &wire.Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("whole"))}, nil
+	return &wire.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("whole"))}, nil
 }
 
 func (w *worker) seen() []*wire.Call {
@@ -76,7 +76,7 @@
 	ledger.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
 	w = &worker{}
 	server := httptest.NewServer(entry.New(entry.Deps{
-		View: published, Ledger: ledger, Local: w, MaxBodyBytes: 200 << 10, BodyTimeout: 100 * time.Millisecond,
+		View: published, Ledger: ledger, LocalHandler: w, MaxBodyBytes: 200 << 10, BodyTimeout: 100 * time.Millisecond,
 		Postings: posting.NewTable("vt-1-ab", time.Now(), posting.DefaultLimits()),
 		Tracer:   noop.NewTracerProvider().Tracer(""),
 	}))
--- a/internal/entry/steer.go
+++ b/internal/entry/steer.go
@@ -14,11 +14,11 @@
 
 // steer asks handlers in turn until one runs the call or a second try could
 // run it twice.
-func (s *Server) steer(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (s *Server) steer(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	snap := s.View.Load()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	targets := snap.Steer.Choose(steerRequest(call), time.Now(), rng)
-	s.Retries.RecordRequest(call.Service)
+	s.RetryBudgets.RecordRequest(call.Service)
 	var problem *wire.Problem
 	for i := range targets {
 		target := &targets[i]
@@ -37,8 +37,8 @@
 		if latest.Outcome == wire.OutcomeNotRun {
 			s.refundCaps(target, time.Now())
 		}
-		problem = latest.After(problem)
-		if !another(call, latest) || !s.Retries.AllowRetryOn(call.Service, latest) {
+		problem = latest.MergeEarlier(problem)
+		if !another(call, latest) || !s.RetryBudgets.AllowRetryOn(call.Service, latest) {
 			break
 		}
 	}
@@ -51,19 +51,19 @@
 	case problem != nil:
 		return problem
 	case ctx.Err() != nil:
-		return wire.Refuse(wire.TypeDeadline, "the budget was spent before a handler was asked", time.Second)
+		return wire.NotRunProblem(wire.TypeDeadline, "the budget was spent before a handler was asked", time.Second)
 	}
-	return wire.Refuse(wire.TypeNoRoom, "no zone that may serve this has a ready handler", time.Second)
+	return wire.NotRunProblem(wire.TypeNoRoom, "no zone that may serve this has a ready handler", time.Second)
 }
 
-func (s *Server) ask(ctx context.Context, target *steer.Target, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (s *Server) ask(ctx context.Context, target *steer.Target, call *wire.Call) (*wire.Response, *wire.Problem) {
 	if problem := s.recheckKey(call); problem != nil {
 		return nil, problem
 	}
 	target.RecordSent()
 	member := target.Handler.Member
 	if member.Instance == s.View.Load().Self.Instance {
-		return s.Local.Run(ctx, call)
+		return s.LocalHandler.Run(ctx, call)
 	}
 	ctx, span := s.Tracer.Start(ctx, "relay")
 	defer span.End()
@@ -72,7 +72,7 @@
 
 // another tells whether another handler may be asked after a problem.
 func another(call *wire.Call, p *wire.Problem) bool {
-	if !call.Body.Sendable() {
+	if !call.Body.CanSend() {
 		return false
 	}
 	switch p.Type {
@@ -86,8 +86,8 @@
 
 // bindCancel ends a call's context once its answer has been read, or at once
 // where there is none.
-func bindCancel(cancel context.CancelFunc) func(*wire.Answer, *wire.Problem) (*wire.Answer, *wire.Problem) {
-	return func(a *wire.Answer, p *wire.Problem) (*wire.Answer, *wire.Problem) {
+func bindCancel(cancel context.CancelFunc) func(*wire.Response, *wire.Problem) (*wire.Response, *wire.Problem) {
+	return func(a *wire.Response, p *wire.Problem) (*wire.Response, *wire.Problem) {
 		if p != nil {
 			cancel()
 			return nil, p
@@ -111,7 +111,7 @@
 func jsonEncode(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
 
 // queued takes out of an answer how long it waited at its handler.
-func queued(a *wire.Answer) time.Duration {
+func queued(a *wire.Response) time.Duration {
 	ms, err := strconv.ParseInt(a.Header.Get(wire.HeaderQueuedMs), 10, 64)
 	a.Header.Del(wire.HeaderQueuedMs)
 	if err != nil {
--- a/internal/posting/answer.go
+++ b/internal/posting/answer.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Answer is what an upstream answered to a posting.
-type Answer struct {
+// Response is the response of an upstream to a posting.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -26,7 +26,7 @@
 }
 
 // pack returns nil for nil.
-func pack(a *Answer) *keptAnswer {
+func pack(a *Response) *keptAnswer {
 	if a == nil {
 		return nil
 	}
@@ -35,11 +35,11 @@
 	return &keptAnswer{status: a.Status, dropped: a.Dropped, header: text.String(), body: bytes.Clone(a.Body)}
 }
 
-func (k *keptAnswer) unpack() *Answer {
+func (k *keptAnswer) unpack() *Response {
 	if k == nil {
 		return nil
 	}
-	a := &Answer{Status: k.status, Header: http.Header{}, Body: k.body, Dropped: k.dropped}
+	a := &Response{Status: k.status, Header: http.Header{}, Body: k.body, Dropped: k.dropped}
 	for line := range strings.SplitSeq(k.header, "\r\n") {
 		if name, value, ok := strings.Cut(line, ": "); ok {
 			a.Header[name] = append(a.Header[name], value)
--- a/internal/posting/bench_test.go
+++ b/internal/posting/bench_test.go
@@ -11,8 +11,8 @@
 )
 
 // receipt is an answer as postings and top-ups have it.
-func receipt() *posting.Answer {
-	return &posting.Answer{
+func receipt() *posting.Response {
+	return &posting.Response{
 		Status: http.StatusCreated,
 		Header: http.Header{"Content-Type": {"application/json"}, "Content-Length": {"200"}, "Date": {"Wed, 02 Dec 2026 12:00:00 GMT"}},
 		Body:   make([]byte, 200),
--- a/internal/posting/id.go
+++ b/internal/posting/id.go
@@ -13,8 +13,8 @@
 	maxOwn      = 128
 )
 
-// ErrBadID says that a posting id cannot be read.
-var ErrBadID = errors.New("posting: want <posting_prefix>.<caller's own id>")
+// ErrInvalidID reports a posting id that cannot be parsed.
+var ErrInvalidID = errors.New("posting: want <posting_prefix>.<caller's own id>")
 
 // ID is a posting id: <instance>-<epoch>.<own>.
 type ID struct {
@@ -22,8 +22,8 @@
 	Instance string
 	// Epoch of that instance when the prefix was given out.
 	Epoch uint64
-	// Own is the caller's part.
-	Own string
+	// Suffix is the part that the caller chose.
+	Suffix string
 }
 
 // Prefix is what GET /v1/entries gives callers as posting_prefix.
@@ -32,20 +32,20 @@
 }
 
 // String is the form in the Idempotency-Key header.
-func (id ID) String() string { return Prefix(id.Instance, id.Epoch) + "." + id.Own }
+func (id ID) String() string { return Prefix(id.Instance, id.Epoch) + "." + id.Suffix }
 
 // ParseID reads an Idempotency-Key header.
 func ParseID(s string) (ID, error) {
 	prefix, own, ok := strings.Cut(s, ".")
 	cut := strings.LastIndexByte(prefix, '-')
 	if !ok || cut <= 0 || cut > maxInstance || own == "" || len(own) > maxOwn || !printable(s) {
-		return ID{}, ErrBadID
+		return ID{}, ErrInvalidID
 	}
 	epoch, err := strconv.ParseUint(prefix[cut+1:], 10, 64)
 	if err != nil {
-		return ID{}, ErrBadID
+		return ID{}, ErrInvalidID
 	}
-	return ID{Instance: prefix[:cut], Epoch: epoch, Own: own}, nil
+	return ID{Instance: prefix[:cut], Epoch: epoch, Suffix: own}, nil
 }
 
 func printable(s string) bool {
--- a/internal/posting/machine_test.go
+++ b/internal/posting/machine_test.go
@@ -35,7 +35,7 @@
 func (m *machine) startNext() {
 	name := "host-" + string(rune('a'+len(m.names)))
 	m.names = append(m.names, name)
-	m.tables = append(m.tables, posting.NewTable(name, m.now, posting.Limits{Records: machineLimit, AnswerBytes: 20}))
+	m.tables = append(m.tables, posting.NewTable(name, m.now, posting.Limits{Records: machineLimit, ResponseBytes: 20}))
 }
 
 func (m *machine) last() *posting.Table { return m.tables[len(m.tables)-1] }
@@ -46,7 +46,7 @@
 		ID: posting.ID{
 			Instance: rapid.SampledFrom(m.names).Draw(t, "instance"),
 			Epoch:    rapid.Uint64Range(0, m.last().Epoch(m.now)+1).Draw(t, "epoch"),
-			Own:      rapid.SampledFrom([]string{"1", "2"}).Draw(t, "own"),
+			Suffix:   rapid.SampledFrom([]string{"1", "2"}).Draw(t, "own"),
 		},
 		Customer: rapid.SampledFrom([]string{"farm", "barn"}).Draw(t, "customer"),
 	}
@@ -55,20 +55,20 @@
 		table = rapid.SampledFrom(m.tables).Draw(t, "table")
 	}
 	found := table.Begin(req, m.now)
-	switch found.Verdict {
-	case posting.VerdictRun:
+	switch found.Decision {
+	case posting.DecisionRun:
 		if m.may[req] || m.running[req] != nil {
 			t.Fatalf("%v is run a second time", req)
 		}
 		m.running[req] = found.Run
 		m.dispatches[req]++
-	case posting.VerdictDone:
+	case posting.DecisionDone:
 		if !m.may[req] {
 			t.Fatalf("%v is called ended and never ran", req)
 		}
-	case posting.VerdictFuture, posting.VerdictFull, posting.VerdictClosed:
+	case posting.DecisionFutureEpoch, posting.DecisionTableFull, posting.DecisionClosed:
 		if m.may[req] || m.running[req] != nil {
-			t.Fatalf("%v is called not-run (%d) and may have run", req, found.Verdict)
+			t.Fatalf("%v is called not-run (%d) and may have run", req, found.Decision)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	for req, run := range m.running {
 		switch rapid.IntRange(0, 2).Draw(t, "how") {
 		case 0:
-			run.NotRun()
+			run.FinishNotRun()
 		case 1:
 			m.may[req] = true
 			run.Finish(posting.StateRan, answer("ok"))
@@ -105,7 +105,7 @@
 	all := old.Seal(m.now)
 	m.startNext()
 	for _, h := range all {
-		if !m.last().Take(h, m.now) {
+		if !m.last().Import(h, m.now) {
 			t.Fatalf("%s is not taken", h.Instance)
 		}
 	}
--- a/internal/posting/memory.go
+++ b/internal/posting/memory.go
@@ -46,7 +46,7 @@
 }
 
 // forgotten tells whether an epoch is older than is remembered.
-func (m *memory) forgotten(epoch uint64) bool { return epoch+EpochsKept < m.epoch }
+func (m *memory) forgotten(epoch uint64) bool { return epoch+RetainedEpochs < m.epoch }
 
 // takeForgotten removes the epochs that are refused anyway.
 func (m *memory) takeForgotten() []*epochRecords {
@@ -90,16 +90,16 @@
 
 // judge finds what became of a posting whose epoch is remembered. ok is false
 // where nothing is known of it.
-func judge(r *record, req Request) (Found, bool) {
+func judge(r *record, req Request) (BeginResult, bool) {
 	switch {
 	case r == nil:
-		return Found{}, false
+		return BeginResult{}, false
 	case r.digest != req.Digest:
-		return Found{Verdict: VerdictReused}, true
+		return BeginResult{Decision: DecisionIDReused}, true
 	case r.state == StateRunning:
-		return Found{Verdict: VerdictWait, Done: r.done}, true
+		return BeginResult{Decision: DecisionWait, Done: r.done}, true
 	}
-	return Found{Verdict: VerdictDone, State: r.state, Answer: r.answer.unpack()}, true
+	return BeginResult{Decision: DecisionDone, State: r.state, Response: r.answer.unpack()}, true
 }
 
 // archive is the memory taken over from an instance that stopped. Nothing is
--- a/internal/posting/table.go
+++ b/internal/posting/table.go
@@ -12,31 +12,31 @@
 	// EpochLength is how long one prefix is given out. Callers keep a prefix
 	// for the lookup's time to live, seconds, so most ids are young.
 	EpochLength = 5 * time.Minute
-	// EpochsKept is how many epochs back an id is still known: it can be asked
+	// RetainedEpochs is how many epochs back an id is still known: it can be asked
 	// for again for ten to fifteen minutes, longer than a caller's patience.
-	EpochsKept = 2
-	// MaxKeptAnswer is the largest answer, headers and body, kept for a
+	RetainedEpochs = 2
+	// MaxStoredResponseBytes is the largest answer, headers and body, kept for a
 	// repeated asking. Answers to postings and top-ups are receipts.
-	MaxKeptAnswer = 16 << 10
+	MaxStoredResponseBytes = 16 << 10
 	// MaxRecords bounds the postings remembered: 100 a second over fifteen
 	// minutes, twice the sum of all customers' rates over ten hosts of today.
 	// See docs/measurements/posting.md for the bytes of each.
 	MaxRecords = 90_000
-	// MaxAnswerBytes bounds the answers kept, all together. Beyond it a
+	// MaxTotalResponseBytes bounds the answers kept, all together. Beyond it a
 	// posting runs and is remembered, but its answer is not kept.
-	MaxAnswerBytes = 32 << 20
-	// MaxArchives bounds the stopped instances answered for.
-	MaxArchives = 32
+	MaxTotalResponseBytes = 32 << 20
+	// MaxImportedInstances bounds the instances whose records are imported.
+	MaxImportedInstances = 32
 )
 
 // Limits bounds a table; tests make them small.
 type Limits struct {
-	Records     int
-	AnswerBytes int
+	Records       int
+	ResponseBytes int
 }
 
 // DefaultLimits are the bounds of a daemon.
-func DefaultLimits() Limits { return Limits{Records: MaxRecords, AnswerBytes: MaxAnswerBytes} }
+func DefaultLimits() Limits { return Limits{Records: MaxRecords, ResponseBytes: MaxTotalResponseBytes} }
 
 // State of a posting.
 type State uint8
@@ -61,44 +61,44 @@
 	Digest   Digest
 }
 
-func (r Request) key() key { return key{customer: r.Customer, own: r.ID.Own} }
+func (r Request) key() key { return key{customer: r.Customer, own: r.ID.Suffix} }
 
-// Verdict says what Begin found.
-type Verdict int
+// Decision is what Begin decided about a request.
+type Decision int
 
-// Verdicts of Begin.
+// Decisions of Begin.
 const (
-	// VerdictRun: the asker is the first and must run it, then end Found.Run.
-	VerdictRun Verdict = iota
-	// VerdictWait: another asker runs it; wait for Found.Done, begin again.
-	VerdictWait
-	// VerdictDone: it has ended; Found.State and Found.Answer tell how.
-	VerdictDone
-	// VerdictStale: its epoch is forgotten; it may have run.
-	VerdictStale
-	// VerdictFuture: its prefix was never given out; it has not run.
-	VerdictFuture
-	// VerdictReused: the id came before with another request.
-	VerdictReused
-	// VerdictFull: no more postings can be remembered; it has not run.
-	VerdictFull
-	// VerdictClosed: the instance runs no more postings; it has not run.
-	VerdictClosed
-	// VerdictElsewhere: the id names an instance not answered for here.
-	VerdictElsewhere
+	// DecisionRun: the asker is the first and must run it, then end BeginResult.Run.
+	DecisionRun Decision = iota
+	// DecisionWait: another asker runs it; wait for BeginResult.Done, begin again.
+	DecisionWait
+	// DecisionDone: it has ended; BeginResult.State and Found.Answer tell how.
+	DecisionDone
+	// DecisionStaleEpoch: its epoch is forgotten; it may have run.
+	DecisionStaleEpoch
+	// DecisionFutureEpoch: its prefix was never given out; it has not run.
+	DecisionFutureEpoch
+	// DecisionIDReused: the id came before with another request.
+	DecisionIDReused
+	// DecisionTableFull: no more postings can be remembered; it has not run.
+	DecisionTableFull
+	// DecisionClosed: the instance runs no more postings; it has not run.
+	DecisionClosed
+	// DecisionOtherInstance: the id names an instance not answered for here.
+	DecisionOtherInstance
 )
 
-// Found is what Begin found.
-type Found struct {
-	Verdict Verdict
-	// Run of VerdictRun.
+// BeginResult is the result of Begin.
+type BeginResult struct {
+	Decision Decision
+	// Run of DecisionRun.
 	Run *Run
-	// Done of VerdictWait is closed when the posting has ended.
+	// Done of DecisionWait is closed when the posting has ended.
 	Done <-chan struct{}
-	// State and Answer of VerdictDone; Answer.Body must not be modified.
-	State  State
-	Answer *Answer
-	// RetryAfter of VerdictFull is when an epoch will be forgotten.
+	// State and Answer of DecisionDone; Answer.Body must not be modified.
+	State    State
+	Response *Response
+	// RetryAfter of DecisionTableFull is when an epoch will be forgotten.
 	RetryAfter time.Duration
 }
 
@@ -139,7 +139,7 @@
 }
 
 // Begin enters a posting, or finds what became of it.
-func (t *Table) Begin(req Request, now time.Time) Found {
+func (t *Table) Begin(req Request, now time.Time) BeginResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.advance(now)
@@ -150,38 +150,38 @@
 		return found
 	}
 	if t.sealed {
-		return Found{Verdict: VerdictClosed}
+		return BeginResult{Decision: DecisionClosed}
 	}
 	if t.records >= t.limits.Records {
-		return Found{Verdict: VerdictFull, RetryAfter: t.untilForgotten(now)}
+		return BeginResult{Decision: DecisionTableFull, RetryAfter: t.untilForgotten(now)}
 	}
 	// The own part is a piece of the caller's header; a copy lets that go.
-	req.ID.Own = strings.Clone(req.ID.Own)
+	req.ID.Suffix = strings.Clone(req.ID.Suffix)
 	r := &record{digest: req.Digest, state: StateRunning, done: make(chan struct{})}
 	t.own.put(req.ID.Epoch, req.key(), r)
 	t.records++
-	return Found{Verdict: VerdictRun, Run: &Run{table: t, epoch: req.ID.Epoch, key: req.key(), record: r}}
+	return BeginResult{Decision: DecisionRun, Run: &Run{table: t, epoch: req.ID.Epoch, key: req.key(), record: r}}
 }
 
 // recall finds what became of a stopped instance's posting.
-func (t *Table) recall(req Request) Found {
+func (t *Table) recall(req Request) BeginResult {
 	a := t.archives[req.ID.Instance]
 	if a == nil {
-		return Found{Verdict: VerdictElsewhere}
+		return BeginResult{Decision: DecisionOtherInstance}
 	}
 	if found, known := known(&a.memory, req); known {
 		return found
 	}
-	return Found{Verdict: VerdictClosed}
+	return BeginResult{Decision: DecisionClosed}
 }
 
 // known judges an id by its epoch and its record; false if it is new.
-func known(m *memory, req Request) (Found, bool) {
+func known(m *memory, req Request) (BeginResult, bool) {
 	switch {
 	case m.forgotten(req.ID.Epoch):
-		return Found{Verdict: VerdictStale}, true
+		return BeginResult{Decision: DecisionStaleEpoch}, true
 	case req.ID.Epoch > m.epoch:
-		return Found{Verdict: VerdictFuture}, true
+		return BeginResult{Decision: DecisionFutureEpoch}, true
 	}
 	return judge(m.find(req.ID.Epoch, req.key()), req)
 }
@@ -208,12 +208,12 @@
 
 // untilForgotten is the time until the oldest epoch leaves the table.
 func (t *Table) untilForgotten(now time.Time) time.Duration {
-	end := t.start.Add(time.Duration(t.own.oldest()+EpochsKept+1) * EpochLength)
+	end := t.start.Add(time.Duration(t.own.oldest()+RetainedEpochs+1) * EpochLength)
 	return max(end.Sub(now), 0)
 }
 
 // Run is the right to run one posting, given out once. It must be ended by
-// one call of NotRun or Finish.
+// one call of FinishNotRun or Finish.
 type Run struct {
 	table  *Table
 	epoch  uint64
@@ -221,9 +221,9 @@
 	record *record
 }
 
-// NotRun takes the posting out: it certainly did not run, nor will by this
+// FinishNotRun takes the posting out: it certainly did not run, nor will by this
 // attempt, so asking again runs it.
-func (r *Run) NotRun() {
+func (r *Run) FinishNotRun() {
 	r.end(func(t *Table) {
 		delete(t.own.epochs[r.epoch].records, r.key)
 		t.records--
@@ -232,7 +232,7 @@
 
 // Finish keeps how the posting ended. answer is nil where it is not known;
 // the table owns it from now on.
-func (r *Run) Finish(state State, answer *Answer) {
+func (r *Run) Finish(state State, answer *Response) {
 	kept := pack(answer)
 	r.end(func(t *Table) { t.keep(t.own.epochs[r.epoch], r.record, state, kept) })
 }
@@ -254,7 +254,7 @@
 }
 
 func (t *Table) keep(e *epochRecords, r *record, state State, answer *keptAnswer) {
-	if size := answer.size(); size > MaxKeptAnswer || t.answerBytes+size > t.limits.AnswerBytes {
+	if size := answer.size(); size > MaxStoredResponseBytes || t.answerBytes+size > t.limits.ResponseBytes {
 		answer = answer.drop()
 	}
 	r.state, r.answer = state, answer
--- a/internal/posting/table_test.go
+++ b/internal/posting/table_test.go
@@ -13,18 +13,18 @@
 var start = time.Now()
 
 func newTable() *posting.Table {
-	return posting.NewTable("vt-1-ab", start, posting.Limits{Records: 8, AnswerBytes: 64})
+	return posting.NewTable("vt-1-ab", start, posting.Limits{Records: 8, ResponseBytes: 64})
 }
 
 func asking(own, customer string, epoch uint64, digest byte) posting.Request {
 	return posting.Request{
-		ID:       posting.ID{Instance: "vt-1-ab", Epoch: epoch, Own: own},
+		ID:       posting.ID{Instance: "vt-1-ab", Epoch: epoch, Suffix: own},
 		Customer: customer, Digest: posting.Digest{digest},
 	}
 }
 
-func answer(body string) *posting.Answer {
-	return &posting.Answer{Status: 201, Header: http.Header{}, Body: []byte(body)}
+func answer(body string) *posting.Response {
+	return &posting.Response{Status: 201, Header: http.Header{}, Body: []byte(body)}
 }
 
 // A farmer's phone sends a weight, hears nothing, and sends it again: while the
@@ -33,14 +33,14 @@
 	g := NewWithT(t)
 	table := newTable()
 	first := table.Begin(asking("w1", "farm", 0, 1), start)
-	g.Expect(first.Verdict).To(Equal(posting.VerdictRun))
+	g.Expect(first.Decision).To(Equal(posting.DecisionRun))
 	second := table.Begin(asking("w1", "farm", 0, 1), start)
-	g.Expect(second.Verdict).To(Equal(posting.VerdictWait))
+	g.Expect(second.Decision).To(Equal(posting.DecisionWait))
 	first.Run.Finish(posting.StateRan, answer("ok"))
 	g.Expect(second.Done).To(BeClosed())
 	third := table.Begin(asking("w1", "farm", 0, 1), start)
-	g.Expect(third.Verdict).To(Equal(posting.VerdictDone))
-	g.Expect(string(third.Answer.Body)).To(Equal("ok"))
+	g.Expect(third.Decision).To(Equal(posting.DecisionDone))
+	g.Expect(string(third.Response.Body)).To(Equal("ok"))
 }
 
 // What each kind of asking finds. None but the first may run.
@@ -49,24 +49,24 @@
 	for name, c := range map[string]struct {
 		req  posting.Request
 		now  time.Time
-		want posting.Verdict
+		want posting.Decision
 	}{
-		"another request, same id":   {asking("w1", "farm", 0, 2), start, posting.VerdictReused},
-		"another customer's own id":  {asking("w1", "barn", 0, 2), start, posting.VerdictRun},
-		"forgotten epoch":            {asking("w1", "farm", 0, 1), later, posting.VerdictStale},
-		"clock that went back":       {asking("w1", "farm", 1, 1), start.Add(-time.Hour), posting.VerdictFuture},
-		"prefix not given out":       {asking("w1", "farm", 7, 1), start, posting.VerdictFuture},
-		"another instance's":         {posting.Request{ID: posting.ID{Instance: "me-1"}}, start, posting.VerdictElsewhere},
-		"oldest epoch still in mind": {asking("w1", "farm", 0, 1), start.Add(posting.EpochsKept * posting.EpochLength), posting.VerdictDone},
+		"another request, same id":   {asking("w1", "farm", 0, 2), start, posting.DecisionIDReused},
+		"another customer's own id":  {asking("w1", "barn", 0, 2), start, posting.DecisionRun},
+		"forgotten epoch":            {asking("w1", "farm", 0, 1), later, posting.DecisionStaleEpoch},
+		"clock that went back":       {asking("w1", "farm", 1, 1), start.Add(-time.Hour), posting.DecisionFutureEpoch},
+		"prefix not given out":       {asking("w1", "farm", 7, 1), start, posting.DecisionFutureEpoch},
+		"another instance's":         {posting.Request{ID: posting.ID{Instance: "me-1"}}, start, posting.DecisionOtherInstance},
+		"oldest epoch still in mind": {asking("w1", "farm", 0, 1), start.Add(posting.RetainedEpochs * posting.EpochLength), posting.DecisionDone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			table := newTable()
 			table.Begin(asking("w1", "farm", 0, 1), start).Run.Finish(posting.StateRan, answer("ok"))
 			found := table.Begin(c.req, c.now)
-			g.Expect(found.Verdict).To(Equal(c.want))
-			if c.want != posting.VerdictDone {
-				g.Expect(found.Answer).To(BeNil())
+			g.Expect(found.Decision).To(Equal(c.want))
+			if c.want != posting.DecisionDone {
+				g.Expect(found.Response).To(BeNil())
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 	table := newTable()
 	table.Begin(asking("w1", "farm", 0, 1), start).Run.Finish(posting.StateRan, nil)
 	g.Expect(table.Epoch(start.Add(9 * posting.EpochLength))).To(Equal(uint64(9)))
-	g.Expect(table.Begin(asking("w1", "farm", 0, 1), start).Verdict).To(Equal(posting.VerdictStale))
+	g.Expect(table.Begin(asking("w1", "farm", 0, 1), start).Decision).To(Equal(posting.DecisionStaleEpoch))
 }
 
 // A customer posts more than can be remembered. New ids are refused with the
@@ -93,13 +93,13 @@
 	records, bytes := table.Size()
 	g.Expect(records).To(Equal(8))
 	g.Expect(bytes).To(BeNumerically("<=", 64))
-	g.Expect(table.Begin(asking("8", "farm", 0, 1), start).Answer.Dropped).To(BeTrue())
+	g.Expect(table.Begin(asking("8", "farm", 0, 1), start).Response.Dropped).To(BeTrue())
 
 	full := table.Begin(asking("9", "farm", 0, 1), start)
-	g.Expect(full.Verdict).To(Equal(posting.VerdictFull))
-	g.Expect(table.Begin(asking("1", "farm", 0, 1), start).Verdict).To(Equal(posting.VerdictDone))
+	g.Expect(full.Decision).To(Equal(posting.DecisionTableFull))
+	g.Expect(table.Begin(asking("1", "farm", 0, 1), start).Decision).To(Equal(posting.DecisionDone))
 	then := start.Add(full.RetryAfter)
-	g.Expect(table.Begin(asking("9", "farm", 3, 1), then).Verdict).To(Equal(posting.VerdictRun))
+	g.Expect(table.Begin(asking("9", "farm", 3, 1), then).Decision).To(Equal(posting.DecisionRun))
 	records, bytes = table.Size()
 	g.Expect(records).To(Equal(1))
 	g.Expect(bytes).To(BeZero())
@@ -114,25 +114,25 @@
 	old.Begin(asking("ended", "farm", 0, 1), start).Run.Finish(posting.StateRan, answer("ok"))
 	running := old.Begin(asking("running", "farm", 0, 1), start)
 	all := old.Seal(start)
-	g.Expect(old.Begin(asking("new", "farm", 0, 1), start).Verdict).To(Equal(posting.VerdictClosed))
-	running.Run.NotRun()
+	g.Expect(old.Begin(asking("new", "farm", 0, 1), start).Decision).To(Equal(posting.DecisionClosed))
+	running.Run.FinishNotRun()
 
 	next := posting.NewTable("vt-2-cd", start, posting.DefaultLimits())
-	g.Expect(next.Take(all[0], start)).To(BeTrue())
-	g.Expect(next.AnswersFor(start)).To(Equal([]string{"vt-1-ab"}))
+	g.Expect(next.Import(all[0], start)).To(BeTrue())
+	g.Expect(next.ImportedInstances(start)).To(Equal([]string{"vt-1-ab"}))
 	ended := next.Begin(asking("ended", "farm", 0, 1), start)
-	g.Expect(ended.Verdict).To(Equal(posting.VerdictDone))
-	g.Expect(string(ended.Answer.Body)).To(Equal("ok"))
+	g.Expect(ended.Decision).To(Equal(posting.DecisionDone))
+	g.Expect(string(ended.Response.Body)).To(Equal("ok"))
 	g.Expect(next.Begin(asking("running", "farm", 0, 1), start).State).To(Equal(posting.StateUnknown))
-	g.Expect(next.Begin(asking("new", "farm", 0, 1), start).Verdict).To(Equal(posting.VerdictClosed))
+	g.Expect(next.Begin(asking("new", "farm", 0, 1), start).Decision).To(Equal(posting.DecisionClosed))
 
 	third := posting.NewTable("vt-3-ef", start, posting.DefaultLimits())
 	for _, h := range next.Seal(start) {
-		g.Expect(third.Take(h, start)).To(BeTrue())
+		g.Expect(third.Import(h, start)).To(BeTrue())
 	}
-	g.Expect(third.AnswersFor(start)).To(Equal([]string{"vt-1-ab", "vt-2-cd"}))
-	g.Expect(third.Begin(asking("ended", "farm", 0, 1), start).Verdict).To(Equal(posting.VerdictDone))
-	g.Expect(third.AnswersFor(start.Add(4 * posting.EpochLength))).To(BeEmpty())
+	g.Expect(third.ImportedInstances(start)).To(Equal([]string{"vt-1-ab", "vt-2-cd"}))
+	g.Expect(third.Begin(asking("ended", "farm", 0, 1), start).Decision).To(Equal(posting.DecisionDone))
+	g.Expect(third.ImportedInstances(start.Add(4 * posting.EpochLength))).To(BeEmpty())
 }
 
 // A successor without room for the whole table must take none of it: a part
@@ -144,6 +144,6 @@
 		old.Begin(asking(own, "farm", 0, 1), start).Run.Finish(posting.StateRan, nil)
 	}
 	small := posting.NewTable("vt-2-cd", start, posting.Limits{Records: 2})
-	g.Expect(small.Take(old.Seal(start)[0], start)).To(BeFalse())
-	g.Expect(small.Begin(asking("1", "farm", 0, 1), start).Verdict).To(Equal(posting.VerdictElsewhere))
+	g.Expect(small.Import(old.Seal(start)[0], start)).To(BeFalse())
+	g.Expect(small.Begin(asking("1", "farm", 0, 1), start).Decision).To(Equal(posting.DecisionOtherInstance))
 }
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -21,8 +21,8 @@
 	maxStatus       = 599
 )
 
-// ErrBadAnswer says that a peer's answer bears no outcome.
-var ErrBadAnswer = errors.New("relay: answer without outcome")
+// ErrInvalidResponse reports a response of a peer that has no valid outcome.
+var ErrInvalidResponse = errors.New("relay: answer without outcome")
 
 // Client passes calls to other daemons. It is safe for concurrent use.
 type Client struct {
@@ -40,23 +40,23 @@
 // Send passes a call to the relay listener at address, which acts by role.
 // The problem is the peer's own refusal, or says what may be concluded where
 // the peer did not answer.
-func (c *Client) Send(ctx context.Context, address, role string, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (c *Client) Send(ctx context.Context, address, role string, call *wire.Call) (*wire.Response, *wire.Problem) {
 	req, err := c.request(ctx, address, role, call)
 	if err != nil {
-		return nil, wire.Refuse(wire.TypeBadRequest, err.Error(), 0)
+		return nil, wire.NotRunProblem(wire.TypeBadRequest, err.Error(), 0)
 	}
 	resp, sent, err := c.client.Send(req) //nolint:bodyclose // the answer's reader closes it
 	if err != nil {
 		return nil, lost(ctx, sent, err)
 	}
 	if wire.Outcome(resp.Header.Get(wire.HeaderOutcome)) == wire.OutcomeRan {
-		return &wire.Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
+		return &wire.Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 	}
 	return nil, readProblem(resp)
 }
 
 func (c *Client) request(ctx context.Context, address, role string, call *wire.Call) (*http.Request, error) {
-	req, err := call.Request(ctx, c.scheme+"://"+address+"/relay/"+call.Service)
+	req, err := call.NewRequest(ctx, c.scheme+"://"+address+"/relay/"+call.Service)
 	if err != nil {
 		return nil, err
 	}
@@ -72,14 +72,14 @@
 // lost tells what may be concluded from a peer that did not answer.
 func lost(ctx context.Context, sent bool, err error) *wire.Problem {
 	if !sent {
-		p := wire.Refuse(wire.TypeNoRoom, "peer unreachable", time.Second)
-		p.Unreached = true
+		p := wire.NotRunProblem(wire.TypeNoRoom, "peer unreachable", time.Second)
+		p.PeerUnreachable = true
 		return p
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return wire.Doubt(wire.TypeDeadline, "no answer before the deadline")
+		return wire.MayHaveRunProblem(wire.TypeDeadline, "no answer before the deadline")
 	}
-	return wire.Doubt(wire.TypeUpstreamFailed, "connection to peer broke: "+err.Error())
+	return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "connection to peer broke: "+err.Error())
 }
 
 func readProblem(resp *http.Response) *wire.Problem {
@@ -87,7 +87,7 @@
 	p := &wire.Problem{}
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(p)
 	if err != nil || !believable(p) {
-		return wire.Doubt(wire.TypeUpstreamFailed, ErrBadAnswer.Error())
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, ErrInvalidResponse.Error())
 	}
 	return p
 }
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -19,31 +19,31 @@
 	unknownWait = 20 * time.Millisecond
 )
 
-// ErrLinkFull says that the deadline passed while an answer waited for its
+// ErrLinkQuotaTimeout says that the deadline passed while an answer waited for its
 // link; the caller receives a broken answer.
-var ErrLinkFull = errors.New("relay: no room on the link before the deadline")
+var ErrLinkQuotaTimeout = errors.New("relay: no room on the link before the deadline")
 
-// Taker takes tokens of a quota.
-type Taker interface {
+// TokenTaker takes tokens of a quota.
+type TokenTaker interface {
 	// Take spends cost, or returns how long until it could; negative: unknown.
 	Take(quota string, cost float64, now time.Time) (bool, time.Duration)
 }
 
-// Pace holds an answer's body back to the quota of the link it crosses.
+// NewPacedBody holds an answer's body back to the quota of the link it crosses.
 //
 // Load pattern: season reports of the night before a county meeting, from one
 // region to callers in another, over a link of 280 Mbit/s for all traffic.
 // Without pacing the reports fill the link's queue and every lookup that
 // crosses it waits behind them. The bytes are counted as they leave, not
 // estimated beforehand, so the link's quota holds whatever their number is.
-func Pace(ctx context.Context, body io.ReadCloser, taker Taker, quota string) io.ReadCloser {
+func NewPacedBody(ctx context.Context, body io.ReadCloser, taker TokenTaker, quota string) io.ReadCloser {
 	return &pacedBody{ReadCloser: body, ctx: ctx, taker: taker, quota: quota}
 }
 
 type pacedBody struct {
 	io.ReadCloser
 	ctx   context.Context //nolint:containedctx // Read has no context of its own
-	taker Taker
+	taker TokenTaker
 	quota string
 }
 
@@ -69,7 +69,7 @@
 		select {
 		case <-time.After(wait):
 		case <-b.ctx.Done():
-			return ErrLinkFull
+			return ErrLinkQuotaTimeout
 		}
 	}
 }
--- a/internal/relay/pace_test.go
+++ b/internal/relay/pace_test.go
@@ -28,7 +28,7 @@
 func TestPaceCountsEveryBit(t *testing.T) {
 	g := NewWithT(t)
 	link := &fakeLink{left: 1e9}
-	body := relay.Pace(context.Background(), io.NopCloser(bytes.NewReader(make([]byte, 5000))), link, "link/a/b")
+	body := relay.NewPacedBody(context.Background(), io.NopCloser(bytes.NewReader(make([]byte, 5000))), link, "link/a/b")
 	got, err := io.ReadAll(body)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(HaveLen(5000))
@@ -41,9 +41,9 @@
 	g := NewWithT(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	link := &fakeLink{left: 8 * 1024}
-	body := relay.Pace(ctx, io.NopCloser(bytes.NewReader(make([]byte, 5000))), link, "link/a/b")
+	body := relay.NewPacedBody(ctx, io.NopCloser(bytes.NewReader(make([]byte, 5000))), link, "link/a/b")
 	cancel()
 	got, err := io.ReadAll(body)
-	g.Expect(errors.Is(err, relay.ErrLinkFull)).To(BeTrue())
+	g.Expect(errors.Is(err, relay.ErrLinkQuotaTimeout)).To(BeTrue())
 	g.Expect(len(got)).To(BeNumerically("<=", 1024))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,11 +22,11 @@
 // runner answers with what it was given, and remembers the call.
 type runner struct {
 	call    *wire.Call
-	answer  *wire.Answer
+	answer  *wire.Response
 	problem *wire.Problem
 }
 
-func (r *runner) Run(_ context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (r *runner) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	r.call = call
 	return r.answer, r.problem
 }
@@ -38,7 +38,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func sendTo(t *testing.T, address string) (*wire.Answer, *wire.Problem) {
+func sendTo(t *testing.T, address string) (*wire.Response, *wire.Problem) {
 	t.Helper()
 	client := upstream.NewClient(nil)
 	t.Cleanup(client.Close)
@@ -53,8 +53,8 @@
 // same customer, and the sender the receiver's own refusal word for word.
 func TestCallAndRefusalCrossUnchanged(t *testing.T) {
 	g := NewWithT(t)
-	r := &runner{problem: wire.Refuse(wire.TypeOverRate, "later", 1500*time.Millisecond)}
-	address := serve(t, &relay.Server{Posting: r, MaxBodyBytes: 1 << 20})
+	r := &runner{problem: wire.NotRunProblem(wire.TypeOverRate, "later", 1500*time.Millisecond)}
+	address := serve(t, &relay.Server{PostingRunner: r, MaxBodyBytes: 1 << 20})
 	_, problem := sendTo(t, address)
 	g.Expect(problem).To(Equal(r.problem))
 	g.Expect(r.call.Path + "?" + r.call.RawQuery).To(Equal("/w%2F1?a=b"))
@@ -72,7 +72,7 @@
 		"odd outcome":    `{"type":"no-room","status":503,"outcome":"never"}`,
 		"ran as problem": `{"type":"x","status":503,"outcome":"ran"}`,
 		"odd status":     `{"type":"no-room","status":7,"outcome":"not-run"}`,
-		"unreached":      `{"type":"no-room","status":7,"outcome":"not-run","Unreached":true}`,
+		"unreached":      `{"type":"no-room","status":7,"outcome":"not-run","PeerUnreachable":true}`,
 		"cut":            `{"type":"no-room","status":503,"outcome":"not-r`,
 		"too long":       strings.Repeat(" ", 20<<10) + `{"type":"no-room","status":503,"outcome":"not-run"}`,
 	} {
@@ -84,7 +84,7 @@
 			}))
 			_, problem := sendTo(t, address)
 			g.Expect(problem.Outcome).To(Equal(wire.OutcomeMayHaveRun))
-			g.Expect(problem.Unreached).To(BeFalse())
+			g.Expect(problem.PeerUnreachable).To(BeFalse())
 		})
 	}
 }
@@ -94,7 +94,7 @@
 func TestPausedPeerIsGivenUp(t *testing.T) {
 	g := NewWithT(t)
 	r := &runner{}
-	address := serve(t, &relay.Server{Handle: r, MaxBodyBytes: 1 << 20})
+	address := serve(t, &relay.Server{HandleRunner: r, MaxBodyBytes: 1 << 20})
 	conn, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
@@ -111,15 +111,15 @@
 // then it answers how the context is.
 type untilDeadline struct{}
 
-func (untilDeadline) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (untilDeadline) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	if call.Path != "/live" {
 		<-ctx.Done()
-		return nil, wire.Refuse(wire.TypeDeadline, "no room", 0)
+		return nil, wire.NotRunProblem(wire.TypeDeadline, "no room", 0)
 	}
 	if ctx.Err() != nil {
-		return nil, wire.Refuse(wire.TypeDeadline, ctx.Err().Error(), 0)
+		return nil, wire.NotRunProblem(wire.TypeDeadline, ctx.Err().Error(), 0)
 	}
-	return &wire.Answer{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody}, nil
+	return &wire.Response{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody}, nil
 }
 
 // A call waits at its handler until its deadline and is refused; the next one
@@ -130,7 +130,7 @@
 	for name, body := range map[string]string{"no body": "", "body": "whole"} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			address := serve(t, &relay.Server{Handle: untilDeadline{}, MaxBodyBytes: 1 << 20})
+			address := serve(t, &relay.Server{HandleRunner: untilDeadline{}, MaxBodyBytes: 1 << 20})
 			conn, err := net.Dial("tcp", address)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = conn.Close() }()
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -17,20 +17,20 @@
 
 // Runner runs a call here and now.
 type Runner interface {
-	Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem)
+	Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem)
 }
 
 // Server answers other daemons' calls.
 type Server struct {
-	// Handle runs a call on an upstream of this daemon's zone.
-	Handle Runner
-	// Posting runs a call whose posting id names this instance.
-	Posting Runner
+	// HandleRunner runs a call on an upstream of this daemon's zone.
+	HandleRunner Runner
+	// PostingRunner runs a call whose posting id names this instance.
+	PostingRunner Runner
 	// MaxBodyBytes bounds a body; it is the callers' bound.
 	MaxBodyBytes int64
-	// Pace bounds an answer's body on its way to the daemon that asked; nil
+	// PaceResponse bounds an answer's body on its way to the daemon that asked; nil
 	// bounds nothing.
-	Pace func(ctx context.Context, from string, body io.ReadCloser) io.ReadCloser
+	PaceResponse func(ctx context.Context, from string, body io.ReadCloser) io.ReadCloser
 }
 
 // ServeHTTP implements http.Handler for /relay/.
@@ -42,17 +42,17 @@
 	}
 	ctx, cancel := call.WithDeadline(telemetry.Extract(r.Context(), r.Header))
 	defer cancel()
-	runner := s.Handle
+	runner := s.HandleRunner
 	if r.Header.Get(wire.HeaderRole) == wire.RolePosting {
-		runner = s.Posting
+		runner = s.PostingRunner
 	}
 	answer, problem := runner.Run(ctx, call)
 	if problem != nil {
 		problem.Write(w)
 		return
 	}
-	if s.Pace != nil {
-		answer.Body = s.Pace(ctx, r.Header.Get(wire.HeaderFrom), answer.Body)
+	if s.PaceResponse != nil {
+		answer.Body = s.PaceResponse(ctx, r.Header.Get(wire.HeaderFrom), answer.Body)
 	}
 	answer.Write(w)
 }
@@ -81,16 +81,16 @@
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/relay/"), "/")
 	budget, err := strconv.ParseInt(r.Header.Get(wire.HeaderBudgetMs), 10, 64)
 	if err != nil || service == "" {
-		return nil, wire.Refuse(wire.TypeBadRequest, "relay: service or budget missing", 0)
+		return nil, wire.NotRunProblem(wire.TypeBadRequest, "relay: service or budget missing", 0)
 	}
 	if budget <= 0 {
-		return nil, wire.Refuse(wire.TypeDeadline, "budget spent before the handler", 0)
+		return nil, wire.NotRunProblem(wire.TypeDeadline, "budget spent before the handler", 0)
 	}
 	deadline := time.Now().Add(time.Duration(min(budget, maxBudget.Milliseconds())) * time.Millisecond)
 	boundBody(w, r, deadline)
 	body, err := wire.ReadBody(http.MaxBytesReader(w, r.Body, s.MaxBodyBytes), r.ContentLength)
 	if err != nil {
-		return nil, wire.Refuse(wire.TypeBadRequest, "relay: body broke off or is too large", 0)
+		return nil, wire.NotRunProblem(wire.TypeBadRequest, "relay: body broke off or is too large", 0)
 	}
 	call := &wire.Call{
 		Service: service, Path: "/" + path, RawQuery: r.URL.RawQuery, Method: r.Method,
@@ -99,6 +99,6 @@
 		KeyDigest: r.Header.Get(wire.HeaderKeyDigest),
 		Deadline:  deadline,
 	}
-	wire.StripRequest(call.Header)
+	wire.SanitizeRequestHeaders(call.Header)
 	return call, nil
 }
--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -117,7 +117,7 @@
 	defer h.mu.Unlock()
 	p := h.pools[r.Service]
 	if p == nil || !slices.ContainsFunc(p.workers, func(w *worker) bool { return w.takesWork(now) }) {
-		return nil, wire.Refuse(wire.TypeNoRoom, "no upstream of this service is handled here", 0)
+		return nil, wire.NotRunProblem(wire.TypeNoRoom, "no upstream of this service is handled here", 0)
 	}
 	t := newTicket(h, p, r, h.config.Customers[r.Customer].Weight)
 	if refusal := p.offer(t, now); refusal != nil {
@@ -148,13 +148,13 @@
 
 func refused(r *fairqueue.Refusal) *wire.Problem {
 	if r.Reason == fairqueue.ReasonDeadline {
-		return wire.Refuse(wire.TypeDeadline, r.Reason.String(), 0)
+		return wire.NotRunProblem(wire.TypeDeadline, r.Reason.String(), 0)
 	}
-	return wire.Refuse(wire.TypeNoRoom, r.Reason.String(), r.RetryAfter)
+	return wire.NotRunProblem(wire.TypeNoRoom, r.Reason.String(), r.RetryAfter)
 }
 
 func lateProblem(p *pool, t *Ticket, now time.Time) *wire.Problem {
-	return wire.Refuse(wire.TypeDeadline, "no upstream had room before the deadline", p.queue.RetryAfter(&t.item, now))
+	return wire.NotRunProblem(wire.TypeDeadline, "no upstream had room before the deadline", p.queue.RetryAfter(&t.item, now))
 }
 
 // serve starts what can start. The caller holds the mutex.
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -24,15 +24,15 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case !sent && ctx.Err() != nil:
-		return wire.Refuse(wire.TypeDeadline, "no connection before the deadline", defaultRetry)
+		return wire.NotRunProblem(wire.TypeDeadline, "no connection before the deadline", defaultRetry)
 	case !sent:
-		return wire.Refuse(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetry)
+		return wire.NotRunProblem(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetry)
 	case errors.As(err, &tooLarge):
-		return wire.Doubt(wire.TypeTooLarge, "the body is too large; an upstream has seen a part of it")
+		return wire.MayHaveRunProblem(wire.TypeTooLarge, "the body is too large; an upstream has seen a part of it")
 	case ctx.Err() != nil:
-		return wire.Doubt(wire.TypeDeadline, "no answer before the deadline")
+		return wire.MayHaveRunProblem(wire.TypeDeadline, "no answer before the deadline")
 	default:
-		return wire.Doubt(wire.TypeUpstreamFailed, "connection to upstream broke: "+err.Error())
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "connection to upstream broke: "+err.Error())
 	}
 }
 
@@ -40,11 +40,11 @@
 func unusable(resp *http.Response) *wire.Problem {
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
-		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream switched protocols unasked")
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "the upstream switched protocols unasked")
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return shed(resp)
 	case unframed(resp):
-		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream's answer has no length and no chunks")
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "the upstream's answer has no length and no chunks")
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 // shed is the problem of an upstream that answered 503. That proves nothing
 // about what it did with the request unless it declares so.
 func shed(resp *http.Response) *wire.Problem {
-	p := wire.Refuse(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
+	p := wire.NotRunProblem(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
 	if resp.Header.Get(wire.HeaderShed) != wire.ShedNotRun {
 		p.Outcome = wire.OutcomeMayHaveRun
 	}
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -34,7 +34,7 @@
 }
 
 // Run waits for room, sends the call, and returns the answer as it begins.
-func (r *Runner) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (r *Runner) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	ctx, span := r.Tracer.Start(ctx, "handler", trace.WithAttributes(
 		attribute.String("service", call.Service), attribute.String("customer", call.Customer)))
 	defer span.End()
@@ -42,14 +42,14 @@
 	var problem *wire.Problem
 	avoid := ""
 	for range maxAttempts {
-		var answer *wire.Answer
+		var answer *wire.Response
 		var latest *wire.Problem
 		answer, avoid, latest = r.attempt(ctx, call, avoid)
 		if latest == nil {
 			return answer, nil
 		}
 		span.AddEvent(latest.Type)
-		problem = latest.After(problem)
+		problem = latest.MergeEarlier(problem)
 		if !repeatable(call, latest) || !r.RetryBudgets.AllowRetryOn(call.Service, latest) {
 			break
 		}
@@ -63,12 +63,12 @@
 	if p.Type != wire.TypeUpstreamFailed && p.Type != wire.TypeUpstreamShed {
 		return false
 	}
-	return call.Body.Sendable() && (p.Outcome == wire.OutcomeNotRun || call.Safe())
+	return call.Body.CanSend() && (p.Outcome == wire.OutcomeNotRun || call.Safe())
 }
 
 // attempt sends the call to one upstream and names it; avoid is the one that
 // the attempt before met.
-func (r *Runner) attempt(ctx context.Context, call *wire.Call, avoid string) (*wire.Answer, string, *wire.Problem) {
+func (r *Runner) attempt(ctx context.Context, call *wire.Call, avoid string) (*wire.Response, string, *wire.Problem) {
 	asked := time.Now()
 	ticket, problem := r.acquire(ctx, call, avoid)
 	if problem != nil {
@@ -76,7 +76,7 @@
 	}
 	if !r.keyValid(call) {
 		ticket.Done(Result{})
-		return nil, ticket.Upstream, wire.Refuse(wire.TypeUnknownKey, "the key was withdrawn", 0)
+		return nil, ticket.Upstream, wire.NotRunProblem(wire.TypeUnknownKey, "the key was withdrawn", 0)
 	}
 	ctx, span := r.Tracer.Start(ctx, "upstream attempt", trace.WithAttributes(attribute.String("upstream", ticket.Upstream)))
 	defer span.End()
@@ -84,7 +84,7 @@
 	req, err := r.request(ctx, call, ticket.Address)
 	if err != nil {
 		ticket.Done(Result{})
-		return nil, ticket.Upstream, wire.Refuse(wire.TypeBadRequest, err.Error(), 0)
+		return nil, ticket.Upstream, wire.NotRunProblem(wire.TypeBadRequest, err.Error(), 0)
 	}
 	resp, sent, err := r.Client.Send(req) //nolint:bodyclose // the answer's reader closes it
 	if err != nil {
@@ -99,9 +99,9 @@
 		_ = body.Close()
 		return nil, ticket.Upstream, problem
 	}
-	wire.StripOwn(resp.Header)
+	wire.RemoveInternalHeaders(resp.Header)
 	resp.Header.Set(wire.HeaderQueuedMs, strconv.FormatInt(start.Sub(asked).Milliseconds(), 10))
-	return &wire.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, ticket.Upstream, nil
+	return &wire.Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, ticket.Upstream, nil
 }
 
 func (r *Runner) acquire(ctx context.Context, call *wire.Call, avoid string) (*Ticket, *wire.Problem) {
@@ -116,7 +116,7 @@
 }
 
 func (r *Runner) request(ctx context.Context, call *wire.Call, address string) (*http.Request, error) {
-	req, err := call.Request(ctx, "http://"+address)
+	req, err := call.NewRequest(ctx, "http://"+address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -18,8 +18,8 @@
 // two thirds of all that a request allocated.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
-// Answer is what came back for a call from where it ran.
-type Answer struct {
+// Response is the response to a call.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -29,9 +29,9 @@
 // broken off too: net/http then cuts the connection without the final chunk
 // or with bytes of the declared length missing, so the caller cannot take a
 // part for the whole.
-func (a *Answer) Write(w http.ResponseWriter) {
+func (a *Response) Write(w http.ResponseWriter) {
 	defer func() { _ = a.Body.Close() }()
-	CopyHeader(w.Header(), a.Header)
+	CopyEndToEndHeaders(w.Header(), a.Header)
 	w.Header().Set(HeaderOutcome, string(OutcomeRan))
 	w.WriteHeader(a.Status)
 	if err := copyFlushing(w, a.Body); err != nil {
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -47,33 +47,33 @@
 	used   bool
 }
 
-// MaxHeldBody is the largest body held in memory: more than any posting of
+// MaxBufferedBodyBytes is the largest body held in memory: more than any posting of
 // the two deployments; larger ones are uploads, sent once as they come.
-const MaxHeldBody = 64 << 10
+const MaxBufferedBodyBytes = 64 << 10
 
 // ReadBody takes a request's body over. length is -1 where it is not known.
 func ReadBody(r io.Reader, length int64) (Body, error) {
 	if r == nil || length == 0 {
 		return Body{}, nil
 	}
-	held, err := io.ReadAll(io.LimitReader(r, MaxHeldBody+1))
+	held, err := io.ReadAll(io.LimitReader(r, MaxBufferedBodyBytes+1))
 	if err != nil {
 		return Body{}, err
 	}
-	if len(held) <= MaxHeldBody {
+	if len(held) <= MaxBufferedBodyBytes {
 		return Body{held: held, length: int64(len(held))}, nil
 	}
 	return Body{stream: io.MultiReader(bytes.NewReader(held), r), length: length}, nil
 }
 
-// Held tells whether the whole body is in memory.
-func (b *Body) Held() bool { return b.stream == nil }
+// Buffered tells whether the whole body is in memory.
+func (b *Body) Buffered() bool { return b.stream == nil }
 
 // Length is the body's size in bytes; -1 where a stream's is not known.
 func (b *Body) Length() int64 { return b.length }
 
-// Sendable tells whether the body can be sent (again).
-func (b *Body) Sendable() bool { return b.stream == nil || !b.used }
+// CanSend tells whether the body can be sent (again).
+func (b *Body) CanSend() bool { return b.stream == nil || !b.used }
 
 // Reader returns the body for one dispatch, and its length.
 func (b *Body) Reader() (io.Reader, int64) {
@@ -84,21 +84,21 @@
 	return bytes.NewReader(b.held), int64(len(b.held))
 }
 
-// StripRequest removes from a caller's headers what must not reach an
+// SanitizeRequestHeaders removes from a caller's headers what must not reach an
 // upstream: its key, hop-by-hop headers, this system's own, and Expect, which
 // the listener has answered already.
 //
 // The key goes first and by name: a caller may list Authorization in
 // Connection, send it twice or in an odd case, and it is gone all the same.
-func StripRequest(h http.Header) {
+func SanitizeRequestHeaders(h http.Header) {
 	h.Del("Authorization")
 	h.Del("Expect")
 	h1.RemoveHopByHop(h)
-	StripOwn(h)
+	RemoveInternalHeaders(h)
 }
 
-// CopyHeader copies end-to-end headers.
-func CopyHeader(to, from http.Header) {
+// CopyEndToEndHeaders copies end-to-end headers.
+func CopyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
 	}
@@ -108,9 +108,9 @@
 // ownPrefix begins the names of this system's headers, in any case.
 const ownPrefix = "balsam-"
 
-// StripOwn removes every header of this system's own, so that none that a
+// RemoveInternalHeaders removes every header of this system's own, so that none that a
 // caller or an upstream wrote is believed.
-func StripOwn(h http.Header) {
+func RemoveInternalHeaders(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(strings.ToLower(name), ownPrefix) {
 			delete(h, name)
@@ -135,9 +135,9 @@
 	return context.WithDeadline(ctx, c.Deadline)
 }
 
-// Request makes the call's request to base, a URL without the call's path. The
+// NewRequest makes the call's request to base, a URL without the call's path. The
 // caller of it adds what the next hop needs.
-func (c *Call) Request(ctx context.Context, base string) (*http.Request, error) {
+func (c *Call) NewRequest(ctx context.Context, base string) (*http.Request, error) {
 	url := base + c.Path
 	if c.RawQuery != "" {
 		url += "?" + c.RawQuery
--- a/internal/wire/call_test.go
+++ b/internal/wire/call_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			wire.StripRequest(c.in)
+			wire.SanitizeRequestHeaders(c.in)
 			var left []string
 			for h := range c.in {
 				left = append(left, h)
@@ -49,7 +49,7 @@
 			g := NewWithT(t)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				body := io.MultiReader(strings.NewReader("half"), iotest.ErrReader(errors.New("reset")))
-				(&wire.Answer{Status: http.StatusOK, Header: header, Body: io.NopCloser(body)}).Write(w)
+				(&wire.Response{Status: http.StatusOK, Header: header, Body: io.NopCloser(body)}).Write(w)
 			}))
 			defer server.Close()
 			resp, err := http.Get(server.URL)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -72,15 +72,15 @@
 	Outcome Outcome `json:"outcome"`
 	// RetryAfterMs is when coming back makes sense; 0: not known.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
-	// Unreached: this daemon could not send the request to the peer at all.
+	// PeerUnreachable: this daemon could not send the request to the peer at all.
 	// It does not travel: a peer's own problem never bears it.
-	Unreached bool `json:"-"`
+	PeerUnreachable bool `json:"-"`
 }
 
-// After returns p as the answer to a request that had met earlier problems.
+// MergeEarlier returns p as the answer to a request that had met earlier problems.
 // A doubt stays: when a first attempt may have run, a second one that was
 // refused does not make the request not-run.
-func (p *Problem) After(earlier *Problem) *Problem {
+func (p *Problem) MergeEarlier(earlier *Problem) *Problem {
 	if earlier == nil || earlier.Outcome != OutcomeMayHaveRun || p.Outcome == OutcomeMayHaveRun {
 		return p
 	}
@@ -132,16 +132,16 @@
 	TypeAnswerNotKept:   http.StatusConflict,
 }
 
-// Refuse makes a problem whose request has certainly not run.
-func Refuse(kind, detail string, retryAfter time.Duration) *Problem {
+// NotRunProblem returns a problem whose request has certainly not run.
+func NotRunProblem(kind, detail string, retryAfter time.Duration) *Problem {
 	return &Problem{
 		Type: kind, Status: statusOf[kind], Detail: detail,
 		Outcome: OutcomeNotRun, RetryAfterMs: milliseconds(retryAfter),
 	}
 }
 
-// Doubt makes a problem whose request may have run.
-func Doubt(kind, detail string) *Problem {
+// MayHaveRunProblem returns a problem whose request may have run.
+func MayHaveRunProblem(kind, detail string) *Problem {
 	return &Problem{Type: kind, Status: statusOf[kind], Detail: detail, Outcome: OutcomeMayHaveRun}
 }
 
