--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -159,7 +159,7 @@
 	m.Headroom = c.d.handler.Headroom()
 	m.Load = c.d.gauge.Load()
 	m.PostingEpoch = c.d.postings.Epoch(now)
-	m.PostingsFrom = c.d.postings.AnswersFor(now)
+	m.PostingsFrom = c.d.postings.ImportedInstances(now)
 	return m
 }
 
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func (d *Daemon) transferTable(ctx context.Context, table posting.Handover) {
+func (d *Daemon) transferTable(ctx context.Context, table posting.Transfer) {
 	peers := d.transferTargets()
 	for _, to := range peers[:min(len(peers), maxTransferTargets)] {
 		err := d.sendTable(ctx, to, table)
@@ -86,7 +86,7 @@
 	return append(sameZone, otherZones...)
 }
 
-func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Handover) error {
+func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Transfer) error {
 	client := peer.NewDRPCHandoverClient(d.conns.Conn(ctx, to.PeerAddress))
 	var reply *peer.HandoverReply
 	for _, part := range splitTable(table) {
@@ -107,7 +107,7 @@
 // splitTable splits a table into parts. A part exceeds maxPartBytes only if a
 // single posting does. An empty table is transferred too: only with the table
 // can the successor report ids that never arrived as not-run.
-func splitTable(table posting.Handover) []*peer.PostingTable {
+func splitTable(table posting.Transfer) []*peer.PostingTable {
 	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
 	}
@@ -154,14 +154,14 @@
 // once.
 type assembly struct {
 	startedAt   time.Time
-	postings    map[postingKey]posting.Kept
+	postings    map[postingKey]posting.TransferRecord
 	answerBytes int
 }
 
-func (a *assembly) add(record posting.Kept) {
+func (a *assembly) add(record posting.TransferRecord) {
 	k := postingKey{customer: record.Customer, id: record.ID}
-	if _, duplicate := a.postings[k]; !duplicate && record.Answer != nil {
-		a.answerBytes += len(record.Answer.Body)
+	if _, duplicate := a.postings[k]; !duplicate && record.Response != nil {
+		a.answerBytes += len(record.Response.Body)
 	}
 	a.postings[k] = record
 }
@@ -192,7 +192,7 @@
 	for _, record := range postings {
 		a.add(record)
 	}
-	if a.answerBytes > posting.MaxAnswerBytes {
+	if a.answerBytes > posting.MaxTotalResponseBytes {
 		delete(r.assemblies, in.Instance)
 		return &peer.HandoverReply{}, nil
 	}
@@ -213,18 +213,18 @@
 	}
 	a := r.assemblies[instance]
 	if a == nil && len(r.assemblies) < maxAssemblies {
-		a = &assembly{startedAt: now, postings: map[postingKey]posting.Kept{}}
+		a = &assembly{startedAt: now, postings: map[postingKey]posting.TransferRecord{}}
 		r.assemblies[instance] = a
 	}
 	return a
 }
 
 func (d *Daemon) storeTable(in *peer.PostingTable, a *assembly) bool {
-	table := posting.Handover{Instance: in.Instance, Epoch: in.Epoch}
+	table := posting.Transfer{Instance: in.Instance, Epoch: in.Epoch}
 	for _, record := range a.postings {
 		table.Postings = append(table.Postings, record)
 	}
-	accepted := d.postings.Take(table, time.Now())
+	accepted := d.postings.Import(table, time.Now())
 	d.log.Info("postings_received", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
 	return accepted
 }
@@ -235,13 +235,13 @@
 
 var statesByName = map[string]posting.State{"ran": posting.StateRan, "unknown": posting.StateUnknown}
 
-func postingToWire(record posting.Kept) *peer.Posting {
+func postingToWire(record posting.TransferRecord) *peer.Posting {
 	out := &peer.Posting{Id: record.ID.String(), Customer: record.Customer, State: stateNames[record.State], Digest: record.Digest[:]}
-	if record.Answer == nil {
+	if record.Response == nil {
 		return out
 	}
-	out.Status, out.Body, out.Dropped = uint32(record.Answer.Status), record.Answer.Body, record.Answer.Dropped
-	for name, values := range record.Answer.Header {
+	out.Status, out.Body, out.Dropped = uint32(record.Response.Status), record.Response.Body, record.Response.Dropped
+	for name, values := range record.Response.Header {
 		out.Headers = append(out.Headers, &peer.PostingHeader{Name: name, Values: values})
 	}
 	return out
@@ -250,8 +250,8 @@
 // errInvalidPosting reports that a posting received from a peer is malformed.
 var errInvalidPosting = errors.New("daemon: invalid posting in a transferred table")
 
-func postingsFromWire(in *peer.PostingTable) ([]posting.Kept, error) {
-	var all []posting.Kept
+func postingsFromWire(in *peer.PostingTable) ([]posting.TransferRecord, error) {
+	var all []posting.TransferRecord
 	for _, p := range in.Postings {
 		record, err := postingFromWire(p)
 		if err != nil {
@@ -265,27 +265,27 @@
 	return all, nil
 }
 
-func postingFromWire(in *peer.Posting) (posting.Kept, error) {
+func postingFromWire(in *peer.Posting) (posting.TransferRecord, error) {
 	id, err := posting.ParseID(in.Id)
 	if err != nil {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, err.Error())
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, err.Error())
 	}
 	state, known := statesByName[in.State]
 	if len(in.Digest) != len(posting.Digest{}) || !known {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "invalid digest or state")
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, "invalid digest or state")
 	}
-	record := posting.Kept{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
+	record := posting.TransferRecord{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
 	if in.Status == 0 {
 		return record, nil
 	}
 	if in.Status < http.StatusOK || in.Status > maxHTTPStatus {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "invalid status")
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, "invalid status")
 	}
-	record.Answer = &posting.Answer{
+	record.Response = &posting.Response{
 		Status: int(in.Status), Header: http.Header{}, Body: in.Body, Dropped: in.Dropped,
 	}
 	for _, h := range in.Headers {
-		record.Answer.Header[h.Name] = h.Values
+		record.Response.Header[h.Name] = h.Values
 	}
 	return record, nil
 }
--- a/internal/daemon/regionlimiter.go
+++ b/internal/daemon/regionlimiter.go
@@ -26,13 +26,13 @@
 }
 
 // Run implements relay.Runner.
-func (l *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (l *regionLimiter) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	name, limited := l.regionQuota()
 	if !limited {
 		return l.next.Run(ctx, call)
 	}
 	if ok, wait := l.ledger.Take(name, 1, time.Now()); !ok {
-		return nil, wire.Refuse(wire.TypeNoRoom, "the region is at its limit", max(wait, 0))
+		return nil, wire.NotRunProblem(wire.TypeNoRoom, "the region is at its limit", max(wait, 0))
 	}
 	answer, problem := l.next.Run(ctx, call)
 	if problem != nil && problem.Outcome == wire.OutcomeNotRun {
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -67,7 +67,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := t.source.VerifyClient(r.TLS); err != nil {
 			w.Header().Set("Connection", "close")
-			wire.Refuse(wire.TypeNoRoom, "relay: "+err.Error(), tlsRefreshInterval).Write(w)
+			wire.NotRunProblem(wire.TypeNoRoom, "relay: "+err.Error(), tlsRefreshInterval).Write(w)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -25,15 +25,15 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case !sent && ctx.Err() != nil:
-		return wire.Refuse(wire.TypeDeadline, "no connection before the deadline", defaultRetryAfter)
+		return wire.NotRunProblem(wire.TypeDeadline, "no connection before the deadline", defaultRetryAfter)
 	case !sent:
-		return wire.Refuse(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetryAfter)
+		return wire.NotRunProblem(wire.TypeUpstreamFailed, "upstream unreachable", defaultRetryAfter)
 	case errors.As(err, &tooLarge):
-		return wire.Doubt(wire.TypeTooLarge, "the body is too large; an upstream has seen a part of it")
+		return wire.MayHaveRunProblem(wire.TypeTooLarge, "the body is too large; an upstream has seen a part of it")
 	case ctx.Err() != nil:
-		return wire.Doubt(wire.TypeDeadline, "no answer before the deadline")
+		return wire.MayHaveRunProblem(wire.TypeDeadline, "no answer before the deadline")
 	default:
-		return wire.Doubt(wire.TypeUpstreamFailed, "connection to upstream broke: "+err.Error())
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "connection to upstream broke: "+err.Error())
 	}
 }
 
@@ -42,11 +42,11 @@
 func responseProblem(resp *http.Response) *wire.Problem {
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
-		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream switched protocols unasked")
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "the upstream switched protocols unasked")
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return shedProblem(resp)
 	case endsAtClose(resp):
-		return wire.Doubt(wire.TypeUpstreamFailed, "the upstream's answer has no length and no chunks")
+		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, "the upstream's answer has no length and no chunks")
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 // not show whether the upstream ran the request; only its header that
 // declares so does.
 func shedProblem(resp *http.Response) *wire.Problem {
-	p := wire.Refuse(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
+	p := wire.NotRunProblem(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
 	if resp.Header.Get(wire.HeaderShed) != wire.ShedNotRun {
 		p.Outcome = wire.OutcomeMayHaveRun
 	}
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -36,7 +36,7 @@
 
 // Run waits for a slot, sends the call, and returns the response when it
 // begins.
-func (r *Runner) Run(ctx context.Context, call *wire.Call) (*wire.Answer, *wire.Problem) {
+func (r *Runner) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	ctx, span := r.Tracer.Start(ctx, "handler", trace.WithAttributes(
 		attribute.String("service", call.Service), attribute.String("customer", call.Customer)))
 	defer span.End()
@@ -44,14 +44,14 @@
 	var problem *wire.Problem
 	avoid := ""
 	for range maxAttempts {
-		var response *wire.Answer
+		var response *wire.Response
 		var attemptProblem *wire.Problem
 		response, avoid, attemptProblem = r.attempt(ctx, call, avoid)
 		if attemptProblem == nil {
 			return response, nil
 		}
 		span.AddEvent(attemptProblem.Type)
-		problem = attemptProblem.After(problem)
+		problem = attemptProblem.MergeEarlier(problem)
 		if !canRetry(call, attemptProblem) || !r.RetryBudgets.AllowRetryOn(call.Service, attemptProblem) {
 			break
 		}
@@ -65,12 +65,12 @@
 	if p.Type != wire.TypeUpstreamFailed && p.Type != wire.TypeUpstreamShed {
 		return false
 	}
-	return call.Body.Sendable() && (p.Outcome == wire.OutcomeNotRun || call.Safe())
+	return call.Body.CanSend() && (p.Outcome == wire.OutcomeNotRun || call.Safe())
 }
 
 // attempt sends the call to one upstream and returns its name. avoid is the
 // upstream of the previous attempt.
-func (r *Runner) attempt(ctx context.Context, call *wire.Call, avoid string) (*wire.Answer, string, *wire.Problem) {
+func (r *Runner) attempt(ctx context.Context, call *wire.Call, avoid string) (*wire.Response, string, *wire.Problem) {
 	queuedAt := time.Now()
 	ticket, problem := r.acquire(ctx, call, avoid)
 	if problem != nil {
@@ -78,7 +78,7 @@
 	}
 	if !r.isKeyValid(call) {
 		ticket.Done(Result{})
-		return nil, ticket.Upstream, wire.Refuse(wire.TypeUnknownKey, "the key was withdrawn", 0)
+		return nil, ticket.Upstream, wire.NotRunProblem(wire.TypeUnknownKey, "the key was withdrawn", 0)
 	}
 	ctx, span := r.Tracer.Start(ctx, "upstream attempt", trace.WithAttributes(attribute.String("upstream", ticket.Upstream)))
 	defer span.End()
@@ -86,7 +86,7 @@
 	req, err := r.newHTTPRequest(ctx, call, ticket.Address)
 	if err != nil {
 		ticket.Done(Result{})
-		return nil, ticket.Upstream, wire.Refuse(wire.TypeBadRequest, err.Error(), 0)
+		return nil, ticket.Upstream, wire.NotRunProblem(wire.TypeBadRequest, err.Error(), 0)
 	}
 	resp, sent, err := r.Client.Send(req) //nolint:bodyclose // the reader of the response closes it
 	if err != nil {
@@ -101,9 +101,9 @@
 		_ = body.Close()
 		return nil, ticket.Upstream, problem
 	}
-	wire.StripOwn(resp.Header)
+	wire.RemoveInternalHeaders(resp.Header)
 	resp.Header.Set(wire.HeaderQueuedMs, strconv.FormatInt(start.Sub(queuedAt).Milliseconds(), 10))
-	return &wire.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, ticket.Upstream, nil
+	return &wire.Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, ticket.Upstream, nil
 }
 
 func (r *Runner) acquire(ctx context.Context, call *wire.Call, avoid string) (*Ticket, *wire.Problem) {
@@ -118,7 +118,7 @@
 }
 
 func (r *Runner) newHTTPRequest(ctx context.Context, call *wire.Call, address string) (*http.Request, error) {
-	req, err := call.Request(ctx, "http://"+address)
+	req, err := call.NewRequest(ctx, "http://"+address)
 	if err != nil {
 		return nil, err
 	}
