--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,4 +1,5 @@
-// Package membership knows which daemons there are, how they are, and which
-// quota slots this daemon holds. Its state belongs to the control thread; it
-// takes the time as an argument and does no I/O of its own.
+// Package membership tracks the live daemons of the fleet, their load and
+// health, and the quota slots that this daemon holds. All state is owned by the
+// control thread: methods take the current time as an argument and, apart from
+// ListHosts, do no I/O.
 package membership
--- a/internal/membership/hosts.go
+++ b/internal/membership/hosts.go
@@ -8,13 +8,13 @@
 	"balsambarrow/internal/kv"
 )
 
-// hostPrefix is the store's prefix of the host list.
-const hostPrefix = "balsambarrow/hostlist/"
+// hostListPrefix is the key prefix of the host list in the store.
+const hostListPrefix = "balsambarrow/hostlist/"
 
-// HostKey is the store's key of a host's line in the host list.
-func HostKey(name string) string { return hostPrefix + name }
+// HostKey returns the store key of a host's entry in the host list.
+func HostKey(name string) string { return hostListPrefix + name }
 
-// HostState is a host's state in the host list.
+// HostState is the state of a host in the host list.
 type HostState string
 
 // States of a host.
@@ -23,8 +23,8 @@
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one line of the host list. The list lags: a host in it may be gone,
-// and a live one may be missing.
+// Host is one entry of the host list. The list lags behind the fleet: a listed
+// host may have stopped, and a live host may be missing.
 type Host struct {
 	Name  string    `json:"name"`
 	Zone  string    `json:"zone"`
@@ -33,7 +33,7 @@
 	PeerAddress string `json:"peers"`
 }
 
-// Encode returns the line's value in the store.
+// Encode returns the stored form of the entry.
 func (h Host) Encode() []byte {
 	raw, err := json.Marshal(h)
 	if err != nil {
@@ -42,21 +42,22 @@
 	return raw
 }
 
-// ListHosts reads the host list, which may be seconds old: such a reading costs a
-// tenth, and is answered where the store has lost its leader. unreadable names the
-// lines that somebody else has broken; they name no host.
+// ListHosts reads the host list with a stale read, whose result may be seconds
+// old. A stale read costs a tenth of a consistent one, and the store serves it
+// even without a leader. unreadable lists the keys of the entries that cannot
+// be decoded, because they were written by something other than a daemon.
 func ListHosts(ctx context.Context, store kv.Store) (hosts []Host, unreadable []string, err error) {
-	l, err := store.List(ctx, hostPrefix, true)
+	listing, err := store.List(ctx, hostListPrefix, true)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, item := range l.Items {
+	for _, item := range listing.Items {
 		var h Host
 		if json.Unmarshal(item.Value, &h) != nil {
 			unreadable = append(unreadable, item.Key)
 			continue
 		}
-		h.Name = strings.TrimPrefix(item.Key, hostPrefix)
+		h.Name = strings.TrimPrefix(item.Key, hostListPrefix)
 		hosts = append(hosts, h)
 	}
 	return hosts, unreadable, nil
--- a/internal/membership/hosts_test.go
+++ b/internal/membership/hosts_test.go
@@ -13,9 +13,9 @@
 	"balsambarrow/platform"
 )
 
-// Somebody has written a broken line into the host list. The other hosts are found,
-// and the broken line is named for the log.
-func TestBrokenLineOfTheHostList(t *testing.T) {
+// An entry of the host list cannot be decoded. The other hosts are returned,
+// and the key of the broken entry is reported for the log.
+func TestListHostsReportsUnreadableEntries(t *testing.T) {
 	g := NewWithT(t)
 	fake := standin.NewKVStore()
 	server := httptest.NewServer(fake)
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -5,196 +5,203 @@
 	"time"
 )
 
-// SlotWrite is one write to the store that the plan asks for.
+// SlotWrite is one planned write of a slot entry to the store.
 type SlotWrite struct {
 	Slot int
-	// Revision is the entry's revision that the write replaces; 0: there is none.
+	// Revision is the revision of the entry that the write replaces, or 0 if
+	// there is no entry.
 	Revision uint64
-	// Holder is the holder from then on; the zero value deletes the entry.
+	// Holder is the new holder. The zero value deletes the entry.
 	Holder Holder
-	// Fraction is what the slot was of the slots held, for a hand-over: it says
-	// which part of each bucket's level goes along.
+	// Fraction is the part of each token bucket's level that is transferred
+	// with the slot: one divided by the number of slots held.
 	Fraction float64
-	epoch    uint64
+	// epoch is the epoch of the SlotOwnership in which the write was planned.
+	epoch uint64
 }
 
-// PlanInput is what a plan is made from.
+// PlanInput is the state from which a plan is computed.
 type PlanInput struct {
 	State *SlotState
-	// SlotCount is how many slots the zone has.
+	// SlotCount is the number of slots of the zone.
 	SlotCount int
-	// ZonePeers are the other daemons of the zone that are known, live or not.
+	// ZonePeers are the other known daemons of the zone, live or not.
 	ZonePeers []Member
-	// Leaving: this daemon is to give away all it holds.
+	// Leaving means that this daemon must release all its slots.
 	Leaving bool
 }
 
-// Plan returns the writes of one round. Slots that it gives away are not
-// usable any more when it returns: the store hears of it only afterwards.
+// Plan returns the writes of one round. Spending from a slot that the plan
+// transfers has already stopped when Plan returns, before the store is updated.
 //
-// Slots are spread evenly over the zone's ready daemons, so that each one's
-// callers find a part of the quota and the loss of one host loses a small
-// part. A daemon gives only where another has at least two fewer, so that no
-// slot moves to and fro.
-func (c *SlotOwnership) Plan(r PlanInput, now time.Time) []SlotWrite {
-	c.noteHolders(r.State, now)
-	p := &plan{custody: c, PlanInput: r, now: now, count: map[string]int{}}
-	p.countSlots()
-	if r.Leaving {
-		p.giveAll()
-		return p.steps
+// Slots are distributed evenly over the ready daemons of the zone, so that the
+// callers of each daemon have access to a part of the quota, and the loss of
+// one host affects only a small part. A daemon transfers a slot only to a
+// daemon that has at least two fewer, so that slots do not move back and forth.
+func (o *SlotOwnership) Plan(in PlanInput, now time.Time) []SlotWrite {
+	o.recordHolders(in.State, now)
+	p := &planner{ownership: o, PlanInput: in, now: now, slotCounts: map[string]int{}}
+	p.collectRecipients()
+	if in.Leaving {
+		p.releaseAll()
+		return p.writes
 	}
-	p.claimAll()
-	p.giveExcess()
-	return p.steps
+	p.claimSlots()
+	p.rebalance()
+	return p.writes
 }
 
-// plan is the making of one plan.
-type plan struct {
+// planner computes one plan.
+type planner struct {
 	PlanInput
-	custody *SlotOwnership
-	now     time.Time
-	// takers are the daemons that slots may go to, by instance.
-	takers []Holder
-	count  map[string]int
-	steps  []SlotWrite
+	ownership *SlotOwnership
+	now       time.Time
+	// recipients are the daemons that may receive slots, ordered by instance.
+	recipients []Holder
+	// slotCounts is the number of slots of each instance after the planned
+	// writes.
+	slotCounts map[string]int
+	writes     []SlotWrite
 }
 
-func (p *plan) countSlots() {
+// collectRecipients sets recipients and counts the slots of each holder.
+func (p *planner) collectRecipients() {
 	if !p.Leaving {
-		p.takers = append(p.takers, p.custody.self)
+		p.recipients = append(p.recipients, p.ownership.self)
 	}
 	for _, m := range p.ZonePeers {
-		// A mate without a lease does not reach the store and could not
-		// confirm what it is given.
+		// A peer without a lease cannot reach the store, so it could not
+		// confirm a slot that it receives.
 		if m.State == StateReady && p.now.Sub(m.HeartbeatAt) <= MemberTimeout && p.State.Leased[m.Instance] {
-			p.takers = append(p.takers, Holder{Instance: m.Instance, PeerAddress: m.PeerAddress})
+			p.recipients = append(p.recipients, Holder{Instance: m.Instance, PeerAddress: m.PeerAddress})
 		}
 	}
-	slices.SortFunc(p.takers, func(a, b Holder) int {
+	slices.SortFunc(p.recipients, func(a, b Holder) int {
 		if a.Instance < b.Instance {
 			return -1
 		}
 		return 1
 	})
 	for _, e := range p.State.Slots {
-		p.count[e.Holder.Instance]++
+		p.slotCounts[e.Holder.Instance]++
 	}
 }
 
-// claimAll confirms slots that the store gives to this daemon and takes free
-// ones up to an even share.
-func (p *plan) claimAll() {
-	self := p.custody.self
-	share := (p.SlotCount + len(p.takers) - 1) / len(p.takers)
+// claimSlots confirms the slots that the store assigns to this daemon and
+// claims free ones up to an even share.
+func (p *planner) claimSlots() {
+	self := p.ownership.self
+	share := (p.SlotCount + len(p.recipients) - 1) / len(p.recipients)
 	for slot := range p.SlotCount {
-		e, entered := p.State.Slots[slot]
-		if _, held := p.custody.held[slot]; held {
+		e, exists := p.State.Slots[slot]
+		if _, held := p.ownership.held[slot]; held {
 			continue
 		}
-		// Also a claim whose answer was lost comes back here: the entry
-		// names this daemon, and the swap makes sure of it.
+		// The entry also names this daemon if the response to an earlier claim
+		// was lost. The compare-and-swap confirms the claim.
 		if e.Holder.Instance == self.Instance {
-			p.add(slot, e.Revision, self)
+			p.addWrite(slot, e.Revision, self)
 			continue
 		}
-		if (!entered || p.gone(e.Holder)) && p.count[self.Instance] < share {
-			p.count[self.Instance]++
-			p.add(slot, e.Revision, self)
+		if (!exists || p.holderStopped(e.Holder)) && p.slotCounts[self.Instance] < share {
+			p.slotCounts[self.Instance]++
+			p.addWrite(slot, e.Revision, self)
 		}
 	}
 }
 
-// gone tells whether a holder certainly does not spend any more.
-func (p *plan) gone(h Holder) bool {
-	var heard time.Time
+// holderStopped reports whether a holder has certainly stopped spending.
+func (p *planner) holderStopped(h Holder) bool {
+	var heartbeatAt time.Time
 	for _, m := range p.ZonePeers {
 		if m.Instance == h.Instance {
-			heard = m.HeartbeatAt
+			heartbeatAt = m.HeartbeatAt
 		}
 	}
-	return !p.State.Leased[h.Instance] && p.custody.silent(h.Instance, heard, p.now)
+	return !p.State.Leased[h.Instance] && p.ownership.holderUnresponsive(h.Instance, heartbeatAt, p.now)
 }
 
-// giveExcess gives to those with fewer slots. Every daemon works out the same
-// moves from the same reading and makes its own of them.
-func (p *plan) giveExcess() {
-	for slot := range p.custody.held {
+// rebalance releases slots that the zone no longer has, and transfers slots to
+// daemons with fewer. All daemons compute the same moves from the same state,
+// and each carries out the moves of its own slots.
+func (p *planner) rebalance() {
+	for slot := range p.ownership.held {
 		if slot >= p.SlotCount {
-			p.give(slot, Holder{})
+			p.transfer(slot, Holder{})
 		}
 	}
 	for {
 		most, least := p.extremes()
-		if p.count[most.Instance]-p.count[least.Instance] < 2 {
+		if p.slotCounts[most.Instance]-p.slotCounts[least.Instance] < 2 {
 			return
 		}
-		p.count[most.Instance]--
-		p.count[least.Instance]++
-		if most.Instance != p.custody.self.Instance {
+		p.slotCounts[most.Instance]--
+		p.slotCounts[least.Instance]++
+		if most.Instance != p.ownership.self.Instance {
 			continue
 		}
-		slot, ok := p.lastHeld()
+		slot, ok := p.highestHeldSlot()
 		if !ok {
 			return
 		}
-		p.give(slot, least)
+		p.transfer(slot, least)
 	}
 }
 
-// extremes returns the takers with the most and with the fewest slots.
-func (p *plan) extremes() (most, least Holder) {
-	most, least = p.takers[0], p.takers[0]
-	for _, h := range p.takers[1:] {
-		if p.count[h.Instance] > p.count[most.Instance] {
+// extremes returns the recipients with the most and with the fewest slots.
+func (p *planner) extremes() (most, least Holder) {
+	most, least = p.recipients[0], p.recipients[0]
+	for _, h := range p.recipients[1:] {
+		if p.slotCounts[h.Instance] > p.slotCounts[most.Instance] {
 			most = h
 		}
-		if p.count[h.Instance] < p.count[least.Instance] {
+		if p.slotCounts[h.Instance] < p.slotCounts[least.Instance] {
 			least = h
 		}
 	}
 	return most, least
 }
 
-// giveAll gives every slot to those with the fewest, or frees it where the
-// zone has no other daemon.
-func (p *plan) giveAll() {
+// releaseAll transfers every slot to the recipients with the fewest slots, or
+// frees it if the zone has no other daemon.
+func (p *planner) releaseAll() {
 	for slot, e := range p.State.Slots {
-		if e.Holder.Instance != p.custody.self.Instance {
+		if e.Holder.Instance != p.ownership.self.Instance {
 			continue
 		}
-		to := Holder{}
-		if len(p.takers) > 0 {
-			_, to = p.extremes()
-			p.count[to.Instance]++
+		recipient := Holder{}
+		if len(p.recipients) > 0 {
+			_, recipient = p.extremes()
+			p.slotCounts[recipient.Instance]++
 		}
-		if _, held := p.custody.held[slot]; held {
-			p.give(slot, to)
+		if _, held := p.ownership.held[slot]; held {
+			p.transfer(slot, recipient)
 			continue
 		}
-		p.add(slot, e.Revision, to)
+		p.addWrite(slot, e.Revision, recipient)
 	}
 }
 
-func (p *plan) lastHeld() (int, bool) {
-	last, ok := 0, false
-	for slot := range p.custody.held {
-		if !ok || slot > last {
-			last, ok = slot, true
+func (p *planner) highestHeldSlot() (int, bool) {
+	highest, ok := 0, false
+	for slot := range p.ownership.held {
+		if !ok || slot > highest {
+			highest, ok = slot, true
 		}
 	}
-	return last, ok
+	return highest, ok
 }
 
-// give stops spending from a slot and asks for the entry to be changed.
-func (p *plan) give(slot int, to Holder) {
-	part := 1 / float64(len(p.custody.held))
-	h := p.custody.held[slot]
-	delete(p.custody.held, slot)
-	p.add(slot, h.revision, to)
-	p.steps[len(p.steps)-1].Fraction = part
+// transfer stops spending from a slot and plans the write that changes its
+// entry.
+func (p *planner) transfer(slot int, recipient Holder) {
+	fraction := 1 / float64(len(p.ownership.held))
+	h := p.ownership.held[slot]
+	delete(p.ownership.held, slot)
+	p.addWrite(slot, h.revision, recipient)
+	p.writes[len(p.writes)-1].Fraction = fraction
 }
 
-func (p *plan) add(slot int, at uint64, to Holder) {
-	p.steps = append(p.steps, SlotWrite{Slot: slot, Revision: at, Holder: to, epoch: p.custody.epoch})
+func (p *planner) addWrite(slot int, revision uint64, holder Holder) {
+	p.writes = append(p.writes, SlotWrite{Slot: slot, Revision: revision, Holder: holder, epoch: p.ownership.epoch})
 }
--- a/internal/membership/slotstate.go
+++ b/internal/membership/slotstate.go
@@ -9,28 +9,29 @@
 	"balsambarrow/internal/kv"
 )
 
-// aliveDir holds the entries that live as long as their daemons' leases.
+// aliveDir is the key prefix of entries that are tied to a daemon's lease.
 const aliveDir = "alive/"
 
-// SlotPrefix is the store's prefix of a zone's slots.
+// SlotPrefix returns the store key prefix of a zone's slots.
 func SlotPrefix(zone string) string { return "balsambarrow/slots/" + zone + "/" }
 
-// SlotKey is the store's key of one slot.
+// SlotKey returns the store key of one slot.
 func SlotKey(zone string, slot int) string { return fmt.Sprintf("%s%04d", SlotPrefix(zone), slot) }
 
-// AliveKey is the store's key that lives as long as a daemon's lease.
+// AliveKey returns the store key that exists as long as a daemon's lease.
 func AliveKey(zone string, lease uint64) string {
 	return SlotPrefix(zone) + aliveDir + strconv.FormatUint(lease, 10)
 }
 
-// Holder is a daemon as a slot's entry names it.
+// Holder identifies the daemon that holds a slot, as stored in the slot's
+// entry.
 type Holder struct {
 	Instance string `json:"instance"`
-	// PeerAddress is the address at which it answers other daemons.
+	// PeerAddress is the address of the daemon's peers listener.
 	PeerAddress string `json:"peers"`
 }
 
-// Encode returns the entry's value in the store.
+// Encode returns the stored form of the holder.
 func (h Holder) Encode() []byte {
 	raw, err := json.Marshal(h)
 	if err != nil {
@@ -39,48 +40,49 @@
 	return raw
 }
 
-// SlotEntry is one slot's entry.
+// SlotEntry is the stored entry of one slot, with its revision.
 type SlotEntry struct {
 	Holder   Holder
 	Revision uint64
 }
 
-// SlotState is what the store says of a zone.
+// SlotState is the state of a zone's slots and leases as read from the store.
 type SlotState struct {
-	// Slots by index; a slot without an entry is free.
+	// Slots holds the entries by slot index. A slot without an entry is free.
 	Slots map[int]SlotEntry
-	// Leased are the instances whose lease is in force.
+	// Leased holds the instances whose lease has not expired.
 	Leased map[string]bool
 }
 
-// ParseSlots sorts the entries under a zone's prefix. An entry that cannot be
-// read is held by nobody known: it is taken like a silent daemon's.
+// ParseSlots decodes the entries under a zone's prefix. An entry that cannot be
+// decoded has no known holder: its slot is claimed in the same way as that of
+// an unresponsive daemon.
 func ParseSlots(zone string, entries []kv.Item) *SlotState {
-	r := &SlotState{Slots: map[int]SlotEntry{}, Leased: map[string]bool{}}
+	state := &SlotState{Slots: map[int]SlotEntry{}, Leased: map[string]bool{}}
 	for _, e := range entries {
 		name := strings.TrimPrefix(e.Key, SlotPrefix(zone))
 		var holder Holder
 		_ = json.Unmarshal(e.Value, &holder)
 		if strings.HasPrefix(name, aliveDir) {
-			r.Leased[holder.Instance] = true
+			state.Leased[holder.Instance] = true
 			continue
 		}
 		if slot, err := strconv.Atoi(name); err == nil {
-			r.Slots[slot] = SlotEntry{Holder: holder, Revision: e.Revision}
+			state.Slots[slot] = SlotEntry{Holder: holder, Revision: e.Revision}
 		}
 	}
-	return r
+	return state
 }
 
-// HolderAddresses returns the addresses of the daemons that the entries name.
-func (r *SlotState) HolderAddresses() []string {
+// HolderAddresses returns the addresses of the daemons that hold slots.
+func (s *SlotState) HolderAddresses() []string {
 	seen := map[string]bool{}
-	var out []string
-	for _, e := range r.Slots {
+	var addresses []string
+	for _, e := range s.Slots {
 		if peers := e.Holder.PeerAddress; peers != "" && !seen[peers] {
 			seen[peers] = true
-			out = append(out, peers)
+			addresses = append(addresses, peers)
 		}
 	}
-	return out
+	return addresses
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// State of a daemon.
+// State is the lifecycle state of a daemon.
 type State string
 
 // States of a daemon, in the order it passes through them.
@@ -20,78 +20,95 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats to the same peer.
 	HeartbeatInterval = 500 * time.Millisecond
-	// MemberTimeout is the silence after which a peer counts as gone: four beats,
-	// so that one lost message and a slow one do not remove it.
+	// MemberTimeout is the time without heartbeats after which a peer is no
+	// longer live. It is four heartbeat intervals, so that one lost and one
+	// late heartbeat do not remove a peer.
 	MemberTimeout = 4 * HeartbeatInterval
 )
 
-// LeaveHandlingTime is how long a leaving daemon goes on handling its upstreams: until
-// the next handlers have heard of it and their own heartbeats have shown their
-// room. Without it nobody has room for those upstreams in between.
+// LeaveHandlingTime is how long a leaving daemon continues to handle its
+// upstreams: until the next handlers have been notified and their own
+// heartbeats have reported their headroom. Without this overlap, no daemon
+// would report headroom for these upstreams in between.
 const LeaveHandlingTime = 2 * HeartbeatInterval
 
-// HandlesUpstreams tells whether requests may be sent to a member's upstreams at now.
+// HandlesUpstreams reports whether requests may be sent to the upstreams of the
+// member at now.
 func (m *Member) HandlesUpstreams(now time.Time) bool {
 	return m.State == StateReady || m.State == StateLeaving && now.Sub(m.LeavingSince) < LeaveHandlingTime
 }
 
-// Headroom is how many more requests of a service a daemon can start now.
+// Headroom is the number of further requests of a service that a daemon can
+// start now (Free), with the limit and the queue length.
 type Headroom struct {
 	Free, Limit, Queued int
 }
 
-// Member is what is known of one daemon. Values are not modified after they
-// were given to a Table.
+// Member is the known state of one daemon. A value must not be modified after
+// it was passed to a Table.
 type Member struct {
 	Instance, Host, Zone                     string
 	State                                    State
 	CallerAddress, PeerAddress, RelayAddress string
 	Sequence                                 uint64
 	ConfigVersion                            uint64
-	// ConfigRejected is a version that the daemon has met and cannot read.
+	// ConfigRejected is the configuration version that the daemon has received
+	// and cannot read.
 	ConfigRejected uint64
 	PostingEpoch   uint64
-	// Slots are the slots that it spends from, by index in its zone.
+	// Slots are the slots from which the daemon spends, by index within its
+	// zone.
 	Slots []int
-	// HeldSlots are the same with their times. Only a daemon's own account has it.
+	// HeldSlots are the same slots with their start times. The field is set
+	// only in a daemon's own entry.
 	HeldSlots    []HeldSlot
 	Headroom     map[string]Headroom
 	Demand       map[string]float64
 	WatchesStore bool
-	// Load is the part of the host's own room that is in use, 0 to 1.
+	// Load is the used fraction of the host's own capacity, 0 to 1.
 	Load float64
-	// PostingsFrom lists the stopped instances whose postings it remembers.
+	// PostingsFrom lists the stopped instances whose postings this daemon
+	// stores.
 	PostingsFrom []string
-	// ConfirmedAt is when ConfigVersion was last known to be the store's, by
-	// the clock of the daemon that holds this value; zero: not known.
+	// ConfirmedAt is when ConfigVersion was last known to be the current
+	// version in the store, by the clock of the daemon that stores this value.
+	// The zero time means that it is not known.
 	ConfirmedAt time.Time
+	// HeartbeatAt is when the last heartbeat was received.
 	HeartbeatAt time.Time
-	// LeavingSince is when it was first heard to leave; zero if it does not.
+	// LeavingSince is when the first heartbeat with StateLeaving was received.
+	// It is zero if the daemon is not leaving.
 	LeavingSince time.Time
-	// GossipAddresses are peers addresses of some daemons that it hears.
+	// GossipAddresses are the peers addresses of some of the daemons from which
+	// this daemon receives heartbeats.
 	GossipAddresses []string
 }
 
-// Table holds the members that this daemon hears of, without itself.
+// Table holds the members from which this daemon receives heartbeats. It does
+// not contain this daemon.
 type Table struct {
 	members map[string]Member
-	// byAddress names the instance last heard at each peers address.
-	byAddress map[string]string
-	lastHeard time.Time
+	// instanceByAddress holds the instance that last sent a heartbeat from each
+	// peers address.
+	instanceByAddress map[string]string
+	lastHeartbeat     time.Time
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{members: map[string]Member{}, byAddress: map[string]string{}} }
+func NewTable() *Table {
+	return &Table{members: map[string]Member{}, instanceByAddress: map[string]string{}}
+}
 
-// Update notes a member's own account of itself. An account that arrives after
-// a newer one of the same instance is dropped; a new instance on the same
-// host replaces the old one. It reports whether the account is the newest.
+// Update applies the state that a member sent about itself, and reports whether
+// it was applied. It ignores a state that arrives after a newer one of the same
+// instance, and a new member if the table is full. A new instance replaces the
+// previous instance on the same host.
 func (t *Table) Update(m Member, now time.Time) bool {
 	if old, ok := t.members[m.Instance]; ok && old.Sequence >= m.Sequence {
 		return false
 	}
 	if _, known := t.members[m.Instance]; !known {
-		t.replace(m)
+		t.removePredecessor(m)
 		if len(t.members) >= maxContacts {
 			return false
 		}
@@ -102,25 +119,27 @@
 		m.LeavingSince = now
 	}
 	t.members[m.Instance] = m
-	t.byAddress[m.PeerAddress] = m.Instance
-	t.lastHeard = now
+	t.instanceByAddress[m.PeerAddress] = m.Instance
+	t.lastHeartbeat = now
 	return true
 }
 
-// replace drops the instance that had a member's address before: it is
-// certainly dead. One that is merely silent is remembered until RemoveExpired, since
-// it may be paused.
-func (t *Table) replace(by Member) {
-	old, ok := t.byAddress[by.PeerAddress]
-	if ok && by.PeerAddress != "" && t.members[old].Host == by.Host {
+// removePredecessor removes the instance that had the address of successor
+// before: two instances cannot share a host's address, so the previous one has
+// stopped. An instance that is merely unresponsive is kept until RemoveExpired,
+// because it may be paused.
+func (t *Table) removePredecessor(successor Member) {
+	old, ok := t.instanceByAddress[successor.PeerAddress]
+	if ok && successor.PeerAddress != "" && t.members[old].Host == successor.Host {
 		delete(t.members, old)
 	}
 }
 
-// LastHeartbeat is when any member was heard last; zero if none ever was.
-func (t *Table) LastHeartbeat() time.Time { return t.lastHeard }
+// LastHeartbeat returns when the last heartbeat of any member was received, or
+// zero if there was none.
+func (t *Table) LastHeartbeat() time.Time { return t.lastHeartbeat }
 
-// All returns every member that is remembered, by instance.
+// All returns all members, including unresponsive ones, ordered by instance.
 func (t *Table) All() []Member {
 	var all []Member
 	for _, instance := range slices.Sorted(maps.Keys(t.members)) {
@@ -129,18 +148,20 @@
 	return all
 }
 
-// RemoveExpired drops members that have been silent for longer than after.
+// RemoveExpired removes members that have sent no heartbeat for longer than
+// after.
 func (t *Table) RemoveExpired(now time.Time, after time.Duration) {
 	maps.DeleteFunc(t.members, func(_ string, m Member) bool {
 		return now.Sub(m.HeartbeatAt) > after
 	})
-	maps.DeleteFunc(t.byAddress, func(_, instance string) bool {
+	maps.DeleteFunc(t.instanceByAddress, func(_, instance string) bool {
 		_, known := t.members[instance]
 		return !known
 	})
 }
 
-// Live returns the members heard within MemberTimeout, by instance.
+// Live returns the members that sent a heartbeat within MemberTimeout, ordered
+// by instance.
 func (t *Table) Live(now time.Time) []Member {
 	var live []Member
 	for _, instance := range slices.Sorted(maps.Keys(t.members)) {
@@ -151,7 +172,7 @@
 	return live
 }
 
-// Find returns a member by its instance.
+// Find returns the member with the given instance.
 func (t *Table) Find(instance string) (Member, bool) {
 	m, ok := t.members[instance]
 	return m, ok
