--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// An operator submits a configuration with several mistakes. All of them come
-// back at once, each with its path and line, and nothing is taken over.
+// An operator submits a configuration with several mistakes. All of them must
+// be reported at once, each with its path and line, and none of the
+// configuration may be applied.
 func TestParseReportsEveryFault(t *testing.T) {
 	g := NewWithT(t)
 	_, err := config.Parse("c.jsonc", []byte(`{
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,34 +6,38 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidRecord says that the stored value cannot be read.
+// ErrInvalidRecord means that the stored value cannot be decoded.
 var ErrInvalidRecord = errors.New("config: stored record cannot be read")
 
-// ErrNotApplied says that this submission certainly did not take effect. An
-// earlier one with the same change id may have.
+// ErrNotApplied means that this submission certainly did not take effect. An
+// earlier submission with the same change id may have taken effect.
 var ErrNotApplied = errors.New("config: change not applied")
 
-// ErrOutcomeUnknown says that a change may or may not have taken effect; ask
-// for its change id.
+// ErrOutcomeUnknown means that a change may or may not have taken effect. The
+// outcome can be queried by its change id.
 var ErrOutcomeUnknown = errors.New("config: outcome of the change unknown")
 
-// ErrUnknownChange says that no recent change has this id.
+// ErrUnknownChange means that no recent change has the given id.
 var ErrUnknownChange = errors.New("config: no recent change with this id")
 
-// ErrStoreBehind says that the store holds a lower version than is in force:
-// it has lost data. A change on top of it would never come into force.
+// ErrStoreBehind means that the version in the store is lower than the active
+// one, because the store has lost data. A change based on it would never become
+// active.
 var ErrStoreBehind = errors.New("config: the store is behind the version in force")
 
-// StaleError refuses a change that was built on an old version.
+// StaleError rejects a change that is based on a version other than the current
+// one.
 type StaleError struct {
-	// Base is the version the change was built on, Current the one in the store.
+	// Base is the version on which the change is based, Current the version in
+	// the store.
 	Base, Current uint64
-	// Conflicts are JSON pointers that the change writes and that were
-	// written since Base. It may be empty: the base is stale all the same.
+	// Conflicts are the JSON pointers that the change writes and that were also
+	// written since Base. The list may be empty: a change on an old base is
+	// rejected even without conflicts.
 	Conflicts []string
-	// HistoryTruncated says that the change that followed Base is no longer among
-	// the recent ones: whether an earlier submission of the same change took
-	// effect cannot be told any more.
+	// HistoryTruncated means that the change that followed Base is no longer
+	// among the recent changes, so it cannot be determined whether an earlier
+	// submission of this change took effect.
 	HistoryTruncated bool
 }
 
@@ -48,10 +52,10 @@
 	return text
 }
 
-// ReusedIDError refuses a change id that names another change already.
+// ReusedIDError rejects a change whose id already belongs to another change.
 type ReusedIDError struct {
 	ID string
-	// Version that the other change made.
+	// Version is the version that the other change produced.
 	Version uint64
 }
 
@@ -59,10 +63,10 @@
 	return fmt.Sprintf("config: change id %s belongs to another change, which made version %d", e.ID, e.Version)
 }
 
-// TooLargeError refuses a change that makes the record exceed what the store
-// holds.
+// TooLargeError rejects a change because the record would exceed the size limit
+// of the store.
 type TooLargeError struct {
-	// Bytes is the record's size with the change, Limit the store's bound.
+	// Bytes is the size of the record with the change, Limit the maximum size.
 	Bytes, Limit int
 }
 
--- a/internal/config/quotas.go
+++ b/internal/config/quotas.go
@@ -5,77 +5,79 @@
 	"slices"
 )
 
-// windowBurst is the part of a cap that is given as burst, the rest as rate:
-// rate times one second plus burst is then the cap, so that no window of a
-// second exceeds it.
-const windowBurst = 0.1
+// burstFraction is the fraction of a cap that is used as burst. The remainder
+// is used as rate, so that rate times one second plus burst equals the cap, and
+// no window of one second exceeds it.
+const burstFraction = 0.1
 
-// Quota is something that counts over the whole fleet, besides customers: a
-// link, the cap of a shift or a drain, the limit of a region.
+// Quota is a limit over the whole fleet that does not belong to a customer: the
+// capacity of a link, the cap of a shift or a drain, or the limit of a region.
 type Quota struct {
 	Name string
-	// Rate per second and Burst, in requests, or bits for links.
+	// Rate (per second) and Burst are in requests, or in bits for links.
 	Rate, Burst float64
-	// Zones whose slots it is cut over.
+	// Zones are the zones over whose slots the quota is divided.
 	Zones []string
 }
 
-// ShiftQuota names the cap of (service, from, to).
+// ShiftQuota returns the name of the quota of shifts of (service, from, to).
 func ShiftQuota(service, from, to string) string { return "shift/" + service + "/" + from + "/" + to }
 
-// LinkQuota names the quota of the link from one region to another.
+// LinkQuota returns the name of the quota of the link between two regions.
 func LinkQuota(from, to string) string { return "link/" + from + "/" + to }
 
-// RegionQuota names the limit of a region.
+// RegionQuota returns the name of the quota of a region's request limit.
 func RegionQuota(region string) string { return "region/" + region }
 
-// DrainQuota names the cap of a drain.
+// DrainQuota returns the name of the quota of a drain.
 func DrainQuota(kind DrainKind, target string) string { return "drain/" + string(kind) + "/" + target }
 
-// Quotas lists every quota besides the customers', by name. Shifts and links
-// are cut over the zones of the sending region, since its daemons spend them.
+// Quotas returns all quotas other than those of customers, ordered by name. The
+// quotas of shifts and links are divided over the zones of the sending region,
+// because its daemons spend them.
 func (c *Config) Quotas() []Quota {
-	var qs []Quota
+	var quotas []Quota
 	for _, l := range c.Links {
-		qs = append(qs, Quota{
+		quotas = append(quotas, Quota{
 			Name: LinkQuota(l.From, l.To), Zones: c.zonesOf(l.From),
-			Rate: l.BitsPerSecond * (1 - windowBurst), Burst: l.BitsPerSecond * windowBurst,
+			Rate: l.BitsPerSecond * (1 - burstFraction), Burst: l.BitsPerSecond * burstFraction,
 		})
 	}
 	for service := range c.Services {
 		for from := range c.Regions {
 			for to := range c.Regions {
 				if from != to {
-					qs = append(qs, capped(ShiftQuota(service, from, to), c.ShiftCap(service, from, to), c.zonesOf(from)))
+					quotas = append(quotas, newQuota(ShiftQuota(service, from, to), c.ShiftCap(service, from, to), c.zonesOf(from)))
 				}
 			}
 		}
 	}
 	for name, r := range c.Regions {
 		if r.MaxRequestsPerSecond > 0 {
-			qs = append(qs, capped(RegionQuota(name), r.MaxRequestsPerSecond, c.zonesOf(name)))
+			quotas = append(quotas, newQuota(RegionQuota(name), r.MaxRequestsPerSecond, c.zonesOf(name)))
 		}
 	}
 	for _, d := range c.Drains {
 		if d.CapPerSecond > 0 {
-			qs = append(qs, capped(DrainQuota(d.Kind, d.Target), d.CapPerSecond, c.drainZones(d)))
+			quotas = append(quotas, newQuota(DrainQuota(d.Kind, d.Target), d.CapPerSecond, c.drainZones(d)))
 		}
 	}
-	slices.SortFunc(qs, func(x, y Quota) int {
+	slices.SortFunc(quotas, func(x, y Quota) int {
 		if x.Name < y.Name {
 			return -1
 		}
 		return 1
 	})
-	return qs
+	return quotas
 }
 
-func capped(name string, perSecond float64, zones []string) Quota {
-	return Quota{Name: name, Rate: perSecond * (1 - windowBurst), Burst: perSecond * windowBurst, Zones: zones}
+func newQuota(name string, perSecond float64, zones []string) Quota {
+	return Quota{Name: name, Rate: perSecond * (1 - burstFraction), Burst: perSecond * burstFraction, Zones: zones}
 }
 
-// ShiftCap is the cap of all requests of a service that start in a region and
-// run in another, per second: the lowest that a move names, else the service's.
+// ShiftCap returns the maximum number of requests per second of a service that
+// start in one region and run in another: the lowest cap of the moves between
+// these regions, or the service's own cap if there are none.
 func (c *Config) ShiftCap(service, from, to string) float64 {
 	lowest := 0.0
 	for _, m := range c.Moves {
@@ -89,7 +91,7 @@
 	return c.Services[service].ShiftCapPerSecond
 }
 
-// zonesOf lists a region's zones in order.
+// zonesOf returns the zones of a region in order.
 func (c *Config) zonesOf(region string) []string {
 	var zones []string
 	for _, z := range slices.Sorted(maps.Keys(c.Zones)) {
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -12,50 +12,55 @@
 	"balsambarrow/internal/jsonc"
 )
 
-// Bounds of what a Record keeps of its recent changes.
+// Limits of the recent changes stored in a Record.
 const (
-	// MaxChanges is more than can be submitted (6,200 a day is one in 14 s)
-	// while a lost answer is being settled, and a quarter of an hour of them.
+	// MaxChanges is the number of recent changes kept. At 6,200 changes a day,
+	// one every 14 s, it covers a quarter of an hour. That is more than can be
+	// submitted while the outcome of a write with a lost response is
+	// determined.
 	MaxChanges = 64
-	// MaxStoredPatchBytes is the largest patch kept whole, in bytes: any drain, move,
-	// key or customer. MaxChanges of them take an eighth of the store's limit.
+	// MaxStoredPatchBytes is the size of the largest patch that is stored in
+	// full. Any patch of one drain, move, key or customer fits. MaxChanges
+	// patches of this size take an eighth of the store's limit.
 	MaxStoredPatchBytes = 2 << 10
-	// maxKeptPaths bounds the paths kept of a larger patch.
-	maxKeptPaths = 32
+	// maxStoredPaths limits the paths stored for a larger patch.
+	maxStoredPaths = 32
 )
 
-// Record is the configuration as it lies in the store: one value.
+// Record is the stored form of the configuration: a single value in the store.
 type Record struct {
 	Version uint64 `json:"version"`
 	// Document is the configuration as plain JSON.
 	Document json.RawMessage `json:"document"`
-	// Changes are the most recent changes, newest last, MaxChanges at most.
-	// They settle a write whose answer was lost.
+	// Changes are the most recent changes, newest last, at most MaxChanges.
+	// They determine the outcome of a write whose response was lost.
 	Changes []Change `json:"changes"`
 
-	// raw is the encoded form, config the decoded document, where known.
+	// raw is the encoded form, and config the parsed document, if known.
 	raw    []byte
 	config *Config
 }
 
-// Change is one accepted change. A change based on version n makes version
-// n+1, so its place in the history is known before it is submitted.
+// Change is an accepted change. A change based on version n produces version
+// n+1, so its position in the history is known before it is submitted.
 type Change struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
-	// AtUnixMs is when the daemon that applied it submitted it.
+	// AtUnixMs is when the daemon that applied the change submitted it to the
+	// store.
 	AtUnixMs int64 `json:"at_unix_ms"`
-	// PatchSHA256 is the digest of the compact patch, in hexadecimal.
+	// PatchSHA256 is the digest of the patch without white space, in
+	// hexadecimal.
 	PatchSHA256 string `json:"patch_sha256"`
-	// Patch is what was submitted, if it is at most MaxStoredPatchBytes.
+	// Patch is the submitted patch, if its size is at most MaxStoredPatchBytes.
 	Patch json.RawMessage `json:"patch,omitempty"`
-	// Paths are the paths that a larger patch wrote; where there are more
-	// than fit, the parents of them.
+	// Paths are the paths written by a larger patch, or their parents if there
+	// are too many paths.
 	Paths []string `json:"paths,omitempty"`
 }
 
-// Activate parses and indexes the record's document. The error is a
-// jsonc.Faults value.
+// Activate parses the document of the record and builds its indexes. The error
+// wraps a jsonc.Faults value.
 func (r *Record) Activate() (*Active, error) {
 	if r.config == nil {
 		c, err := Parse("store", r.Document)
@@ -76,7 +81,8 @@
 	return raw, errors.Wrap(err, "encode record")
 }
 
-// ParseRecord reads a stored value; ErrInvalidRecord if it is none.
+// ParseRecord decodes a stored value. The error is ErrInvalidRecord if the
+// value is not a record.
 func ParseRecord(value []byte) (*Record, error) {
 	r := &Record{}
 	if err := json.Unmarshal(value, r); err != nil {
@@ -95,47 +101,51 @@
 		c.Patch = p.Merge
 		return c
 	}
-	c.Paths = coarsePaths(p.Merge)
+	c.Paths = boundedPaths(p.Merge)
 	return c
 }
 
-// patchDigest ignores white space, so that a retry may be formatted anew.
-func patchDigest(merge json.RawMessage) string {
+// patchDigest ignores white space, so that a retry may be formatted
+// differently.
+func patchDigest(patch json.RawMessage) string {
 	var compact bytes.Buffer
-	if json.Compact(&compact, merge) != nil {
+	if json.Compact(&compact, patch) != nil {
 		compact.Reset()
-		compact.Write(merge)
+		compact.Write(patch)
 	}
 	sum := sha256.Sum256(compact.Bytes())
 	return hex.EncodeToString(sum[:])
 }
 
-func coarsePaths(merge json.RawMessage) []string {
+// boundedPaths returns the paths that a patch writes, truncated to the depth at
+// which there are at most maxStoredPaths.
+func boundedPaths(patch json.RawMessage) []string {
 	for depth := maxPathDepth; depth > 0; depth-- {
-		if paths := leaves(merge, depth); len(paths) <= maxKeptPaths {
+		if paths := patchPaths(patch, depth); len(paths) <= maxStoredPaths {
 			return paths
 		}
 	}
 	return []string{""}
 }
 
-// wrote lists the paths that the change wrote.
-func (c *Change) wrote() []string {
+// writtenPaths returns the paths that the change wrote.
+func (c *Change) writtenPaths() []string {
 	if len(c.Patch) > 0 {
-		return leaves(c.Patch, maxPathDepth)
+		return patchPaths(c.Patch, maxPathDepth)
 	}
 	return c.Paths
 }
 
-// Find looks a recent change up by its id; ErrUnknownChange if there is none.
+// Find returns a recent change by its id. The error is ErrUnknownChange if
+// there is none.
 func (r *Record) Find(id string) (Change, error) {
-	if c := r.change(id); c != nil {
+	if c := r.changeByID(id); c != nil {
 		return *c, nil
 	}
 	return Change{}, errors.Wrap(ErrUnknownChange, id)
 }
 
-func (r *Record) change(id string) *Change {
+func (r *Record) changeByID(id string) *Change {
 	for i := range r.Changes {
 		if r.Changes[i].ID == id {
 			return &r.Changes[i]
@@ -144,7 +154,9 @@
 	return nil
 }
 
-func (r *Record) made(version uint64) *Change {
+// changeByVersion returns the change that produced a version, or nil if it is
+// no longer among the recent changes.
+func (r *Record) changeByVersion(version uint64) *Change {
 	for i := range r.Changes {
 		if r.Changes[i].Version == version {
 			return &r.Changes[i]
@@ -153,8 +165,9 @@
 	return nil
 }
 
-// next applies a patch. The error is a jsonc.Faults value.
-func (r *Record) next(p Patch, now time.Time) (*Record, error) {
+// withPatch returns the next version of the record, with a patch applied. The
+// error is a jsonc.Faults value.
+func (r *Record) withPatch(p Patch, now time.Time) (*Record, error) {
 	merged, err := Merge(r.Document, p.Merge)
 	if err != nil {
 		return nil, err
--- a/internal/config/repository.go
+++ b/internal/config/repository.go
@@ -10,35 +10,38 @@
 	"balsambarrow/internal/kv"
 )
 
-// StoreKey is the store's key of the one value that holds the configuration.
+// StoreKey is the store key of the single value that contains the
+// configuration.
 const StoreKey = "balsambarrow/config"
 
-// Bounds of one submission.
+// Retries of one submission.
 const (
-	// writeTries is how often the same write is sent while its outcome is
-	// unknown.
-	writeTries = 3
-	// writePause lies between two of them.
-	writePause = 50 * time.Millisecond
+	// writeAttempts is how many times the same write is sent while its outcome
+	// is unknown.
+	writeAttempts = 3
+	// writeRetryDelay is the delay between two attempts.
+	writeRetryDelay = 50 * time.Millisecond
 )
 
-// Patch is one change as an operator submits it.
+// Patch is a change as submitted by an operator.
 type Patch struct {
-	// ChangeID is chosen by the operator (a UUID) and settles lost answers.
+	// ChangeID is a UUID chosen by the operator. It identifies the change if
+	// the response was lost.
 	ChangeID string
-	// Base is the version the change was built on.
+	// Base is the version on which the change is based.
 	Base uint64
 	// Merge is a JSON Merge Patch (RFC 7396).
 	Merge json.RawMessage
-	// ActiveVersion is the version in force where the change is submitted.
+	// ActiveVersion is the active version at the daemon to which the change is
+	// submitted.
 	ActiveVersion uint64
 }
 
-// AppliedChange is a change that took effect.
+// AppliedChange is a change that has taken effect.
 type AppliedChange struct {
-	// Record is the store's, at the change's version or a later one.
+	// Record is the record in the store, at the version of the change or later.
 	Record *Record
-	// Version that the change made.
+	// Version is the version that the change produced.
 	Version uint64
 }
 
@@ -53,55 +56,56 @@
 	return &Repository{store: store, now: now}
 }
 
-// Load returns the record and its revision; a nil record and revision 0 mean
-// that none was ever written.
+// Load returns the record and its revision. A nil record with revision 0 means
+// that no configuration was ever written.
 func (r *Repository) Load(ctx context.Context) (*Record, uint64, error) {
-	e, err := r.store.Get(ctx, StoreKey)
+	item, err := r.store.Get(ctx, StoreKey)
 	if errors.Is(err, kv.ErrNotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	rec, err := ParseRecord(e.Value)
-	return rec, e.Revision, err
+	record, err := ParseRecord(item.Value)
+	return record, item.Revision, err
 }
 
-// Apply writes a change. Errors: *StaleError, *ReusedIDError, *TooLargeError,
-// jsonc.Faults, ErrStoreBehind, ErrNotApplied, ErrOutcomeUnknown. Submitting
-// an applied change again tells that it was applied and changes nothing.
+// Apply writes a change. The possible errors are *StaleError, *ReusedIDError,
+// *TooLargeError, jsonc.Faults, ErrStoreBehind, ErrNotApplied and
+// ErrOutcomeUnknown. Submitting a change again after it was applied returns the
+// applied change and writes nothing.
 func (r *Repository) Apply(ctx context.Context, p Patch) (AppliedChange, error) {
-	old, revision, err := r.Load(ctx)
+	current, revision, err := r.Load(ctx)
 	if err != nil {
 		return AppliedChange{}, errors.Wrap(ErrNotApplied, err.Error())
 	}
-	if old == nil {
-		old = &Record{Document: json.RawMessage(`{}`)}
+	if current == nil {
+		current = &Record{Document: json.RawMessage(`{}`)}
 	}
-	if old.Version < p.ActiveVersion {
-		return AppliedChange{}, errors.Wrapf(ErrStoreBehind, "version %d, in force %d", old.Version, p.ActiveVersion)
+	if current.Version < p.ActiveVersion {
+		return AppliedChange{}, errors.Wrapf(ErrStoreBehind, "version %d, in force %d", current.Version, p.ActiveVersion)
 	}
-	if applied, err := old.settle(p); applied.Record != nil || err != nil {
+	if applied, err := current.outcomeOf(p); applied.Record != nil || err != nil {
 		return applied, err
 	}
-	next, err := old.next(p, r.now())
+	next, err := current.withPatch(p, r.now())
 	if err != nil {
 		return AppliedChange{}, err
 	}
 	return r.write(ctx, next, revision, p)
 }
 
-// write sends the same write until its outcome is known. That is safe: each
-// try names the same revision, so at most one of them takes effect, and a try
-// that comes late finds another revision.
+// write sends the same write until its outcome is known. The retries are safe:
+// every attempt names the same revision, so at most one attempt takes effect,
+// and a delayed attempt finds another revision.
 func (r *Repository) write(ctx context.Context, next *Record, revision uint64, p Patch) (AppliedChange, error) {
 	if len(next.raw) > kv.MaxValueBytes {
 		return AppliedChange{}, &TooLargeError{Bytes: len(next.raw), Limit: kv.MaxValueBytes}
 	}
-	doubt := false
-	for try := range writeTries {
-		if try > 0 {
-			pause(ctx, writePause)
+	mayBeApplied := false
+	for attempt := range writeAttempts {
+		if attempt > 0 {
+			sleep(ctx, writeRetryDelay)
 		}
 		_, err := r.store.CompareAndSwap(ctx, StoreKey, revision, next.raw, 0)
 		var conflict *kv.ConflictError
@@ -109,38 +113,40 @@
 		case err == nil:
 			return AppliedChange{Record: next, Version: next.Version}, nil
 		case errors.As(err, &conflict):
-			return r.afterConflict(ctx, p, doubt)
+			return r.resolveConflict(ctx, p, mayBeApplied)
 		case errors.Is(err, kv.ErrOutcomeUnknown):
-			doubt = true
-		case !doubt:
+			mayBeApplied = true
+		case !mayBeApplied:
 			return AppliedChange{}, errors.Wrap(ErrNotApplied, err.Error())
 		}
 	}
-	return r.afterConflict(ctx, p, doubt)
+	return r.resolveConflict(ctx, p, mayBeApplied)
 }
 
-// afterConflict guards against a lost answer: the write took effect, the
-// daemon sees an error, sends it again and meets a conflict with its own
-// change. The change id in the record tells whose write it was.
-func (r *Repository) afterConflict(ctx context.Context, p Patch, doubt bool) (AppliedChange, error) {
-	rec, _, err := r.Load(ctx)
-	if err == nil && rec != nil {
-		if applied, err := rec.settle(p); applied.Record != nil || err != nil {
+// resolveConflict determines whether a conflict was caused by the change
+// itself: the write may have taken effect although its response was lost, so
+// that the retry conflicts with it. The change id in the record identifies the
+// write.
+func (r *Repository) resolveConflict(ctx context.Context, p Patch, mayBeApplied bool) (AppliedChange, error) {
+	record, _, err := r.Load(ctx)
+	if err == nil && record != nil {
+		if applied, err := record.outcomeOf(p); applied.Record != nil || err != nil {
 			return applied, err
 		}
 	}
-	if !doubt {
+	if !mayBeApplied {
 		return AppliedChange{}, errors.Wrap(ErrNotApplied, "lost against another write")
 	}
 	return AppliedChange{}, ErrOutcomeUnknown
 }
 
-// settle tells what has become of a change: applied, refused for good, or, by
-// the zero values, still open. A change based on version n could only make
-// version n+1, so whatever made that version settles it. While n is current,
-// a write may still be on its way and nothing is settled.
-func (r *Record) settle(p Patch) (AppliedChange, error) {
-	if c := r.change(p.ChangeID); c != nil {
+// outcomeOf returns whether a change was applied or is permanently rejected.
+// The zero values mean that its outcome is undecided. A change based on version
+// n can only produce version n+1, so the outcome is decided once any change has
+// produced that version. While n is current, a write may still be in flight and
+// nothing is decided.
+func (r *Record) outcomeOf(p Patch) (AppliedChange, error) {
+	if c := r.changeByID(p.ChangeID); c != nil {
 		if c.Version != p.Base+1 || c.PatchSHA256 != patchDigest(p.Merge) {
 			return AppliedChange{}, &ReusedIDError{ID: p.ChangeID, Version: c.Version}
 		}
@@ -151,11 +157,12 @@
 	}
 	return AppliedChange{}, &StaleError{
 		Base: p.Base, Current: r.Version, Conflicts: r.conflicts(p),
-		HistoryTruncated: p.Base < r.Version && r.made(p.Base+1) == nil,
+		HistoryTruncated: p.Base < r.Version && r.changeByVersion(p.Base+1) == nil,
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/internal/config/repository_test.go
+++ b/internal/config/repository_test.go
@@ -27,34 +27,34 @@
 }
 
 const (
-	base = `{"regions":{"vermont":{}},"zones":{"vt-a":{"region":"vermont"}},"services":{"lookup":{}},"upstreams":{},` +
+	baseDocument = `{"regions":{"vermont":{}},"zones":{"vt-a":{"region":"vermont"}},"services":{"lookup":{}},"upstreams":{},` +
 		`"customers":{"farm":{"rate":10,"burst":10,"keys":{"k1":{"sha256":"%064d"},"k2":{"sha256":"%064d"}}}}}`
 	rate20  = `{"customers":{"farm":{"rate":20}}}`
 	rate30  = `{"customers":{"farm":{"rate":30}}}`
 	burst20 = `{"customers":{"farm":{"burst":20}}}`
 )
 
-// bench is a repository over a stand-in that holds version 1.
-type bench struct {
-	store *standin.KVStore
-	repo  *config.Repository
+// fixture is a repository on a stand-in store that contains version 1.
+type fixture struct {
+	store      *standin.KVStore
+	repository *config.Repository
 }
 
-func (b *bench) apply(id string, version uint64, merge string) (config.AppliedChange, error) {
-	return b.repo.Apply(context.Background(), config.Patch{ChangeID: id, Base: version, Merge: json.RawMessage(merge)})
+func (f *fixture) apply(id string, version uint64, merge string) (config.AppliedChange, error) {
+	return f.repository.Apply(context.Background(), config.Patch{ChangeID: id, Base: version, Merge: json.RawMessage(merge)})
 }
 
-func (b *bench) mustApply(id string, version uint64, merge string) {
+func (f *fixture) mustApply(id string, version uint64, merge string) {
 	GinkgoHelper()
-	_, err := b.apply(id, version, merge)
+	_, err := f.apply(id, version, merge)
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func (b *bench) record() *config.Record {
+func (f *fixture) record() *config.Record {
 	GinkgoHelper()
-	rec, _, err := b.repo.Load(context.Background())
+	record, _, err := f.repository.Load(context.Background())
 	Expect(err).NotTo(HaveOccurred())
-	return rec
+	return record
 }
 
 func newClient(url string) *platform.Store {
@@ -62,55 +62,55 @@
 }
 
 var _ = Describe("a change", func() {
-	var b *bench
+	var f *fixture
 
 	BeforeEach(func() {
-		b = &bench{store: standin.NewKVStore()}
-		server := httptest.NewServer(b.store)
+		f = &fixture{store: standin.NewKVStore()}
+		server := httptest.NewServer(f.store)
 		client := newClient(server.URL)
 		DeferCleanup(func() {
 			client.Close()
 			server.Close()
 		})
-		b.repo = config.NewRepository(kv.WithTimeout(client, time.Second), time.Now)
-		b.mustApply("first", 0, fmt.Sprintf(base, 1, 2))
+		f.repository = config.NewRepository(kv.WithTimeout(client, time.Second), time.Now)
+		f.mustApply("first", 0, fmt.Sprintf(baseDocument, 1, 2))
 	})
 
-	DescribeTable("takes effect once", func(submit func() (config.AppliedChange, error), made, now uint64) {
+	DescribeTable("takes effect once", func(submit func() (config.AppliedChange, error), changeVersion, storeVersion uint64) {
 		applied, err := submit()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(applied.Version).To(Equal(made))
-		Expect(b.record().Version).To(Equal(now))
+		Expect(applied.Version).To(Equal(changeVersion))
+		Expect(f.record().Version).To(Equal(storeVersion))
 	},
-		Entry("on its base", func() (config.AppliedChange, error) { return b.apply("a", 1, rate20) }, uint64(2), uint64(2)),
+		Entry("based on the current version", func() (config.AppliedChange, error) { return f.apply("a", 1, rate20) }, uint64(2), uint64(2)),
 		Entry("submitted again", func() (config.AppliedChange, error) {
-			b.mustApply("a", 1, rate20)
-			return b.apply("a", 1, rate20)
+			f.mustApply("a", 1, rate20)
+			return f.apply("a", 1, rate20)
 		}, uint64(2), uint64(2)),
 		Entry("submitted again in another format", func() (config.AppliedChange, error) {
-			b.mustApply("a", 1, rate20)
-			return b.apply("a", 1, strings.ReplaceAll(rate20, ":", " : "))
+			f.mustApply("a", 1, rate20)
+			return f.apply("a", 1, strings.ReplaceAll(rate20, ":", " : "))
 		}, uint64(2), uint64(2)),
-		Entry("its answer lost", func() (config.AppliedChange, error) {
-			b.store.SetFaults(standin.Faults{LoseAnswers: 1})
-			return b.apply("a", 1, rate20)
+		Entry("whose response is lost", func() (config.AppliedChange, error) {
+			f.store.SetFaults(standin.Faults{LoseAnswers: 1})
+			return f.apply("a", 1, rate20)
 		}, uint64(2), uint64(2)),
 		Entry("submitted again after another operator's change", func() (config.AppliedChange, error) {
-			b.mustApply("a", 1, rate20)
-			b.mustApply("b", 2, rate30)
-			return b.apply("a", 1, rate20)
+			f.mustApply("a", 1, rate20)
+			f.mustApply("b", 2, rate30)
+			return f.apply("a", 1, rate20)
 		}, uint64(2), uint64(3)),
 	)
 
 	It("deletes a key by null and leaves the others", func() {
-		b.mustApply("a", 1, `{"customers":{"farm":{"keys":{"k1":null}}}}`)
-		active, err := b.record().Activate()
+		f.mustApply("a", 1, `{"customers":{"farm":{"keys":{"k1":null}}}}`)
+		active, err := f.record().Activate()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(active.Config.Customers["farm"].Keys).To(HaveLen(1))
 		Expect(active.Config.Customers["farm"].Rate).To(Equal(10.0))
 	})
 
-	DescribeTable("is refused and changes nothing", func(submit func() error, want any) {
+	DescribeTable("is rejected without effect", func(submit func() error, want any) {
 		err := submit()
 		Expect(err).To(HaveOccurred())
 		switch w := want.(type) {
@@ -129,123 +129,124 @@
 			Expect(errors.As(err, &faults)).To(BeTrue(), "got %v", err)
 			Expect(faults.Error()).To(ContainSubstring(w))
 		}
-		b.store.SetFaults(standin.Faults{})
-		Expect(b.record().Document).NotTo(ContainSubstring("999"))
+		f.store.SetFaults(standin.Faults{})
+		Expect(f.record().Document).NotTo(ContainSubstring("999"))
 	},
-		Entry("on a version that is no longer current", func() error {
-			b.mustApply("a", 1, rate20)
-			_, err := b.apply("b", 1, `{"customers":{"farm":{"rate":999,"burst":999}}}`)
+		Entry("based on a stale version", func() error {
+			f.mustApply("a", 1, rate20)
+			_, err := f.apply("b", 1, `{"customers":{"farm":{"rate":999,"burst":999}}}`)
 			return err
 		}, config.StaleError{Base: 1, Current: 2, Conflicts: []string{"/customers/farm/rate"}}),
-		Entry("on a stale version, writing a parent of what was written", func() error {
-			b.mustApply("a", 1, rate20)
-			_, err := b.apply("b", 1, `{"customers":null}`)
+		Entry("based on a stale version, writing a parent of a written path", func() error {
+			f.mustApply("a", 1, rate20)
+			_, err := f.apply("b", 1, `{"customers":null}`)
 			return err
 		}, config.StaleError{Base: 1, Current: 2, Conflicts: []string{"/customers"}}),
-		Entry("on a stale version, without a conflicting path", func() error {
-			b.mustApply("a", 1, burst20)
-			_, err := b.apply("b", 1, `{"customers":{"farm":{"rate":999}}}`)
+		Entry("based on a stale version, without a conflicting path", func() error {
+			f.mustApply("a", 1, burst20)
+			_, err := f.apply("b", 1, `{"customers":{"farm":{"rate":999}}}`)
 			return err
 		}, config.StaleError{Base: 1, Current: 2}),
-		Entry("on a stale version, against a large change", func() error {
-			b.mustApply("a", 1, strings.Replace(manyCustomers(config.MaxStoredPatchBytes), `"c-0"`, `"farm":{"burst":20},"c-0"`, 1))
-			_, err := b.apply("b", 1, `{"customers":{"farm":{"rate":999}}}`)
+		Entry("based on a stale version, after a large change", func() error {
+			f.mustApply("a", 1, strings.Replace(manyCustomers(config.MaxStoredPatchBytes), `"c-0"`, `"farm":{"burst":20},"c-0"`, 1))
+			_, err := f.apply("b", 1, `{"customers":{"farm":{"rate":999}}}`)
 			return err
 		}, config.StaleError{Base: 1, Current: 2, Conflicts: []string{"/customers/farm/rate"}}),
-		Entry("on a version that never was", func() error {
-			_, err := b.apply("a", 7, `{"customers":{"farm":{"rate":999}}}`)
+		Entry("based on a version that does not exist", func() error {
+			_, err := f.apply("a", 7, `{"customers":{"farm":{"rate":999}}}`)
 			return err
 		}, config.StaleError{Base: 7, Current: 1}),
-		Entry("submitted again when it is no longer among the recent ones", func() error {
-			b.mustApply("a", 1, rate20)
+		Entry("submitted again after it has left the recent changes", func() error {
+			f.mustApply("a", 1, rate20)
 			for v := uint64(2); v < 2+config.MaxChanges; v++ {
-				b.mustApply(fmt.Sprintf("c%d", v), v, burst20)
+				f.mustApply(fmt.Sprintf("c%d", v), v, burst20)
 			}
-			_, err := b.apply("a", 1, `{"services":{"lookup":{"timeout_ms":999}}}`)
+			_, err := f.apply("a", 1, `{"services":{"lookup":{"timeout_ms":999}}}`)
 			return err
 		}, config.StaleError{Base: 1, Current: 2 + config.MaxChanges, HistoryTruncated: true}),
 		Entry("with the id of another patch", func() error {
-			b.mustApply("a", 1, rate20)
-			_, err := b.apply("a", 1, `{"customers":{"farm":{"rate":999}}}`)
+			f.mustApply("a", 1, rate20)
+			_, err := f.apply("a", 1, `{"customers":{"farm":{"rate":999}}}`)
 			return err
 		}, config.ReusedIDError{ID: "a", Version: 2}),
-		Entry("with an id of another base", func() error {
-			b.mustApply("a", 1, rate20)
-			b.mustApply("b", 2, rate30)
-			_, err := b.apply("a", 3, rate20)
+		Entry("with the id of a change with another base", func() error {
+			f.mustApply("a", 1, rate20)
+			f.mustApply("b", 2, rate30)
+			_, err := f.apply("a", 3, rate20)
 			return err
 		}, config.ReusedIDError{ID: "a", Version: 2}),
 		Entry("while the store is down", func() error {
-			b.store.SetFaults(standin.Faults{Down: true})
-			_, err := b.apply("a", 1, `{"customers":{"farm":{"rate":999}}}`)
+			f.store.SetFaults(standin.Faults{Down: true})
+			_, err := f.apply("a", 1, `{"customers":{"farm":{"rate":999}}}`)
 			return err
 		}, config.ErrNotApplied),
-		Entry("on a store that lost data", func() error {
-			_, err := b.repo.Apply(context.Background(), config.Patch{
+		Entry("while the store has lost data", func() error {
+			_, err := f.repository.Apply(context.Background(), config.Patch{
 				ChangeID: "a", Base: 1, ActiveVersion: 2, Merge: json.RawMessage(`{"customers":{"farm":{"rate":999}}}`),
 			})
 			return err
 		}, config.ErrStoreBehind),
-		Entry("that names nothing there is", func() error {
-			_, err := b.apply("a", 1, `{"customers":{"farm":{"rat":999}}}`)
+		Entry("that sets an unknown field", func() error {
+			_, err := f.apply("a", 1, `{"customers":{"farm":{"rat":999}}}`)
 			return err
 		}, `/customers/farm/rat: unknown field "rat"`),
-		Entry("that leaves a key twice", func() error {
-			_, err := b.apply("a", 1, fmt.Sprintf(`{"customers":{"farm":{"keys":{"k999":{"sha256":"%064d"}}}}}`, 1))
+		Entry("that duplicates a key", func() error {
+			_, err := f.apply("a", 1, fmt.Sprintf(`{"customers":{"farm":{"keys":{"k999":{"sha256":"%064d"}}}}}`, 1))
 			return err
 		}, `customer "farm" has the same key`),
-		Entry("that names a member twice", func() error {
-			_, err := b.apply("a", 1, `{"customers":{"farm":{"rate":20},"farm":{"rate":999}}}`)
+		Entry("that contains a duplicate name", func() error {
+			_, err := f.apply("a", 1, `{"customers":{"farm":{"rate":20},"farm":{"rate":999}}}`)
 			return err
 		}, `/customers/farm: duplicate name "farm"`),
-		Entry("that is no object", func() error { _, err := b.apply("a", 1, `null`); return err }, "want an object"),
-		Entry("that is a list", func() error { _, err := b.apply("a", 1, `[999]`); return err }, "want an object"),
-		Entry("that is cut off", func() error { _, err := b.apply("a", 1, `{"customers":`); return err }, "patch:1"),
-		Entry("that is empty", func() error { _, err := b.apply("a", 1, ``); return err }, "patch:1"),
-		Entry("that has comments", func() error { _, err := b.apply("a", 1, `{ /* 999 */ }`); return err }, "want plain JSON"),
-		Entry("that is nested without end", func() error {
-			_, err := b.apply("a", 1, strings.Repeat(`{"a":`, 1<<16))
+		Entry("that is not an object", func() error { _, err := f.apply("a", 1, `null`); return err }, "want an object"),
+		Entry("that is a list", func() error { _, err := f.apply("a", 1, `[999]`); return err }, "want an object"),
+		Entry("that is truncated", func() error { _, err := f.apply("a", 1, `{"customers":`); return err }, "patch:1"),
+		Entry("that is empty", func() error { _, err := f.apply("a", 1, ``); return err }, "patch:1"),
+		Entry("that has comments", func() error { _, err := f.apply("a", 1, `{ /* 999 */ }`); return err }, "want plain JSON"),
+		Entry("that is nested too deeply", func() error {
+			_, err := f.apply("a", 1, strings.Repeat(`{"a":`, 1<<16))
 			return err
 		}, "nested too deeply"),
 	)
 
-	It("is refused with its size where the store cannot hold it", func() {
-		_, err := b.apply("a", 1, manyCustomers(kv.MaxValueBytes))
+	It("is rejected with its size if it exceeds the limit of the store", func() {
+		_, err := f.apply("a", 1, manyCustomers(kv.MaxValueBytes))
 		var tooLarge *config.TooLargeError
 		Expect(errors.As(err, &tooLarge)).To(BeTrue(), "got %v", err)
 		Expect(tooLarge.Bytes).To(BeNumerically(">", tooLarge.Limit))
-		Expect(b.record().Version).To(Equal(uint64(1)))
+		Expect(f.record().Version).To(Equal(uint64(1)))
 	})
 
-	It("is of unknown outcome, and no other, where no answer comes", func() {
-		b.store.SetFaults(standin.Faults{LoseAnswers: 1})
-		slow := config.NewRepository(&deaf{Store: kv.WithTimeout(newClient("http://127.0.0.1:1"), time.Second), rec: b.record()}, time.Now)
-		_, err := slow.Apply(context.Background(), config.Patch{ChangeID: "a", Base: 1, Merge: json.RawMessage(rate20)})
+	It("has an unknown outcome if the store confirms no write", func() {
+		f.store.SetFaults(standin.Faults{LoseAnswers: 1})
+		repository := config.NewRepository(&unresponsiveStore{Store: kv.WithTimeout(newClient("http://127.0.0.1:1"), time.Second), rec: f.record()}, time.Now)
+		_, err := repository.Apply(context.Background(), config.Patch{ChangeID: "a", Base: 1, Merge: json.RawMessage(rate20)})
 		Expect(errors.Is(err, config.ErrOutcomeUnknown)).To(BeTrue(), "got %v", err)
 	})
 })
 
-// deaf is a store that can be read and answers no write: the first may have
-// taken effect, the later ones find it unreachable.
-type deaf struct {
+// unresponsiveStore is a store that serves reads but reports no successful
+// write: the first write has an unknown outcome, and the store is unavailable
+// for later ones.
+type unresponsiveStore struct {
 	kv.Store
 	rec    *config.Record
 	writes int
 }
 
-func (d *deaf) Get(context.Context, string) (kv.Item, error) {
-	value, err := d.rec.Encode()
+func (s *unresponsiveStore) Get(context.Context, string) (kv.Item, error) {
+	value, err := s.rec.Encode()
 	return kv.Item{Revision: 1, Value: value}, err
 }
 
-func (d *deaf) CompareAndSwap(context.Context, string, uint64, []byte, uint64) (uint64, error) {
-	if d.writes++; d.writes == 1 {
+func (s *unresponsiveStore) CompareAndSwap(context.Context, string, uint64, []byte, uint64) (uint64, error) {
+	if s.writes++; s.writes == 1 {
 		return 0, kv.ErrOutcomeUnknown
 	}
 	return 0, kv.ErrUnavailable
 }
 
-// manyCustomers is a valid patch of at least so many bytes.
+// manyCustomers returns a valid patch of at least the given size in bytes.
 func manyCustomers(size int) string {
 	var s strings.Builder
 	for i := 0; s.Len() < size; i++ {
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -10,15 +10,15 @@
 	"balsambarrow/internal/kv"
 )
 
-// sizes of documents, in customers with one key each.
-var sizes = []int{100, 1000, 5000}
+// customerCounts are the document sizes, in customers with one key each.
+var customerCounts = []int{100, 1000, 5000}
 
 func document(customers int) []byte {
 	return []byte(`{"regions":{"vermont":{}},"zones":{"vt-a":{"region":"vermont"}},"services":{"lookup":{}},"upstreams":{},` +
-		manyCustomersN(customers)[1:])
+		customersPatch(customers)[1:])
 }
 
-func manyCustomersN(n int) string {
+func customersPatch(n int) string {
 	customers := map[string]config.Customer{}
 	for i := range n {
 		customers[fmt.Sprintf("customer-%d", i)] = config.Customer{
@@ -31,10 +31,10 @@
 	return string(text)
 }
 
-// BenchmarkParse is the cost of one version at each daemon: syntax, types,
-// validation.
+// BenchmarkParse measures the cost of one new version at each daemon: syntax,
+// types and validation.
 func BenchmarkParse(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range customerCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			text := document(n)
 			for b.Loop() {
@@ -47,9 +47,10 @@
 	}
 }
 
-// BenchmarkActivate is the cost of the indexes over a parsed version.
+// BenchmarkActivate measures the cost of building the indexes of a parsed
+// version.
 func BenchmarkActivate(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range customerCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c, err := config.Parse("bench", document(n))
 			if err != nil {
@@ -62,9 +63,10 @@
 	}
 }
 
-// BenchmarkMerge is the cost of one operator's patch before it is validated.
+// BenchmarkMerge measures the cost of applying one operator's patch, before
+// validation.
 func BenchmarkMerge(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range customerCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			text := document(n)
 			for b.Loop() {
@@ -76,10 +78,10 @@
 	}
 }
 
-// BenchmarkRecord is the size of the stored value with MaxChanges changes, as
-// a part of what the store holds, and the cost to read it.
+// BenchmarkRecord measures the size of the stored value with MaxChanges
+// changes, as a percentage of the store's limit, and the cost of reading it.
 func BenchmarkRecord(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range customerCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := config.Record{Version: 1, Document: document(n)}
 			for i := range config.MaxChanges {
