--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer holds the messages that daemons exchange over drpc, with their
-// generated code, and the connections they travel on. What the messages mean
-// is decided in the slice of each duty; this package only carries them.
+// Package peer contains the messages that daemons exchange over drpc, their
+// generated code, and the client and server connections. It only transports
+// messages: the packages that send and receive them define their meaning.
 package peer
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,19 +12,21 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// Bounds of what a peer may send.
+// Limits on what a peer may send.
 const (
-	// MaxMessageBytes bounds one message: a configuration value of a megabyte with
-	// its list of changes fits. A longer one ends the connection.
+	// MaxMessageBytes is the maximum size of one message. A configuration value
+	// of 1 MB with its list of changes fits. A larger message terminates the
+	// connection.
 	MaxMessageBytes = 4 << 20
-	// silenceBound ends a connection on which nothing arrives: twice the time
-	// for which the other side keeps an idle one.
-	silenceBound = 2 * idleTime
+	// serverIdleTimeout is the time without received data after which a
+	// connection is closed. It is twice the time for which a client keeps an
+	// idle connection.
+	serverIdleTimeout = 2 * idleConnTimeout
 )
 
-// Serve answers peers' calls on a listener until ctx ends. Connections on
-// which nothing arrives for silenceBound, a handshake included, are closed:
-// otherwise whoever connects and stays silent holds memory for good.
+// Serve handles calls of peers on a listener until ctx ends. The listener must
+// be based on a Listener, which closes idle connections: Serve itself sets no
+// timeout.
 func Serve(ctx context.Context, handler drpc.Handler, l net.Listener) error {
 	options := drpcserver.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
@@ -32,71 +34,75 @@
 	return drpcserver.NewWithOptions(handler, options).Serve(ctx, l)
 }
 
-// Listener closes connections on which nothing arrives, and can close all. It
-// goes below TLS, so that an unfinished handshake counts as silence.
+// Listener closes connections on which no data arrives, and can close all of
+// its connections. Without the timeout, a client that connects and sends
+// nothing would occupy memory permanently. A Listener must be placed below TLS,
+// so that the timeout also covers an unfinished handshake.
 type Listener struct {
 	net.Listener
-	silence time.Duration
+	idleTimeout time.Duration
 
-	mu   sync.Mutex
-	open map[*boundedConn]struct{}
+	mu    sync.Mutex
+	conns map[*timeoutConn]struct{}
 }
 
-// NewListener wraps a listener for peers.
-func NewListener(l net.Listener) *Listener { return newListenerWithTimeout(l, silenceBound) }
+// NewListener wraps a listener for peers, with a timeout of serverIdleTimeout.
+func NewListener(l net.Listener) *Listener { return newListenerWithTimeout(l, serverIdleTimeout) }
 
-func newListenerWithTimeout(l net.Listener, silence time.Duration) *Listener {
-	return &Listener{Listener: l, silence: silence, open: map[*boundedConn]struct{}{}}
+func newListenerWithTimeout(l net.Listener, idleTimeout time.Duration) *Listener {
+	return &Listener{Listener: l, idleTimeout: idleTimeout, conns: map[*timeoutConn]struct{}{}}
 }
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
-	raw, err := l.Listener.Accept()
+	tcpConn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	conn := &boundedConn{Conn: raw, listener: l}
+	conn := &timeoutConn{Conn: tcpConn, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open[conn] = struct{}{}
+	l.conns[conn] = struct{}{}
 	return conn, nil
 }
 
-// CloseConns closes every connection: peers make new ones, by the certificates
-// in force now. A call that is cut off counts as lost, as on any network.
+// CloseConns closes every connection, so that peers establish new ones with the
+// current certificates. A call in progress fails with an unknown outcome, as
+// after any network failure.
 func (l *Listener) CloseConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for conn := range l.open {
+	for conn := range l.conns {
 		_ = conn.Conn.Close()
 	}
-	clear(l.open)
+	clear(l.conns)
 }
 
-type boundedConn struct {
+// timeoutConn sets a deadline for every read and write.
+type timeoutConn struct {
 	net.Conn
 	listener *Listener
 }
 
 // Close implements net.Conn.
-func (c *boundedConn) Close() error {
+func (c *timeoutConn) Close() error {
 	c.listener.mu.Lock()
-	delete(c.listener.open, c)
+	delete(c.listener.conns, c)
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // Read implements net.Conn.
-func (c *boundedConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.listener.silence)); err != nil {
+func (c *timeoutConn) Read(p []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(c.listener.idleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
 // Write implements net.Conn.
-func (c *boundedConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.listener.silence)); err != nil {
+func (c *timeoutConn) Write(p []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(c.listener.idleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -11,30 +11,30 @@
 	"storj.io/drpc/drpcmux"
 )
 
-// taker counts the postings that arrive.
-type taker struct {
+// postingServer reports the number of postings in each received table.
+type postingServer struct {
 	DRPCHandoverUnimplementedServer
 	postings chan int
 }
 
-func (s *taker) TakePostings(_ context.Context, in *PostingTable) (*HandoverReply, error) {
+func (s *postingServer) TakePostings(_ context.Context, in *PostingTable) (*HandoverReply, error) {
 	s.postings <- len(in.Postings)
 	return &HandoverReply{Taken: true}, nil
 }
 
-func serve(t *testing.T, silence time.Duration) (address string, s *taker) {
+func serve(t *testing.T, idleTimeout time.Duration) (address string, s *postingServer) {
 	t.Helper()
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	s = &taker{postings: make(chan int, 8)}
+	s = &postingServer{postings: make(chan int, 8)}
 	mux := drpcmux.New()
 	g.Expect(DRPCRegisterHandover(mux, s)).To(Succeed())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = Serve(ctx, mux, newListenerWithTimeout(l, silence))
+		_ = Serve(ctx, mux, newListenerWithTimeout(l, idleTimeout))
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -44,9 +44,10 @@
 	return l.Addr().String(), s
 }
 
-// A broken or hostile peer sends a message beyond the bound, or bytes that are
-// no message. Its connection ends; other peers are served as before.
-func TestBrokenPeersEndTheirOwnConnection(t *testing.T) {
+// A faulty or malicious peer sends a message that exceeds the size limit, or
+// bytes that are not a message. Only its own connection may be closed; other
+// peers must still be served.
+func TestInvalidMessagesEndOnlyTheirConnection(t *testing.T) {
 	g := NewWithT(t)
 	address, s := serve(t, time.Minute)
 	conns := NewConns(nil, nil)
@@ -68,9 +69,9 @@
 	g.Expect(<-s.postings).To(Equal(1))
 }
 
-// Someone connects to the peers listener and stays silent. The connection must
-// not be held for good.
-func TestSilentPeersAreClosed(t *testing.T) {
+// A client connects to the peers listener and sends nothing. The connection
+// must not stay open permanently.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
 	address, _ := serve(t, 50*time.Millisecond)
 	raw, err := net.Dial("tcp", address)
@@ -81,9 +82,9 @@
 	g.Expect(err).To(MatchError(io.EOF))
 }
 
-// The fleet's authority is replaced. Connections made by the old one must not
-// go on being used.
-func TestCloseConnsEndsStandingConnections(t *testing.T) {
+// The fleet's certificate authority is replaced. Connections that were
+// authenticated with the old one must not remain in use.
+func TestCloseConnsClosesAcceptedConnections(t *testing.T) {
 	g := NewWithT(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
