--- a/internal/lookup/entries.go
+++ b/internal/lookup/entries.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// TTL is how long a caller may keep an answer. A leaving host waits as
-	// long before it stops taking connections.
+	// TTL is how long a caller may cache a response. A leaving host continues
+	// to accept connections for this long.
 	TTL = 5 * time.Second
-	// MaxEntries bounds the hosts in one answer: enough for a caller to go on
-	// when a whole zone fails within the TTL.
+	// MaxEntries limits the hosts in one response. It is large enough for a
+	// caller to continue when a whole zone fails within the TTL.
 	MaxEntries = 8
 	// FullLoad is the load from which a host is left out while others have
-	// room; the rest is for callers that hold older answers.
+	// capacity. The remaining capacity is for callers that use cached
+	// responses.
 	FullLoad = 0.9
 )
 
-// Entry is one entry host in an answer.
+// Entry is one entry host in a response.
 type Entry struct {
 	Address       string `json:"address"`
 	Zone          string `json:"zone"`
@@ -30,33 +31,36 @@
 	PostingPrefix string `json:"posting_prefix"`
 }
 
-// Response is the body of GET /v1/entries.
+// Response is the body of the response to GET /v1/entries.
 type Response struct {
 	Version uint64  `json:"version"`
 	TTLMs   int64   `json:"ttl_ms"`
 	Entries []Entry `json:"entries"`
 }
 
-// Directory holds the hosts that may be given out, by zone. It is immutable.
+// Directory contains the hosts that may be returned, by zone. It is immutable.
 type Directory struct {
 	version uint64
 	index   *Index
 	zones   map[string][]host
-	// all holds the hosts of every zone, for callers of no block.
+	// all contains the hosts of every zone, for callers outside all client
+	// blocks.
 	all []host
-	// region groups the zones, for callers whose near zones have no host.
+	// regionOf maps zones to regions, and regions contains the hosts by region.
+	// They are used for callers whose nearest zones have too few hosts.
 	regionOf map[string]string
 	regions  map[string][]host
 }
 
 type host struct {
 	entry Entry
-	// weight is the host's free part, above 0.
+	// weight is the free fraction of the host's capacity, at least minWeight.
 	weight float64
 }
 
-// NewDirectory lists the ready members, without drained and full hosts; if
-// all are full, all are listed, since an answer without hosts helps nobody.
+// NewDirectory returns a directory of the ready members without drained and
+// full hosts. If all hosts are full, it contains all of them, because an empty
+// response would leave callers without any host.
 func NewDirectory(a *config.Active, index *Index, ready []membership.Member) *Directory {
 	d := &Directory{
 		version: a.Version, index: index, zones: map[string][]host{},
@@ -86,11 +90,12 @@
 	return drained
 }
 
-const leastWeight = 0.05
+// minWeight is the weight of a host without free capacity.
+const minWeight = 0.05
 
 func (d *Directory) add(a *config.Active, m membership.Member) {
 	h := host{
-		weight: max(1-m.Load, leastWeight),
+		weight: max(1-m.Load, minWeight),
 		entry: Entry{
 			Address: m.CallerAddress, Zone: m.Zone, Instance: m.Instance,
 			PostingPrefix: posting.Prefix(m.Instance, m.PostingEpoch),
@@ -103,56 +108,58 @@
 	d.all = append(d.all, h)
 }
 
-// Entries answers a caller: the hosts of its near zones in their order, then
-// of their regions, then of all others; within each spread by weight.
+// Entries returns the hosts for a caller: those of its nearest zones in order,
+// then those of the regions of these zones, then all others. Within each group,
+// hosts are chosen at random by weight.
 func (d *Directory) Entries(caller netip.Addr, rng *rand.Rand) Response {
-	p := picker{rng: rng, entries: make([]Entry, 0, MaxEntries)}
-	near := d.index.NearestZones(caller)
-	for _, zone := range near {
-		p.take(d.zones[zone])
+	s := selection{rng: rng, entries: make([]Entry, 0, MaxEntries)}
+	zones := d.index.NearestZones(caller)
+	for _, zone := range zones {
+		s.addGroup(d.zones[zone])
 	}
-	for _, zone := range near {
-		p.take(d.regions[d.regionOf[zone]])
+	for _, zone := range zones {
+		s.addGroup(d.regions[d.regionOf[zone]])
 	}
-	p.take(d.all)
-	return Response{Version: d.version, TTLMs: TTL.Milliseconds(), Entries: p.entries}
+	s.addGroup(d.all)
+	return Response{Version: d.version, TTLMs: TTL.Milliseconds(), Entries: s.entries}
 }
 
-// picker collects entries without repeating one.
-type picker struct {
+// selection collects entries without duplicates.
+type selection struct {
 	rng     *rand.Rand
 	entries []Entry
 }
 
-// tries bounds the draws for one place: enough for the weights to show, few
-// enough that a large group costs no more than a small one.
-const tries = 4
+// drawsPerEntry limits the number of hosts considered for each entry. It is
+// large enough for the weights to take effect, and small enough that a large
+// group costs no more than a small one.
+const drawsPerEntry = 4
 
-// take adds hosts of a group until the answer is full or the group is used up.
-// It walks the group from a random start and passes a loaded host over with
-// the probability of its load.
-func (p *picker) take(group []host) {
+// addGroup adds hosts of a group until the response is full or the group is
+// exhausted. It iterates over the group from a random start and skips each host
+// with a probability equal to its load. A second pass does not skip any.
+func (s *selection) addGroup(group []host) {
 	n := len(group)
-	if n == 0 || len(p.entries) == MaxEntries {
+	if n == 0 || len(s.entries) == MaxEntries {
 		return
 	}
-	start := p.rng.IntN(n)
-	for _, second := range []bool{false, true} {
-		for i := 0; i < n && i < MaxEntries*tries && len(p.entries) < MaxEntries; i++ {
+	start := s.rng.IntN(n)
+	for _, ignoreWeight := range []bool{false, true} {
+		for i := 0; i < n && i < MaxEntries*drawsPerEntry && len(s.entries) < MaxEntries; i++ {
 			h := &group[(start+i)%n]
-			if !second && p.rng.Float64() > h.weight {
+			if !ignoreWeight && s.rng.Float64() > h.weight {
 				continue
 			}
-			p.add(&h.entry)
+			s.add(&h.entry)
 		}
 	}
 }
 
-func (p *picker) add(e *Entry) {
-	for i := range p.entries {
-		if p.entries[i].Instance == e.Instance {
+func (s *selection) add(e *Entry) {
+	for i := range s.entries {
+		if s.entries[i].Instance == e.Instance {
 			return
 		}
 	}
-	p.entries = append(p.entries, *e)
+	s.entries = append(s.entries, *e)
 }
--- a/internal/lookup/index.go
+++ b/internal/lookup/index.go
@@ -11,18 +11,18 @@
 	"balsambarrow/internal/config"
 )
 
-// Index finds the zones nearest to a caller. It is immutable.
+// Index maps callers to their nearest zones. It is immutable.
 type Index struct {
-	// blocks maps a client block to a place in orders: many blocks share few
-	// orders of zones.
-	blocks *bart.Table[uint32]
-	orders [][]string
+	// blocks maps a client block to an index into zoneLists. Many blocks share
+	// the same list of zones.
+	blocks    *bart.Table[uint32]
+	zoneLists [][]string
 }
 
-// NewIndex indexes the client blocks of a configuration.
+// NewIndex builds the index of the client blocks of a configuration.
 func NewIndex(c *config.Config) *Index {
 	ix := &Index{blocks: &bart.Table[uint32]{}}
-	places := map[string]uint32{}
+	listIndexes := map[string]uint32{}
 	for _, block := range slices.Sorted(maps.Keys(c.ClientBlocks)) {
 		prefix, err := netip.ParsePrefix(block)
 		if err != nil {
@@ -30,23 +30,23 @@
 		}
 		zones := c.ClientBlocks[block]
 		key := strings.Join(zones, ",")
-		place, known := places[key]
-		if !known {
-			place = uint32(len(ix.orders))
-			places[key] = place
-			ix.orders = append(ix.orders, zones)
+		listIndex, exists := listIndexes[key]
+		if !exists {
+			listIndex = uint32(len(ix.zoneLists))
+			listIndexes[key] = listIndex
+			ix.zoneLists = append(ix.zoneLists, zones)
 		}
-		ix.blocks.Insert(prefix.Masked(), place)
+		ix.blocks.Insert(prefix.Masked(), listIndex)
 	}
 	return ix
 }
 
-// NearestZones returns the zones nearest to a caller, nearest first; nil if no client
-// block holds it.
+// NearestZones returns the zones nearest to a caller, nearest first, or nil if
+// no client block contains the address.
 func (ix *Index) NearestZones(caller netip.Addr) []string {
-	place, ok := ix.blocks.Lookup(caller)
+	listIndex, ok := ix.blocks.Lookup(caller)
 	if !ok {
 		return nil
 	}
-	return ix.orders[place]
+	return ix.zoneLists[listIndex]
 }
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-func entries(c *config.Config, ms []membership.Member, caller string, rng *rand.Rand) []string {
-	d := lookup.NewDirectory(config.NewActive(1, c), lookup.NewIndex(c), ms)
+func entries(c *config.Config, members []membership.Member, caller string, rng *rand.Rand) []string {
+	d := lookup.NewDirectory(config.NewActive(1, c), lookup.NewIndex(c), members)
 	var names []string
 	for _, e := range d.Entries(netip.MustParseAddr(caller), rng).Entries {
 		names = append(names, e.Instance)
@@ -39,39 +39,39 @@
 	return names
 }
 
-func TestOrderOfEntries(t *testing.T) {
+func TestEntriesAreOrderedByDistance(t *testing.T) {
 	ms := []membership.Member{host("vt-a1", "vt-a", 0), host("vt-b1", "vt-b", 0), host("me-a1", "me-a", 0), host("me-b1", "me-b", 0)}
 	for name, tc := range map[string]struct {
 		caller string
 		change func(c *config.Config, ms []membership.Member) []membership.Member
 		want   []string
 	}{
-		"the longest block decides":    {caller: "10.1.2.3", want: []string{"vt-a1", "vt-b1"}},
-		"a wider block":                {caller: "10.2.2.3", want: []string{"me-a1", "me-b1"}},
-		"near zone without hosts":      {caller: "10.1.2.3", want: []string{"vt-b1"}, change: without("vt-a1")},
-		"near region without hosts":    {caller: "10.2.2.3", want: []string{}, change: without("me-a1", "me-b1")},
+		"the longest matching block":   {caller: "10.1.2.3", want: []string{"vt-a1", "vt-b1"}},
+		"a shorter prefix":             {caller: "10.2.2.3", want: []string{"me-a1", "me-b1"}},
+		"nearest zone without hosts":   {caller: "10.1.2.3", want: []string{"vt-b1"}, change: without("vt-a1")},
+		"nearest region without hosts": {caller: "10.2.2.3", want: []string{}, change: without("me-a1", "me-b1")},
 		"a full host is left out":      {caller: "10.1.2.3", want: []string{"vt-b1"}, change: replace(host("vt-a1", "vt-a", 0.95))},
 		"a drained host is left out":   {caller: "10.1.2.3", want: []string{"vt-b1"}, change: drain("vt-a1")},
 		"an address outside any block": {caller: "192.0.2.1", want: []string{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			c, now := fourZones(), append([]membership.Member(nil), ms...)
+			c, members := fourZones(), append([]membership.Member(nil), ms...)
 			if tc.change != nil {
-				now = tc.change(c, now)
+				members = tc.change(c, members)
 			}
-			got := entries(c, now, tc.caller, rand.New(rand.NewPCG(1, 1)))
+			got := entries(c, members, tc.caller, rand.New(rand.NewPCG(1, 1)))
 			g.Expect(len(got)).To(BeNumerically(">=", len(tc.want)))
 			g.Expect(got[:len(tc.want)]).To(Equal(tc.want))
-			g.Expect(got).To(HaveLen(len(left(c, now))))
+			g.Expect(got).To(HaveLen(len(eligible(c, members))))
 		})
 	}
 }
 
-// left are the members that may be given out.
-func left(c *config.Config, ms []membership.Member) []membership.Member {
+// eligible returns the members that may be returned to callers.
+func eligible(c *config.Config, members []membership.Member) []membership.Member {
 	var out []membership.Member
-	for _, m := range ms {
+	for _, m := range members {
 		if _, drained := c.Drains[m.Host]; !drained && m.Load < lookup.FullLoad {
 			out = append(out, m)
 		}
@@ -115,17 +115,18 @@
 	}
 }
 
-// Every host of the fleet is full. Callers must still be given hosts: an
-// answer without any would turn an overload into an outage.
-func TestAllFullHostsAreListedAllTheSame(t *testing.T) {
+// Every host of the fleet is full. Callers must still receive hosts, because an
+// empty response would turn an overload into an outage.
+func TestFullHostsAreListedIfAllAreFull(t *testing.T) {
 	g := NewWithT(t)
 	ms := []membership.Member{host("a", "vt-a", 1), host("b", "vt-b", 1)}
 	g.Expect(entries(fourZones(), ms, "10.1.2.3", rand.New(rand.NewPCG(1, 1)))).To(HaveLen(2))
 }
 
-// A block's callers all ask within a second. The first place must be spread
-// over the zone's hosts, and a loaded host must get less of it.
-func TestFirstPlaceIsSpreadByLoad(t *testing.T) {
+// All callers of a block send a lookup within one second. The first entry must
+// be distributed over the hosts of the zone, and a loaded host must be first
+// less often.
+func TestFirstEntryIsDistributedByLoad(t *testing.T) {
 	g := NewWithT(t)
 	ms := []membership.Member{host("idle1", "vt-a", 0), host("idle2", "vt-a", 0), host("busy", "vt-a", 0.8)}
 	rng, first := rand.New(rand.NewPCG(7, 7)), map[string]int{}
@@ -137,8 +138,9 @@
 	g.Expect(first["busy"]).To(BeNumerically("<", 600))
 }
 
-// fleetOf makes blocks client blocks over zones zones, and hosts hosts.
-func fleetOf(blocks, zones, hosts int) (*config.Config, []membership.Member) {
+// newFleet returns a configuration with the given numbers of client blocks and
+// zones, and members for the given number of hosts.
+func newFleet(blocks, zones, hosts int) (*config.Config, []membership.Member) {
 	c := &config.Config{Zones: map[string]config.Zone{}, ClientBlocks: map[string][]string{}}
 	zone := func(i int) string { return fmt.Sprintf("zone-%d", i%zones) }
 	for i := range zones {
@@ -158,7 +160,7 @@
 func BenchmarkEntries(b *testing.B) {
 	for _, blocks := range []int{3_800, 38_000, 380_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
-			c, ms := fleetOf(blocks, 145, 2300)
+			c, ms := newFleet(blocks, 145, 2300)
 			d := lookup.NewDirectory(config.NewActive(1, c), lookup.NewIndex(c), ms)
 			rng := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
@@ -173,7 +175,7 @@
 func BenchmarkNewIndex(b *testing.B) {
 	for _, blocks := range []int{3_800, 38_000, 380_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
-			c, _ := fleetOf(blocks, 145, 1)
+			c, _ := newFleet(blocks, 145, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				lookup.NewIndex(c)
@@ -185,7 +187,7 @@
 func BenchmarkNewDirectory(b *testing.B) {
 	for _, hosts := range []int{10, 230, 2300} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			c, ms := fleetOf(100, 145, hosts)
+			c, ms := newFleet(100, 145, hosts)
 			a, ix := config.NewActive(1, c), lookup.NewIndex(c)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/lookup/measure_test.go
+++ b/internal/lookup/measure_test.go
@@ -8,15 +8,16 @@
 	"balsambarrow/internal/lookup"
 )
 
-// What the index of client blocks keeps in memory, beside the configuration
-// that it was made from: a slope of docs/CAPACITY.md.
+// TestMeasureIndexMemory measures the memory of the index of client blocks,
+// without the configuration from which it is built. docs/CAPACITY.md uses the
+// growth per block.
 func TestMeasureIndexMemory(t *testing.T) {
 	if os.Getenv("BALSAM_MEASURE") == "" {
 		t.Skip("set BALSAM_MEASURE=1 to measure")
 	}
 	for _, blocks := range []int{38_000, 95_000, 190_000, 380_000} {
 		empty := heap()
-		c, _ := fleetOf(blocks, 145, 1)
+		c, _ := newFleet(blocks, 145, 1)
 		declared := heap()
 		index := lookup.NewIndex(c)
 		indexed := heap()
