--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -8,45 +8,48 @@
 )
 
 const (
-	// maxConfigurationAge is the age of the configuration up to which the host counts as
-	// ready: a watch and a slow answer, and less than keys are accepted for.
+	// maxConfigurationAge is the highest age of the confirmed configuration at which the host
+	// is ready. It allows for one watch and one slow response of the store, and is below the
+	// age up to which API keys are accepted.
 	maxConfigurationAge = 3300 * time.Millisecond
-	// deactivateAfter is how long others must have been enough before a host stops to
-	// take callers: at a start and after a cut, heartbeats of all hosts come
-	// within a second or two.
+	// deactivateAfter is how long this host must not have been selected as an active host
+	// before it becomes a standby. After a start or a network partition, the heartbeats of all
+	// hosts arrive within one or two seconds.
 	deactivateAfter = 4 * time.Second
-	// activationEvery is the least time between two decisions on it; each looks at all hosts
-	// of the region.
-	activationEvery = 100 * time.Millisecond
+	// activationInterval is the least time between two activation decisions. Each decision goes
+	// through all hosts of the region.
+	activationInterval = 100 * time.Millisecond
 )
 
-// activation is whether this host takes callers.
+// activation is the decision whether this host is an active host, that is, whether callers are
+// directed to it. A host that is not active is a standby.
 type activation struct {
-	// active says that this host is one of those that should.
-	active   bool
-	activeAt time.Time
-	// decidedAt is when that was decided last, and basis what it went by beside the
-	// load of the hosts.
+	// active is the decision in force, and lastSelectedAt is when this host was last selected
+	// as one of the active hosts.
+	active         bool
+	lastSelectedAt time.Time
+	// decidedAt is when the decision was last made, and inputs is what it depended on, apart
+	// from the load of the hosts.
 	decidedAt time.Time
-	basis     basis
+	inputs    activationInputs
 }
 
-type basis struct {
-	members       uint64
-	able, leaving bool
+type activationInputs struct {
+	membersGeneration uint64
+	able, leaving     bool
 }
 
-// canServe tells whether the host could take callers at once.
+// canServe reports whether the host could serve callers now.
 func (c *control) canServe(now time.Time) bool {
-	known := c.catalog != nil && c.listed
-	return known && !c.leaving && now.Sub(c.confirmedAt) < maxConfigurationAge
+	loaded := c.catalog != nil && c.listed
+	return loaded && !c.leaving && now.Sub(c.confirmedAt) < maxConfigurationAge
 }
 
-// setReady decides whether callers may be sent here.
-func (c *control) setReady(now time.Time, heard []fleet.Member) {
-	c.decideActivation(now, heard)
+// updateReady decides whether callers may be directed to this host.
+func (c *control) updateReady(now time.Time, peers []fleet.Member) {
+	c.decideActivation(now, peers)
 	able := c.canServe(now)
-	// A host that stands by serves whoever comes.
+	// A standby reports itself ready too, because it serves callers that connect to it anyway.
 	c.d.ready.Store(able)
 	ready := c.activation.active && able
 	if ready == c.ready {
@@ -55,51 +58,53 @@
 	c.ready = ready
 	c.members.SetReady(ready)
 	if ready {
-		c.restoreSnapshotAgain(now)
+		c.rereadSnapshot(now)
 	}
-	// The others should know at once.
+	// Peers must learn of the change without delay.
 	c.announceToAll(now)
 	c.d.events.Info("ready", "ready", ready, "active", c.activation.active, "version", c.version(), "age", now.Sub(c.confirmedAt),
 		"leaving", c.leaving, "upstreams", c.d.table.Size(), "hosts", c.members.Count())
 }
 
-// decideActivation decides whether this host should take callers.
-func (c *control) decideActivation(now time.Time, heard []fleet.Member) {
-	if !c.knowsOthers(now) {
+// decideActivation decides whether this host should be active.
+func (c *control) decideActivation(now time.Time, peers []fleet.Member) {
+	if !c.knowsPeers(now) {
 		return
 	}
 	d := &c.activation
-	next := basis{c.members.Generation(), c.canServe(now), c.leaving}
+	next := activationInputs{c.members.Generation(), c.canServe(now), c.leaving}
 	since := now.Sub(d.decidedAt)
-	// What this host itself can do shows at once.
-	own := next.able != d.basis.able || next.leaving != d.basis.leaving
-	if !own && (since < activationEvery || next == d.basis && since < reviewEvery) {
+	// A change of this host's own ability is applied without delay.
+	ownChanged := next.able != d.inputs.able || next.leaving != d.inputs.leaving
+	if !ownChanged && (since < activationInterval || next == d.inputs && since < reviewInterval) {
 		return
 	}
-	d.decidedAt, d.basis = now, next
-	if c.shouldBeActive(now, heard) {
-		d.activeAt = now
+	d.decidedAt, d.inputs = now, next
+	if c.shouldBeActive(now, peers) {
+		d.lastSelectedAt = now
 	}
-	wanted := now.Sub(d.activeAt) < deactivateAfter
-	if wanted != d.active {
-		c.d.events.Info("activation", "takes_callers", wanted, "hosts", c.members.Count())
+	stayActive := now.Sub(d.lastSelectedAt) < deactivateAfter
+	if stayActive != d.active {
+		c.d.events.Info("activation", "takes_callers", stayActive, "hosts", c.members.Count())
 	}
-	d.active = wanted
+	d.active = stayActive
 }
 
-// knowsOthers tells whether the host can tell if it is needed: right after its start it
-// knows only itself, and every host would take callers.
-func (c *control) knowsOthers(now time.Time) bool {
-	return c.listed && (c.registration.lease > 0 || now.Sub(c.d.startedAt) >= registerWithin)
+// knowsPeers reports whether the host knows enough peers to decide whether it must be active.
+// Right after its start a host knows only itself, so without this check every host would become
+// active.
+func (c *control) knowsPeers(now time.Time) bool {
+	return c.listed && (c.registration.lease > 0 || now.Sub(c.d.startedAt) >= registrationTimeout)
 }
 
-// shouldBeActive tells whether this host is one of those that take callers, by what is
-// known of all. Where no host is able, as in an outage of the store, those go on
-// that would be the first to be able again.
-func (c *control) shouldBeActive(now time.Time, heard []fleet.Member) bool {
+// shouldBeActive reports whether this host is one of the active hosts, judged by everything
+// known about the region. If no host can serve, as during a store outage, it selects among all
+// hosts as if all could serve, because the selected hosts would be the first to be able to
+// serve again.
+func (c *control) shouldBeActive(now time.Time, peers []fleet.Member) bool {
 	self := standby.Host{
 		Instance: c.d.self.Instance, Zone: c.d.self.Zone, Region: c.d.self.Region,
-		Capacity: c.d.capacity(), Load: c.d.meter.last(),
+		Capacity: c.d.capacity(), Load: c.d.meter.latest(),
 	}
 	var able, all []standby.Host
 	if c.canServe(now) {
@@ -108,7 +113,7 @@
 	if !c.leaving {
 		all = append(all, self)
 	}
-	for _, m := range c.others(heard) {
+	for _, m := range c.knownPeers(peers) {
 		if m.Leaving || m.Region != self.Region {
 			continue
 		}
@@ -118,8 +123,9 @@
 			able = append(able, h)
 		}
 	}
-	// Who should take callers if all were able may spend, so it registers as such.
-	c.d.spends.Store(c.activation.active || standby.Active(all, self.Region)[self.Instance])
+	// A host that would be active if all hosts could serve may hold rate shares, so it
+	// registers as a host that holds them.
+	c.d.wantsShares.Store(c.activation.active || standby.Active(all, self.Region)[self.Instance])
 	active := standby.Active(able, self.Region)
 	if len(active) == 0 {
 		active = standby.Active(all, self.Region)
@@ -127,13 +133,14 @@
 	return active[self.Instance]
 }
 
-// others are the hosts that this one goes by. One that stands by does not hear the
-// others that do, and takes them to be as able as they are registered.
-func (c *control) others(heard []fleet.Member) []fleet.Member {
+// knownPeers returns the peers that the activation decision takes into account. A standby
+// receives no heartbeats from other standbys, and assumes that each registered standby can
+// serve.
+func (c *control) knownPeers(peers []fleet.Member) []fleet.Member {
 	if c.ready {
-		return heard
+		return peers
 	}
-	out := heard[:len(heard):len(heard)]
+	out := peers[:len(peers):len(peers)]
 	for _, m := range c.members.PresumedStandbys(c.d.self.Region) {
 		m.Eligible = true
 		out = append(out, m)
--- a/internal/entryhost/callerconns.go
+++ b/internal/entryhost/callerconns.go
@@ -10,73 +10,72 @@
 	"balsambarrow/internal/clock"
 )
 
-// Callers' connections.
+// Limits on callers' connections.
 //
-// Load pattern: a customer sends seven times its rate. Each request that is
-// refused comes back on a new connection, and the old one is kept open for
-// nothing. A host at its limit of descriptors can neither accept callers nor reach
-// upstreams. So a refusal closes its connection (see front), connections that have been
-// idle for as long as operators allow are closed, and where many are open each
-// answer closes its own.
+// Callers that retry after a refusal often open a new connection and leave the old one open. A
+// customer that sends seven times its rate can thus exhaust the file descriptors of a host,
+// which can then neither accept callers nor connect to upstreams. Three rules prevent this: a
+// refusal closes its connection (see package front), connections that exceed the configured
+// idle timeout are closed, and when many connections are open every response closes its own.
 const (
-	// crowdedPart of the descriptors in use by callers makes answers close their
-	// connections. The rest is for those to upstreams and peers, of which there
-	// are as many as requests that run.
-	crowdedPart = 0.5
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = time.Second
+	// callerDescriptorFraction is the fraction of the file descriptors that callers'
+	// connections may use before responses close their connections. The rest is for connections
+	// to upstreams and peers, of which there are as many as running requests.
+	callerDescriptorFraction = 0.5
+	// idleCheckInterval is the time between two checks for idle connections.
+	idleCheckInterval = time.Second
 )
 
 // callerConns tracks the connections of callers. It is safe for concurrent use.
 type callerConns struct {
 	mu sync.Mutex
-	// idle holds since when each open connection has been idle; the zero time
-	// stands for one that is not.
-	idle map[net.Conn]time.Time
+	// idleSince holds, for each open connection, since when it has been idle. The zero time
+	// means that the connection is not idle.
+	idleSince map[net.Conn]time.Time
 }
 
-func newCallerConns() *callerConns { return &callerConns{idle: map[net.Conn]time.Time{}} }
+func newCallerConns() *callerConns { return &callerConns{idleSince: map[net.Conn]time.Time{}} }
 
-// track is a ConnState hook.
+// track is a ConnState hook of http.Server.
 func (c *callerConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateNew, http.StateActive:
-		c.idle[conn] = time.Time{}
+		c.idleSince[conn] = time.Time{}
 	case http.StateIdle:
-		c.idle[conn] = clock.Now()
+		c.idleSince[conn] = clock.Now()
 	case http.StateClosed, http.StateHijacked:
-		delete(c.idle, conn)
+		delete(c.idleSince, conn)
 	}
 }
 
-// count is the number of open connections.
+// count returns the number of open connections.
 func (c *callerConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.idle)
+	return len(c.idleSince)
 }
 
-// sweep closes connections that have been idle for longer than most.
-func (c *callerConns) sweep(now time.Time, most time.Duration) {
+// closeIdle closes the connections that have been idle for longer than maxIdle.
+func (c *callerConns) closeIdle(now time.Time, maxIdle time.Duration) {
 	c.mu.Lock()
 	var expired []net.Conn
-	for conn, since := range c.idle {
-		if !since.IsZero() && now.Sub(since) > most {
+	for conn, since := range c.idleSince {
+		if !since.IsZero() && now.Sub(since) > maxIdle {
 			expired = append(expired, conn)
 		}
 	}
 	c.mu.Unlock()
 	for _, conn := range expired {
-		// Whatever Close says, the connection is of no use any more.
+		// An error does not matter: the connection is not used again.
 		_ = conn.Close()
 	}
 }
 
-// sweepCallers closes callers' idle connections until ctx ends.
-func (d *Daemon) sweepCallers(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+// closeIdleCallers closes callers' idle connections periodically until ctx ends.
+func (d *Daemon) closeIdleCallers(ctx context.Context) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -85,14 +84,14 @@
 		case <-tick.C:
 		}
 		if c := d.state.Load().Catalog; c != nil && c.Limits.IdleTimeout > 0 {
-			d.callerConns.sweep(d.now(), c.Limits.IdleTimeout)
+			d.callerConns.closeIdle(d.now(), c.Limits.IdleTimeout)
 		}
 	}
 }
 
-// crowded tells whether callers have so many connections open that answers
+// nearDescriptorLimit reports whether callers have so many connections open that responses
 // should close theirs.
-func (d *Daemon) crowded() bool {
-	most := d.settings.Load().Capacity.Descriptors
-	return most > 0 && float64(d.callerConns.count()) > crowdedPart*float64(most)
+func (d *Daemon) nearDescriptorLimit() bool {
+	descriptors := d.settings.Load().Capacity.Descriptors
+	return descriptors > 0 && float64(d.callerConns.count()) > callerDescriptorFraction*float64(descriptors)
 }
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	// upstreamDialBound bounds a connection to an upstream: three ways to the
-	// farthest region and back, and one lost packet.
-	upstreamDialBound = 600 * time.Millisecond
-	// storeDialBound bounds a connection to the store. One that was tried while
-	// the host was cut off hangs for as long after the cut has healed.
-	storeDialBound = 600 * time.Millisecond
-	// headerBound and idleBound bound slow and idle callers; they are above
-	// what operators allow callers.
-	headerBound = 10 * time.Second
-	idleBound   = 60 * time.Second
-	// directionsFor is how long callers keep an answer of the directory.
-	directionsFor = 2 * time.Second
+	// upstreamDialTimeout bounds the time to connect to an upstream. It covers three round
+	// trips to the farthest region and one lost packet.
+	upstreamDialTimeout = 600 * time.Millisecond
+	// storeDialTimeout bounds the time to connect to the store. A connection attempt made
+	// during a network partition hangs for that long after the partition has healed.
+	storeDialTimeout = 600 * time.Millisecond
+	// headerTimeout and callerIdleTimeout bound slow and idle callers. They exceed the limits
+	// that operators set for callers.
+	headerTimeout     = 10 * time.Second
+	callerIdleTimeout = 60 * time.Second
+	// directoryTTL is how long callers may cache a response of the directory.
+	directoryTTL = 2 * time.Second
 )
 
-// Daemon is one running entry host.
+// Daemon is a running entry host.
 type Daemon struct {
 	settings atomic.Pointer[Settings]
 	self     Self
@@ -55,42 +55,43 @@
 	retries  *retry.WindowBudget
 	control  *control
 
-	state     atomic.Pointer[front.State]
-	directory atomic.Pointer[directory]
-	pool      atomic.Pointer[pool]
-	ready     atomic.Bool
-	// registeredOnce says that this host has held shares, or that it stands by and will
-	// not: where no owner of a bucket answers it goes by its fallback bucket.
-	registeredOnce atomic.Bool
-	// listed is closed after the first listing of the store; peersKnown says that it
-	// had other hosts.
-	listed     chan struct{}
-	peersKnown atomic.Bool
-	// needed is closed when the host knows, before its first listing, that it will take
-	// callers.
-	needed chan struct{}
-	// lookWhenRegistered says that no look at the store follows the first registration.
-	lookWhenRegistered atomic.Bool
-	// spends says that this host should hold shares of customers' rates.
-	spends atomic.Bool
-	// watches says that this host watches the store for its region.
+	state       atomic.Pointer[front.State]
+	directory   atomic.Pointer[directory]
+	bucketHosts atomic.Pointer[bucketHosts]
+	ready       atomic.Bool
+	// fallbackAllowed is set once this host has held rate shares, or is a standby and will not
+	// hold any. Only then does it use its fallback bucket when no owner of a bucket responds.
+	fallbackAllowed atomic.Bool
+	// listed is closed after the first listing of the store. hasPeers is set if that listing
+	// contained other entry hosts.
+	listed   chan struct{}
+	hasPeers atomic.Bool
+	// willBeActive is closed if the host knows before its first listing that it will be active.
+	willBeActive chan struct{}
+	// readWhenRegistered is set if no read of the store follows the first registration by
+	// itself.
+	readWhenRegistered atomic.Bool
+	// wantsShares is set if this host should hold rate shares.
+	wantsShares atomic.Bool
+	// watches is set while this host watches the store for its region.
 	watches atomic.Bool
-	// known is what the store held and when, for hosts that ask.
-	known atomic.Pointer[knowledge]
-	// hurry ends the pause before the next look at the store.
-	hurry chan struct{}
-	// fresh tells of each new state, and newHosts of each change of the hosts.
-	fresh, newHosts signal
-	// startedAt is when the daemon started, and startedWall the time of day then.
+	// summary describes the state of the store that this host knows, for peers that send
+	// confirmation requests.
+	summary atomic.Pointer[storeSummary]
+	// wakeReader ends the pause before the next read of the store.
+	wakeReader chan struct{}
+	// stateUpdated fires at each new state, and hostsUpdated at each change of the known hosts.
+	stateUpdated, hostsUpdated signal
+	// startedAt is when the daemon started, and startedWall the wall-clock time of the start.
 	startedAt, startedWall time.Time
-	// startingFor bounds how long a caller waits after the start.
-	startingFor time.Duration
+	// startupWait bounds how long a caller may wait for a host that has just started.
+	startupWait time.Duration
 	meter       meter
 
 	callerConns *callerConns
 
-	// addresses are those that the listeners have; port 0 of the settings is
-	// replaced by the one that the system gave.
+	// addresses are the addresses of the listeners. A port 0 in the settings is replaced by the
+	// port that the system assigned.
 	addresses Listen
 	listeners map[string]net.Listener
 	servers   []*http.Server
@@ -100,7 +101,7 @@
 	tasks     sync.WaitGroup
 }
 
-// New opens the listeners of a daemon; Start lets it serve.
+// New opens the listeners of a daemon. Start begins to serve.
 func New(s *Settings, events *telemetry.Events, metrics *telemetry.Metrics) (*Daemon, error) {
 	tracing, err := telemetry.NewTracing(s.TraceFile)
 	if err != nil {
@@ -122,15 +123,15 @@
 			Name: s.Host, Callers: addresses.Callers, Peers: addresses.Peers,
 		},
 		events: events, metrics: metrics, tracing: tracing, wire: wire, addresses: addresses, listeners: listeners,
-		conns:   h1.NewPool(h1.Dialer(upstreamDialBound), clock.Now),
-		shares:  share.New(),
-		retries: retry.NewWindowBudget(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
-		errs:    make(chan error, 4),
-		hurry:   make(chan struct{}, 1),
-		listed:  make(chan struct{}),
-		needed:  make(chan struct{}),
+		conns:        h1.NewPool(h1.Dialer(upstreamDialTimeout), clock.Now),
+		shares:       share.New(),
+		retries:      retry.NewWindowBudget(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
+		errs:         make(chan error, 4),
+		wakeReader:   make(chan struct{}, 1),
+		listed:       make(chan struct{}),
+		willBeActive: make(chan struct{}),
 
-		startingFor: startGrace,
+		startupWait: defaultStartupWait,
 
 		callerConns: newCallerConns(),
 	}
@@ -139,11 +140,11 @@
 	d.state.Store(&front.State{})
 	d.directory.Store(&directory{self: d.self})
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	ahead := h1.Preconnect(d.ctx, h1.Dialer(storeDialBound), s.Store)
-	d.store = platform.NewStore("http://"+s.Store, ahead.Dial, metrics.StoreCall)
+	storeDialer := h1.Preconnect(d.ctx, h1.Dialer(storeDialTimeout), s.Store)
+	d.store = platform.NewStore("http://"+s.Store, storeDialer.Dial, metrics.StoreCall)
 	d.control = newControl(d)
 	d.tokens = newTokens(d)
-	d.pool.Store(&pool{})
+	d.bucketHosts.Store(&bucketHosts{})
 	return d, nil
 }
 
@@ -155,7 +156,7 @@
 	deps := front.Deps{
 		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, RateLimiter: d.tokens,
 		RetryBudget: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
-		Refresh: d.refresh, Updates: d.fresh.next, StartupTimeLeft: d.starting, DisableKeepAlive: d.crowded,
+		Refresh: d.refresh, Updates: d.stateUpdated.next, StartupTimeLeft: d.remainingStartupWait, DisableKeepAlive: d.nearDescriptorLimit,
 	}
 	if d.settings.Load().TraceFile != "" {
 		deps.Tracer = d.tracing.Tracer
@@ -173,43 +174,43 @@
 	}
 	d.spawn(d.control.run)
 	d.spawn(func(ctx context.Context) {
-		d.wire.Receive(ctx, d.received, func(err error) { d.events.Debug("packet not readable", "error", err) })
+		d.wire.Receive(ctx, d.handlePacket, func(err error) { d.events.Debug("packet not readable", "error", err) })
 	})
 	registrar := newRegistrar(d)
 	follower := &follow.Follower{
-		Store: d.store, Prefix: platform.AllKeys, Timing: d.storePace, Now: d.now, Sink: storeSink{d.control}, Wake: d.hurry,
-		Bootstrap: d.startFromGuide,
+		Store: d.store, Prefix: platform.AllKeys, Timing: d.storeTiming, Now: d.now, Sink: storeSink{d.control}, Wake: d.wakeReader,
+		Bootstrap: d.startFromHint,
 		AfterInitialList: func(ctx context.Context) {
-			await(ctx, registrar.done, registerWithin)
-			d.lookWhenRegistered.Store(!isClosed(registrar.done))
+			await(ctx, registrar.registered, registrationTimeout)
+			d.readWhenRegistered.Store(!isClosed(registrar.registered))
 		},
 	}
 	d.spawn(follower.Run)
 	d.spawn(registrar.run)
 	d.spawn(d.conns.Run)
-	d.spawn(d.sweepCallers)
+	d.spawn(d.closeIdleCallers)
 	d.events.Info("started", "instance", d.self.Instance, "zone", d.self.Zone, "region", d.self.Region,
 		"callers", d.self.Callers, "peers", d.self.Peers, "store", d.settings.Load().Store)
 }
 
-// received takes a packet of a peer in.
-func (d *Daemon) received(p *fleet.Packet, from string) {
+// handlePacket dispatches a packet from a peer.
+func (d *Daemon) handlePacket(p *fleet.Packet, from string) {
 	if b := p.GetHeartbeat(); b != nil {
 		d.control.send(func(c *control) { c.handleHeartbeat(b) })
 		return
 	}
 	if q := p.GetConfirmRequest(); q != nil {
-		d.answerConfirmRequest(q, from)
+		d.handleConfirmRequest(q, from)
 		return
 	}
 	if a := p.GetConfirmAnswer(); a != nil {
-		d.control.send(func(c *control) { c.handleConfirmation(a) })
+		d.control.send(func(c *control) { c.handleConfirmAnswer(a) })
 		return
 	}
-	d.tokens.receive(p, from)
+	d.tokens.handlePacket(p, from)
 }
 
-// listen opens the listeners and returns the addresses that they have.
+// listen opens the listeners and returns their addresses.
 func listen(l Listen) (Listen, map[string]net.Listener, error) {
 	listeners := map[string]net.Listener{}
 	for _, address := range []*string{&l.Callers, &l.Readiness, &l.Directory, &l.Metrics} {
@@ -228,7 +229,7 @@
 
 func (d *Daemon) serve(l net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout,
 		DisableGeneralOptionsHandler: true, ErrorLog: d.events.StdLogger(),
 	}
 	if l == d.listeners[d.addresses.Callers] {
@@ -243,20 +244,20 @@
 	}()
 }
 
-// Addresses are those that the listeners have.
+// Addresses returns the addresses of the listeners.
 func (d *Daemon) Addresses() Listen { return d.addresses }
 
-// bounds are the front's, from the settings in force.
+// bounds returns the bounds for package front from the settings in force.
 func (d *Daemon) bounds() front.Bounds {
 	b := d.settings.Load().Bounds
 	if !b.StrictRevocation || b.Revoke.Value() == 0 {
 		return front.Bounds{}
 	}
-	return front.Bounds{KeyMaxAge: max(b.Revoke.Value()-watchSilence-keyMargin, tickEvery)}
+	return front.Bounds{KeyMaxAge: max(b.Revoke.Value()-watchLossDelay-keyCheckMargin, tickInterval)}
 }
 
 func (d *Daemon) resolve(region, _ string) platform.Resolution {
-	return platform.Resolution{Addresses: d.awaitDirectory().resolve(region), TTL: directionsFor}
+	return platform.Resolution{Addresses: d.awaitDirectory().resolve(region), TTL: directoryTTL}
 }
 
 func (d *Daemon) spawn(task func(context.Context)) {
@@ -267,10 +268,10 @@
 	}()
 }
 
-// Failed reports a listener that broke.
+// Failed returns a channel that reports listeners that failed.
 func (d *Daemon) Failed() <-chan error { return d.errs }
 
-// Reload takes new settings over. What is bound to open listeners stays.
+// Reload applies new settings. Listeners that are already open keep their addresses.
 func (d *Daemon) Reload(s *Settings) {
 	d.settings.Store(s)
 	d.events.SetLevel(s.LogLevel)
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -21,14 +21,14 @@
 	"balsambarrow/internal/standin"
 )
 
-func TestServesThroughTheWholePath(t *testing.T) {
+func TestServesRequestsEndToEnd(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
 	s.store.SetFault(func(string) standin.StoreFault { return standin.StoreBusy })
 	one, two := s.host("h1", "a1"), s.host("h2", "a2")
-	g.Expect(s.read(one).status).To(Equal(http.StatusServiceUnavailable), "nothing is known yet")
+	g.Expect(s.read(one).status).To(Equal(http.StatusServiceUnavailable), "no configuration is known yet")
 	g.Expect(one.ready()).To(BeFalse())
 	s.store.SetFault(nil)
 	s.awaitServing()
@@ -49,7 +49,7 @@
 	g.Expect(runs[len(runs)-1].Target).To(Equal("/open/1?a=%2F"))
 	g.Eventually(func() []string { return directory(t, one, "a") }, "5s", "50ms").Should(
 		ConsistOf(one.listen.Callers, two.listen.Callers))
-	g.Expect(directory(t, one, "b")).To(HaveLen(2), "no host there: those of other regions")
+	g.Expect(directory(t, one, "b")).To(HaveLen(2), "the region has no hosts, so hosts of other regions are named")
 	g.Expect(one.ready()).To(BeTrue())
 	g.Expect(status(one.listen.Metrics, "/metrics")).To(Equal(http.StatusOK))
 }
@@ -71,9 +71,9 @@
 	return d.Addresses
 }
 
-// An operator withdraws a key. It must stop working everywhere, other keys must
-// go on, and a later write of an older version must not bring it back.
-func TestConfigurationOnlyGoesForward(t *testing.T) {
+// Guards against a withdrawn API key that still works: it must be refused, other keys must go
+// on working, and a later write of an older version must not restore it.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -93,11 +93,11 @@
 	g.Eventually(withdrawn, "5s", "20ms").Should(Equal(http.StatusOK), "after a compaction too")
 }
 
-// A host is cut off from the store in each way that there is. A key that is
-// withdrawn meanwhile must not work there longer than promised, so the host
-// refuses all keys in time, says that nothing has run, and is not named any
-// more. When the store is back it serves again.
-func TestHostThatLostTheStoreRefusesKeys(t *testing.T) {
+// Guards against a withdrawn API key that works longer than promised on a host that has lost
+// the store, for each way in which the store can fail. The host must refuse all keys in time,
+// respond that the request has not run, and leave the directory. When the store is back, the
+// host must serve again.
+func TestHostWithoutStoreRefusesKeys(t *testing.T) {
 	for name, fault := range map[string]standin.StoreFault{
 		"silent": standin.StoreSilent, "busy": standin.StoreBusy, "many": standin.StoreMany, "reset": standin.StoreReset,
 	} {
@@ -117,8 +117,8 @@
 			}, "10s", "50ms").Should(Equal(http.StatusServiceUnavailable))
 			g.Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
 			g.Eventually(h.ready, "10s", "50ms").Should(BeFalse())
-			g.Expect(s.call(h, "GET", "/open/1", "", "").status).To(Equal(http.StatusOK), "needs no key")
-			g.Expect(s.call(h, "GET", "/none/", "k1", "").status).To(Equal(http.StatusServiceUnavailable), "may be new")
+			g.Expect(s.call(h, "GET", "/open/1", "", "").status).To(Equal(http.StatusOK), "the route needs no key")
+			g.Expect(s.call(h, "GET", "/none/", "k1", "").status).To(Equal(http.StatusServiceUnavailable), "the path may belong to a newer configuration")
 			s.store.SetFault(nil)
 			g.Eventually(func() int { return s.read(h).status }, "10s", "50ms").Should(Equal(http.StatusOK))
 			g.Eventually(h.ready, "10s", "50ms").Should(BeTrue())
@@ -126,13 +126,13 @@
 	}
 }
 
-// Upstreams leave in each way that there is; each must get nothing new, while the
-// other one serves.
-func TestLeavingUpstreamsGetNothingNew(t *testing.T) {
+// Guards against requests to an upstream that is leaving, for each way in which an upstream can
+// leave. The other upstream must serve meanwhile.
+func TestLeavingUpstreamsReceiveNoNewRequests(t *testing.T) {
 	for name, leave := range map[string]func(*site, *standin.Worker){
 		"draining": func(s *site, k *standin.Worker) { s.register(k, "s", "127.0.0.1:1", "a1", "draining", 2) },
 		"removed":  func(s *site, k *standin.Worker) { s.store.Delete("servers/" + k.ID) },
-		"void":     func(s *site, k *standin.Worker) { s.store.Put("servers/"+k.ID, []byte(`{"service":7}`)) },
+		"invalid":  func(s *site, k *standin.Worker) { s.store.Put("servers/"+k.ID, []byte(`{"service":7}`)) },
 		"evacuated": func(s *site, _ *standin.Worker) {
 			s.store.Put("op/evacuate/a1", []byte(`{}`))
 		},
@@ -141,13 +141,13 @@
 			t.Parallel()
 			g := NewWithT(t)
 			s := newSite(t)
-			leaving, staying := s.worker("i-1", "s", "a1", 0), s.worker("i-2", "s", "b1", 0)
+			leaving, remaining := s.worker("i-1", "s", "a1", 0), s.worker("i-2", "s", "b1", 0)
 			s.declare(4, "k1")
 			h := s.host("h1", "a1")
 			s.awaitServing()
 			leave(s, leaving)
 			seen := func() int { return len(leaving.Runs()) }
-			quiet := func() bool {
+			noNewRequests := func() bool {
 				before := seen()
 				for range 10 {
 					if s.read(h).status != http.StatusOK {
@@ -156,17 +156,17 @@
 				}
 				return seen() == before
 			}
-			g.Eventually(quiet, "6s", "100ms").Should(BeTrue())
-			g.Expect(quiet()).To(BeTrue())
-			g.Expect(staying.Runs()).NotTo(BeEmpty())
+			g.Eventually(noNewRequests, "6s", "100ms").Should(BeTrue())
+			g.Expect(noNewRequests()).To(BeTrue())
+			g.Expect(remaining.Runs()).NotTo(BeEmpty())
 		})
 	}
 }
 
-// What callers are told of each way in which a send fails, and how often the
-// request has run. A posting must never run twice, and "not run" must be true.
-func TestOutcomes(t *testing.T) {
-	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// Checks the response to the caller, and how often the request has run, for each way in which
+// an attempt can fail. A posting must never run twice, and "not run" must be true.
+func TestOutcomesOfFailedAttempts(t *testing.T) {
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	shed := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -191,18 +191,18 @@
 		answer func(http.ResponseWriter, *http.Request)
 		post   bool
 		status int
-		// arrivals at both upstreams together.
+		// arrivals is the number of arrivals at both upstreams together.
 		arrivals int
 	}{
-		{"read, cut", cut, false, http.StatusBadGateway, 2},
-		{"post, cut", cut, true, http.StatusBadGateway, 1},
+		{"read, aborted", abort, false, http.StatusBadGateway, 2},
+		{"post, aborted", abort, true, http.StatusBadGateway, 1},
 		{"read, shed", shed, false, http.StatusServiceUnavailable, 2},
 		{"post, shed", shed, true, http.StatusServiceUnavailable, 2},
 		{"read, unsigned", unsigned, false, http.StatusBadGateway, 2},
 		{"post, unsigned", unsigned, true, http.StatusBadGateway, 1},
 		{"read, encoded", encoded, false, http.StatusBadGateway, 2},
-		{"read, cut short", short, false, http.StatusBadGateway, 2},
-		{"post, cut short", short, true, http.StatusBadGateway, 1},
+		{"read, truncated", short, false, http.StatusBadGateway, 2},
+		{"post, truncated", short, true, http.StatusBadGateway, 1},
 		{"read, failed", fails, false, http.StatusInternalServerError, 2},
 		{"post, failed", fails, true, http.StatusInternalServerError, 1},
 	}
@@ -236,28 +236,29 @@
 	}
 }
 
-// One upstream spoils its answers. A read is served by the other one, and the
-// caller sees nothing of it.
-func TestReadIsServedByAnotherUpstream(t *testing.T) {
+// Guards against failures of one upstream that reach the caller: a read must be served by the
+// other upstream.
+func TestReadIsRetriedAtAnotherUpstream(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	one, two := s.worker("i-1", "s", "a1", 0), s.worker("i-2", "s", "a1", 0)
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	s.awaitServing()
-	sick := one
+	failing := one
 	if len(two.Runs()) > 0 {
-		sick = two
+		failing = two
 	}
-	sick.SetAnswer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	failing.SetAnswer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for range 20 {
 		g.Expect(s.read(h).status).To(Equal(http.StatusOK))
 	}
 }
 
-// An upstream's address is given to another one while its entry is still read.
-// The other one refuses, and the request says truly that it has not run.
-func TestAddressGivenToAnotherUpstream(t *testing.T) {
+// Guards against a wrong outcome when an upstream's address passes to another upstream while
+// the old entry is still in use. The other upstream refuses the request, and the response must
+// say that the request has not run.
+func TestAddressReusedByAnotherUpstream(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
@@ -270,9 +271,10 @@
 	g.Expect(k.Runs()).To(HaveLen(before))
 }
 
-// A host is stopped while it answers requests and more come in on it. Each must
-// get its whole answer, and the host must not be named any more.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// Guards against requests that are lost when a host is stopped while it serves requests and
+// receives more. Each must get its complete response, and the directory must no longer name the
+// host.
+func TestStopCompletesRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 300*time.Millisecond)
@@ -283,7 +285,7 @@
 	g.Eventually(func() []string { return directory(t, other, "a") }, "5s", "50ms").Should(HaveLen(2))
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	bad := []string{}
+	failures := []string{}
 	for i := range 8 {
 		wait.Add(1)
 		go func() {
@@ -292,7 +294,7 @@
 			if a := s.post(stopping); a.err != nil || a.status != http.StatusOK {
 				mu.Lock()
 				defer mu.Unlock()
-				bad = append(bad, fmt.Sprint(a.status, a.err, a.body))
+				failures = append(failures, fmt.Sprint(a.status, a.err, a.body))
 			}
 		}()
 	}
@@ -300,23 +302,23 @@
 	stopping.stopped.Store(true)
 	stopping.daemon.Stop()
 	wait.Wait()
-	g.Expect(bad).To(BeEmpty())
+	g.Expect(failures).To(BeEmpty())
 	g.Expect(directory(t, other, "a")).To(ConsistOf(other.listen.Callers))
-	g.Expect(s.store.Keys("balsambarrow/hosts/")).To(HaveLen(1), "its registration is given up")
+	g.Expect(s.store.Keys("balsambarrow/hosts/")).To(HaveLen(1), "its registration is removed")
 }
 
-// The caller leaves. Its request must not go on at the upstream.
-func TestCallerLeaves(t *testing.T) {
+// Guards against a request that goes on at the upstream after its caller has disconnected.
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	s.awaitServing()
-	gone := make(chan struct{})
+	canceled := make(chan struct{})
 	k.SetAnswer(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(gone)
+		close(canceled)
 	})
 	client := &http.Client{Timeout: 200 * time.Millisecond}
 	r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/read/1", nil)
@@ -325,12 +327,12 @@
 	r.Header = http.Header{"X-Request-Id": {"leaves"}, "Authorization": {"Bearer k1"}}
 	_, err = client.Do(r)
 	g.Expect(err).To(HaveOccurred())
-	g.Eventually(gone, "2s").Should(BeClosed())
+	g.Eventually(canceled, "2s").Should(BeClosed())
 }
 
-// Hosts start together, and readings of the store that may be stale do not show
-// their registrations yet. They must know each other all the same before they
-// serve: each would else give out the whole rate of every customer.
+// Guards against hosts that start together and do not find each other because stale reads of
+// the store do not show their registrations yet. They must know each other before they serve,
+// since otherwise each would grant the full rate of every customer.
 func TestHostsThatStartTogetherFindEachOther(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -345,16 +347,16 @@
 	}
 }
 
-// Callers keep their connections. One that is served keeps it; one that is refused
-// comes back on a new one, so the answer must close the old one, or a customer
-// that sends too much uses up all descriptors of a host.
+// Guards against a customer that uses up all file descriptors of a host. Callers keep their
+// connections open, and retry on a new one after a refusal. A refusal must therefore close its
+// connection, while a served request keeps it.
 func TestRefusalClosesTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	client := &http.Client{Transport: &http.Transport{}}
-	ask := func() (status int, closes bool) {
+	request := func() (status int, closes bool) {
 		r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/open/1", nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		r.Host = "x.example"
@@ -366,18 +368,18 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode, resp.Close
 	}
-	status, closes := ask()
+	status, closes := request()
 	g.Expect(status).To(Equal(http.StatusServiceUnavailable), "no upstream")
 	g.Expect(closes).To(BeTrue())
 	s.worker("i-1", "s", "a1", 0)
-	g.Eventually(func() int { status, closes = ask(); return status }, "10s", "50ms").Should(Equal(http.StatusOK))
+	g.Eventually(func() int { status, closes = request(); return status }, "10s", "50ms").Should(Equal(http.StatusOK))
 	g.Expect(closes).To(BeFalse())
 }
 
-// A host is behind with its work. A caller asks, gives up and closes its
-// connection before the host has read the request. The host must not send it to
-// an upstream any more. The connection is held back here until it is closed.
-func TestRequestOfACallerThatHasLeftIsNotSent(t *testing.T) {
+// Guards against a request that is sent to an upstream after its caller has left. On a busy
+// host, the caller gives up and closes its connection before the host has read the request.
+// TCP_CORK holds the request back here until the connection is closed.
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
@@ -388,7 +390,7 @@
 	for range 50 {
 		c, err := net.Dial("tcp", h.listen.Callers)
 		g.Expect(err).NotTo(HaveOccurred())
-		// The close is there together with the request.
+		// The close arrives together with the request.
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(raw.Control(func(fd uintptr) {
@@ -400,15 +402,14 @@
 		g.Expect(c.Close()).To(Succeed())
 	}
 	g.Expect(s.read(h).status).To(Equal(http.StatusOK))
-	g.Expect(len(k.Runs())-before).To(Equal(1), "only the one that waits for its answer")
+	g.Expect(len(k.Runs())-before).To(Equal(1), "only the request whose caller waits for the response")
 }
 
-// A fleet has three hosts with a fast link and one with a slow one. Callers that
-// are sent to the slow one wait behind each other's reports. So the directory of
-// every host names the fast ones only. The slow one is ready, and serves a caller
-// that comes with an old address by the configuration of that moment; when the
-// fast ones have died, it takes callers.
-func TestWeakHostStandsBy(t *testing.T) {
+// Guards against callers on a host with a slow link, where they wait behind each other's
+// reports. In a fleet with three fast hosts, the directory of every host must name only those.
+// The slow host must be ready, and serve a caller that uses an old address by the current
+// configuration; when the fast hosts have died, it must become active.
+func TestWeakHostIsStandby(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -428,9 +429,9 @@
 	g.Expect(s.read(weak).status).To(Equal(http.StatusOK))
 
 	s.declare(7, "k2")
-	// Its own next look at the store is minutes away.
+	// The standby's own next read of the store is minutes away.
 	granted := func() int { return s.call(weak, "GET", "/read/1", "k2", "").status }
-	g.Eventually(granted, "2500ms", "100ms").Should(Equal(http.StatusOK), "learns that it has to look at the store")
+	g.Eventually(granted, "2500ms", "100ms").Should(Equal(http.StatusOK), "the standby learns of the new configuration")
 	for _, h := range strong {
 		h.stopped.Store(true)
 		h.daemon.Kill()
@@ -439,17 +440,17 @@
 	g.Eventually(weak.ready, "5s", "50ms").Should(BeTrue())
 }
 
-// Guards against refusals after the loss of all hosts: they start together, and callers
-// come before any of them knows the configuration, who takes callers or who holds the
-// customer's bucket. Most callers try only once more.
-func TestCallersThatComeWithTheStartAreServed(t *testing.T) {
+// Guards against refusals after the loss of all hosts: they start together, and callers arrive
+// before any host knows the configuration, the active hosts or the holder of the customer's
+// bucket. Most callers retry only once.
+func TestCallersDuringStartupAreServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
 	s.store.SetFault(func(string) standin.StoreFault { return standin.StoreBusy })
-	patient := hostOptions{starting: time.Minute}
-	hosts := []*host{s.hostWith("h1", "a1", patient), s.hostWith("h2", "a2", patient)}
+	longWait := hostOptions{startupWait: time.Minute}
+	hosts := []*host{s.hostWith("h1", "a1", longWait), s.hostWith("h2", "a2", longWait)}
 	var callers sync.WaitGroup
 	statuses, named := make([]int, len(hosts)), make([][]string, len(hosts))
 	for i, h := range hosts {
@@ -464,10 +465,10 @@
 	}
 }
 
-// Guards against a start that costs the store several calls a host: one that joins
-// stronger hosts reads who they are, has one of them tell all else, registers once, as a
-// host that stands by, and never takes callers.
-func TestHostThatJoinsStrongerOnesCostsTheStoreLittle(t *testing.T) {
+// Guards against a start that costs several store calls per host. A host that joins stronger
+// hosts must read the active-hosts hint, get the rest of the state from one of them, register
+// once, as a standby, and never become active.
+func TestWeakHostStartsWithFewStoreCalls(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -477,22 +478,22 @@
 		named = append(named, s.hostWith(fmt.Sprint("strong-", i), "a1", hostOptions{mbps: 200}).listen.Callers)
 	}
 	s.awaitServing()
-	g.Eventually(s.guided, "10s", "10ms").Should(Equal(3))
+	g.Eventually(s.hintHosts, "10s", "10ms").Should(Equal(3))
 	before := s.store.Calls()
 	weak := s.hostWith("weak", "a1", hostOptions{mbps: 10})
 	g.Eventually(weak.ready, "5s", "10ms").Should(BeTrue())
 	g.Eventually(func() []string { return directory(t, weak, "a") }, "5s", "10ms").Should(ConsistOf(named))
 	after := s.store.Calls()
-	g.Expect(after["/-/kv-range"]-before["/-/kv-range"]).To(BeZero(), "listings of the moment")
-	g.Expect(after["/-/kv-range stale"]-before["/-/kv-range stale"]).To(Equal(1), "the guide")
+	g.Expect(after["/-/kv-range"]-before["/-/kv-range"]).To(BeZero(), "current listings")
+	g.Expect(after["/-/kv-range stale"]-before["/-/kv-range stale"]).To(Equal(1), "the active-hosts hint")
 	g.Expect(after["/-/kv-lease"] - before["/-/kv-lease"]).To(Equal(1))
 	g.Eventually(func() []string { return directory(t, s.hosts[0], "a") }, "5s", "10ms").Should(ConsistOf(named))
 }
 
-// Guards against a host whose first registration takes longer than its first watch waits
-// for it, as with a slow store: it takes callers, and refuses all of them as over their
-// rate until it happens to look at the store again.
-func TestALateFirstRegistrationIsFollowedByALook(t *testing.T) {
+// Guards against a host whose first registration takes longer than its first watch waits for
+// it, as with a slow store: it would be active and refuse all requests as over their rate until
+// its next read of the store.
+func TestLateFirstRegistrationTriggersStoreRead(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	logs := &syncBuffer{}
@@ -512,10 +513,10 @@
 	s.awaitServing()
 }
 
-// Guards against a look at the store, or a refusal, for each caller that comes to a host
-// that stands by: the host that watches confirms what it knows. Here the store gives it no
-// answer at all.
-func TestHostThatStandsByIsConfirmedForItsCallers(t *testing.T) {
+// Guards against a read of the store, or a refusal, for each caller that connects to a standby:
+// the watcher must confirm the standby's state. In this test the store does not respond to the
+// standby at all.
+func TestStandbyIsConfirmedByWatcher(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -534,11 +535,11 @@
 	}
 }
 
-// The store turns one host away and serves the others. Callers of that host must
-// be served on, since a peer tells it that nothing has changed; and as soon as a
-// key is withdrawn, the host must not accept it longer than promised, though it
-// cannot read the new configuration.
-func TestHostTurnedAwayByTheStoreIsConfirmedByAnother(t *testing.T) {
+// Guards against refusals on a host that the store rejects while it serves the others. A peer
+// confirms that nothing has changed, so callers of that host must still be served. A withdrawn
+// API key must not be accepted longer than promised, although the host cannot read the new
+// configuration from the store.
+func TestHostRejectedByStoreIsConfirmedByPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -566,34 +567,34 @@
 	}
 }
 
-// Guards against a large configuration that peers cannot pass on: each host reads it from
-// the store, and one that the store turns away denies what was added, or serves what was
-// dropped, for as long as it is turned away.
-func TestALargeConfigurationReachesAHostThroughItsPeer(t *testing.T) {
+// Guards against a large configuration that peers cannot pass on: each host would have to read
+// it from the store, and a host that the store rejects would refuse requests to new routes, or
+// serve dropped ones, for as long as it is rejected.
+func TestLargeConfigurationReachesHostThroughPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
-	s.added = 2000
+	s.extraRoutes = 2000
 	s.declare(4, "k1")
 	s.host("h1", "a1")
 	gate, address := s.gate()
 	h := s.hostWith("h2", "a1", hostOptions{store: address})
 	s.awaitServing()
-	added := func() int { return s.call(h, "GET", fmt.Sprintf("/added-%d/", s.added-1), "", "").status }
+	added := func() int { return s.call(h, "GET", fmt.Sprintf("/added-%d/", s.extraRoutes-1), "", "").status }
 	g.Expect(added()).To(Equal(http.StatusOK))
 	gate.shut.Store(true)
 	for i, routes := range []int{2001, 4000} {
-		s.added = routes
+		s.extraRoutes = routes
 		s.declare(5+i, "k1")
 		g.Eventually(added, "10s", "50ms").Should(Equal(http.StatusOK))
 	}
 }
 
-// The store turns all hosts of a region away at once, without an answer, and serves
-// the other region. One host after the other finds out and leaves the watch to the
-// next, which is as deaf. Their callers must be served on, by what the other region
-// knows.
-func TestRegionTurnedAwayByTheStoreIsConfirmedByAnother(t *testing.T) {
+// Guards against refusals when the store stops responding to all hosts of a region and serves
+// the other region. One host after the other finds out and passes the watch on to the next,
+// which does not reach the store either. Their callers must still be served by the state of the
+// other region.
+func TestRegionRejectedByStoreIsConfirmedByOtherRegion(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
@@ -619,7 +620,7 @@
 	s.declare(5, "k2")
 	for _, h := range shut {
 		g.Eventually(func() int { return s.call(h, "GET", "/read/1", "k2", "").status }, "4s", "50ms").Should(Equal(http.StatusOK),
-			"learns of changes too")
+			"changes arrive too")
 		g.Expect(s.read(h).status).To(Equal(http.StatusUnauthorized))
 	}
 }
@@ -640,8 +641,8 @@
 	}
 }
 
-// Nobody who reads logs or metrics may learn a customer's key, on a day with
-// refusals, failures and unknown keys either.
+// Guards against customers' API keys in logs or metrics, including those of refused, failed and
+// unauthorized requests.
 func TestKeysStayOutOfLogsAndMetrics(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -671,8 +672,8 @@
 	g.Expect(logs.String() + metrics).NotTo(ContainSubstring("secret"))
 }
 
-// A request that is tried at two upstreams leaves a span for the host and one for
-// each upstream, all of the caller's trace.
+// A request that is tried at two upstreams must leave a span for the host and one for each
+// attempt, all with the caller's trace id.
 func TestSpansOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
@@ -681,9 +682,9 @@
 	s.declare(4, "k1")
 	h := s.host("h1", "a1")
 	s.awaitServing()
-	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	one.SetAnswer(cut)
-	two.SetAnswer(cut)
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	one.SetAnswer(abort)
+	two.SetAnswer(abort)
 	r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/read/1", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	r.Host = "x.example"
--- a/internal/entryhost/heartbeat.go
+++ b/internal/entryhost/heartbeat.go
@@ -6,56 +6,55 @@
 	"balsambarrow/internal/fleet"
 )
 
-// announce has heartbeats sent at once. Those that stand by are told only by hosts
-// that callers are sent to.
+// announce makes heartbeats due at once. Only active hosts send heartbeats to standbys.
 func (c *control) announce(now time.Time) {
 	c.heartbeatDue = now
 	if c.ready {
-		c.briefHeartbeatDue = now
+		c.compactHeartbeatDue = now
 	}
 }
 
-// announceToAll has heartbeats sent at once to every host.
+// announceToAll makes heartbeats to every host due at once.
 func (c *control) announceToAll(now time.Time) {
-	c.heartbeatDue, c.briefHeartbeatDue, c.toAllHosts = now, now, true
+	c.heartbeatDue, c.compactHeartbeatDue, c.heartbeatToAll = now, now, true
 }
 
-// sendHeartbeats sends the heartbeats that are due: full ones to the hosts that take callers,
-// brief ones to the others. Hosts that stand by tell nothing to each other.
+// sendHeartbeats sends the heartbeats that are due: full ones to active hosts and compact ones
+// to standbys. Standbys send no heartbeats to each other.
 func (c *control) sendHeartbeats(now time.Time) {
 	if !now.Before(c.heartbeatDue) {
 		c.heartbeatDue = now.Add(c.members.Interval(c.ready))
 		b := c.heartbeat(now)
 		c.addLearned(now, b)
-		c.sendHeartbeat(b, c.readyPeers())
+		c.sendHeartbeat(b, c.activePeers())
 	}
-	if now.Before(c.briefHeartbeatDue) {
+	if now.Before(c.compactHeartbeatDue) {
 		return
 	}
-	c.briefHeartbeatDue = now.Add(c.members.IntervalToStandby())
-	c.rounds++
-	all := c.toAllHosts || c.rounds%fleet.RemoteRegionRounds == 0
-	tells := c.ready || c.toAllHosts
-	c.toAllHosts = false
-	if peers := c.members.StandbyPeers(all); tells && len(peers) > 0 {
+	c.compactHeartbeatDue = now.Add(c.members.IntervalToStandby())
+	c.compactRounds++
+	all := c.heartbeatToAll || c.compactRounds%fleet.RemoteRegionRounds == 0
+	sendsCompact := c.ready || c.heartbeatToAll
+	c.heartbeatToAll = false
+	if peers := c.members.StandbyPeers(all); sendsCompact && len(peers) > 0 {
 		b := c.heartbeat(now)
 		b.Brief = true
 		c.sendHeartbeat(b, peers)
 	}
 }
 
-// readyPeers lists the hosts that are told all: those that take callers, as far as is
-// known.
-func (c *control) readyPeers() []string {
+// activePeers returns the addresses to which full heartbeats are sent: the known active hosts,
+// or the hosts of the active-hosts hint if none is known.
+func (c *control) activePeers() []string {
 	if peers := c.members.ReadyPeers(); len(peers) > 0 {
 		return peers
 	}
-	return c.guides
+	return c.hintedPeers
 }
 
-// answerStandby makes this host known to one of its region that stands by and was not heard
-// before. Until it hears a host that takes callers, it looks at the store for itself.
-func (c *control) answerStandby(now time.Time, b *fleet.Heartbeat, changes []fleet.MemberChange) {
+// replyToStandby sends a heartbeat to a standby of this region that was not known before. Until
+// a standby receives a heartbeat from an active host, it reads the store itself.
+func (c *control) replyToStandby(now time.Time, b *fleet.Heartbeat, changes []fleet.MemberChange) {
 	if !c.ready || b.Ready || b.Leaving || b.Region != c.d.self.Region || len(changes) == 0 {
 		return
 	}
@@ -70,20 +69,21 @@
 	}
 }
 
-// heartbeat is what this host tells of itself.
+// heartbeat returns the heartbeat of this host.
 func (c *control) heartbeat(now time.Time) *fleet.Heartbeat {
 	c.sequence++
-	s, load, capacity := c.d.self, c.d.meter.read(now), c.d.capacity()
+	s, load, capacity := c.d.self, c.d.meter.update(now), c.d.capacity()
 	return &fleet.Heartbeat{
 		Instance: s.Instance, Host: s.Name, Zone: s.Zone, Region: s.Region, Callers: s.Callers, Peers: s.Peers,
 		Sequence: c.sequence, Ready: c.ready, Leaving: c.leaving, Version: c.version(),
-		Able: c.canServe(now), Registered: c.held, SeesStore: !c.storeOut, Digest: c.announcedDigest(),
+		Able: c.canServe(now), Registered: c.holdsShares, SeesStore: !c.storeUnreachable, Digest: c.announcedDigest(),
 		Cores: float32(capacity.Cores), LinkMbps: float32(capacity.LinkMbps),
 		RequestsPerSecond: float32(load.RequestsPerSecond), AnswerMbps: float32(load.ResponseMbps),
 	}
 }
 
-// addLearned adds what customers ask for here and which objects were seen where.
+// addLearned adds the demand of customers at this host and the objects that upstreams are warm
+// for.
 func (c *control) addLearned(now time.Time, b *fleet.Heartbeat) {
 	for customer, rate := range c.d.shares.AnnounceDemand(now) {
 		b.Demand = append(b.Demand, &fleet.Demand{Customer: customer, PerSecond: float32(rate)})
--- a/internal/entryhost/placed_test.go
+++ b/internal/entryhost/placed_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// An answer comes late because its upstream took longer than was expected. Both
-// figures must be on its line and in the metrics, or nobody can tell a bad choice
-// from a slow upstream.
-func TestLateAnswerTellsWhatWasExpected(t *testing.T) {
+// Guards against late responses that cannot be explained: the log line and the metrics must
+// hold both the expected and the actual time, so that a bad choice of upstream can be told from
+// a slow upstream.
+func TestLateResponseReportsExpectedTimes(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
 	var logs syncBuffer
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -11,9 +11,9 @@
 	"balsambarrow/platform"
 )
 
-// storeSink follows all that the store holds. One watch of everything costs half
-// of what a watch of the declarations and one of the upstreams cost, and what it
-// brings confirms the declarations too.
+// storeSink receives the whole content of the store. One watch of all keys costs half as much
+// as separate watches of the configuration and of the upstreams, and every response to it
+// confirms the configuration too.
 type storeSink struct{ c *control }
 
 // Listed implements follow.Sink.
@@ -23,29 +23,29 @@
 		c.roster.StoreReached(now)
 		first := !c.listed
 		if first || !asOf.IsZero() {
-			c.replaceAll(now, l.Items)
+			c.replaceState(now, l.Items)
 		}
 		if first {
-			// Whether the host will hold shares decides how it registers.
+			// The type of the registration depends on whether the host will hold rate shares.
 			c.shouldBeActive(now, nil)
 			close(c.d.listed)
 		}
 		if !asOf.IsZero() {
 			c.revision = max(c.revision, l.Revision)
 		}
-		c.confirmedByStore(asOf)
+		c.noteStoreReached(asOf)
 	})
 }
 
-// replaceAll takes all over that the store holds.
-func (c *control) replaceAll(now time.Time, items []kv.Item) {
+// replaceState replaces the state by a full listing of the store.
+func (c *control) replaceState(now time.Time, items []kv.Item) {
 	c.seen.Reset(items)
 	c.journal.Reset()
 	c.hostRegistrations.journal.Reset()
 	clear(c.items)
 	upstreams, zones := map[string]bool{}, map[string]bool{}
 	for key := range c.registrations {
-		c.hostUnregistered(key)
+		c.removeHostRegistration(key)
 	}
 	for _, item := range items {
 		if zone, ok := platform.EvacuatedZone(item.Key); ok {
@@ -57,20 +57,20 @@
 		c.applyWrite(now, item)
 	}
 	for _, id := range c.roster.Unlisted(upstreams) {
-		c.unregister(now, id)
+		c.deleteUpstreamEntry(now, id)
 	}
-	for zone := range c.zones {
+	for zone := range c.evacuatedZones {
 		if !zones[zone] {
-			c.evacuate(zone, false)
+			c.setEvacuated(zone, false)
 		}
 	}
 	if !c.listed {
 		c.restoreSnapshot(now, items)
 	}
-	c.listHosts(now)
+	c.updateMembers(now)
 	if !c.listed {
 		c.listed = true
-		c.d.peersKnown.Store(len(c.registrations) > 0)
+		c.d.hasPeers.Store(len(c.registrations) > 0)
 	}
 }
 
@@ -81,7 +81,7 @@
 		c.roster.StoreReached(now)
 		c.applyChanges(now, changes.Events)
 		c.revision = max(c.revision, changes.Revision)
-		c.confirmedByStore(asOf)
+		c.noteStoreReached(asOf)
 	})
 }
 
@@ -89,76 +89,76 @@
 func (s storeSink) OnError(err error) {
 	s.c.send(func(c *control) {
 		c.roster.StoreFailed()
-		c.noteStoreLost(err)
+		c.noteStoreUnreachable(err)
 	})
 }
 
-// applyChanges takes changes over, from the store or from a peer.
+// applyChanges applies changes from the store or from a peer.
 func (c *control) applyChanges(now time.Time, events []kv.Event) {
 	for _, e := range c.seen.FilterNewer(events) {
-		before, hostsBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
+		digestBefore, hostsDigestBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
 		var base []byte
 		if platform.IsConfiguration(e.Key) {
 			base = c.configuration
 		}
 		if e.Deleted {
-			c.applyRemoval(now, e.Key)
+			c.applyDelete(now, e.Key)
 		} else {
 			c.applyWrite(now, e.Item)
 		}
-		c.journal.Add(before, c.digest.Sum(), e, base)
-		c.hostRegistrations.journal.Add(hostsBefore, c.hostRegistrations.digest.Sum(), e, nil)
+		c.journal.Add(digestBefore, c.digest.Sum(), e, base)
+		c.hostRegistrations.journal.Add(hostsDigestBefore, c.hostRegistrations.digest.Sum(), e, nil)
 	}
-	c.listHosts(now)
+	c.updateMembers(now)
 }
 
-// applyWrite takes a key over that was written.
+// applyWrite applies the write of a key.
 func (c *control) applyWrite(now time.Time, item kv.Item) {
 	if item.Key != platform.SnapshotKey {
 		c.items[item.Key] = item
 	}
 	if platform.IsConfiguration(item.Key) {
-		c.declare(item)
+		c.applyConfiguration(item)
 		return
 	}
 	if _, ok := platform.UpstreamID(item.Key); ok {
-		c.register(now, item)
+		c.putUpstreamEntry(now, item)
 		return
 	}
 	if _, ok := platform.HostInstance(item.Key); ok {
-		c.hostRegistered(item)
+		c.setHostRegistration(item)
 		return
 	}
 	if item.Key == platform.ActiveHostsKey {
-		c.readGuide(item)
+		c.noteStoredHint(item)
 		return
 	}
 	if item.Key == platform.SnapshotKey && c.confirmedAt.IsZero() && c.listed {
-		// The first listing may have been old.
+		// The first listing may have been stale.
 		c.restoreSnapshot(now, []kv.Item{item})
 	}
 	if zone, ok := platform.EvacuatedZone(item.Key); ok {
-		c.evacuate(zone, true)
+		c.setEvacuated(zone, true)
 	}
 }
 
-// applyRemoval takes over that a key is gone.
-func (c *control) applyRemoval(now time.Time, key string) {
+// applyDelete applies the deletion of a key.
+func (c *control) applyDelete(now time.Time, key string) {
 	delete(c.items, key)
 	if id, ok := platform.UpstreamID(key); ok {
-		c.unregister(now, id)
+		c.deleteUpstreamEntry(now, id)
 	}
 	if zone, ok := platform.EvacuatedZone(key); ok {
-		c.evacuate(zone, false)
+		c.setEvacuated(zone, false)
 	}
-	c.hostUnregistered(key)
+	c.removeHostRegistration(key)
 }
 
-// hostRegistered notes an entry host's registration.
-func (c *control) hostRegistered(item kv.Item) {
+// setHostRegistration records the registration of an entry host.
+func (c *control) setHostRegistration(item kv.Item) {
 	var r fleet.Registration
 	if err := json.Unmarshal(item.Value, &r); err != nil || r.Instance == "" {
-		c.d.events.Warn("registration of a host not readable", "key", item.Key, "error", err)
+		c.d.events.Warn("host registration not readable", "key", item.Key, "error", err)
 		return
 	}
 	c.registrations[item.Key] = r
@@ -166,8 +166,8 @@
 	c.hostsChanged = true
 }
 
-// hostUnregistered notes that an entry host's registration is gone.
-func (c *control) hostUnregistered(key string) {
+// removeHostRegistration removes the registration of an entry host.
+func (c *control) removeHostRegistration(key string) {
 	if _, ok := c.registrations[key]; !ok {
 		return
 	}
@@ -176,17 +176,17 @@
 	c.hostsChanged = true
 }
 
-// listHosts takes over which hosts are registered, if that has changed.
-func (c *control) listHosts(now time.Time) {
-	if c.hostsListed && !c.hostsChanged {
+// updateMembers passes the registered hosts on to members if they have changed.
+func (c *control) updateMembers(now time.Time) {
+	if c.hostsApplied && !c.hostsChanged {
 		return
 	}
-	c.hostsListed, c.hostsChanged = true, false
+	c.hostsApplied, c.hostsChanged = true, false
 	c.members.ApplyRegistrations(now, slices.Collect(maps.Values(c.registrations)))
 }
 
-// declare takes a configuration over if it is newer.
-func (c *control) declare(item kv.Item) {
+// applyConfiguration puts a configuration into force if it is newer.
+func (c *control) applyConfiguration(item kv.Item) {
 	next, err := platform.DecodeConfiguration(item.Value)
 	if err != nil {
 		c.d.events.Warn("configuration refused", "revision", item.Revision, "in_force", c.version(), "error", err)
@@ -201,53 +201,54 @@
 	c.d.table.SetCatalog(next)
 }
 
-// evacuate takes over that a zone is to be emptied, or is taken back.
-func (c *control) evacuate(zone string, empty bool) {
-	if c.zones[zone] == empty {
+// setEvacuated starts or ends the evacuation of a zone.
+func (c *control) setEvacuated(zone string, evacuated bool) {
+	if c.evacuatedZones[zone] == evacuated {
 		return
 	}
-	// Others hold the present map.
-	c.zones = maps.Clone(c.zones)
-	if empty {
-		c.zones[zone] = true
+	// Other goroutines hold references to the present map.
+	c.evacuatedZones = maps.Clone(c.evacuatedZones)
+	if evacuated {
+		c.evacuatedZones[zone] = true
 		c.d.events.Info("zone evacuated", "zone", zone)
 	} else {
-		delete(c.zones, zone)
+		delete(c.evacuatedZones, zone)
 		c.d.events.Info("zone taken back", "zone", zone)
 	}
-	c.digest.SetZone(zone, empty)
-	c.d.table.SetEvacuatedZones(c.d.now(), c.zones)
+	c.digest.SetZone(zone, evacuated)
+	c.d.table.SetEvacuatedZones(c.d.now(), c.evacuatedZones)
 }
 
-// confirmedAsOf notes that what is known was what the store held at a time.
-func (c *control) confirmedAsOf(asOf time.Time) {
+// advanceConfirmedAt records that the state matched the store at a time.
+func (c *control) advanceConfirmedAt(asOf time.Time) {
 	if asOf.After(c.confirmedAt) {
 		c.confirmedAt = asOf
 	}
 }
 
-// confirmedByStore is the same, by an answer of the store itself.
-func (c *control) confirmedByStore(asOf time.Time) {
-	c.confirmedAsOf(asOf)
-	c.hostRegistrations.confirmedAsOf(asOf)
-	if c.storeOut {
-		c.storeOut = false
+// noteStoreReached records a successful response of the store itself, which confirms both the
+// state and the entry hosts' registrations.
+func (c *control) noteStoreReached(asOf time.Time) {
+	c.advanceConfirmedAt(asOf)
+	c.hostRegistrations.advanceConfirmedAt(asOf)
+	if c.storeUnreachable {
+		c.storeUnreachable = false
 		c.announce(c.d.now())
 		c.d.events.Info("store regained", "version", c.version())
 	}
 }
 
-func (c *control) noteStoreLost(err error) {
-	if !c.storeOut {
-		// The others may have to go by another watcher from now on.
-		c.storeOut = true
+func (c *control) noteStoreUnreachable(err error) {
+	if !c.storeUnreachable {
+		// Peers may have to select another watcher from now on.
+		c.storeUnreachable = true
 		c.announce(c.d.now())
 		c.d.events.Warn("store lost", "error", err, "age", c.d.now().Sub(c.confirmedAt))
 	}
 }
 
-// register takes an upstream's account of itself in.
-func (c *control) register(now time.Time, item kv.Item) {
+// putUpstreamEntry applies an upstream's entry in the store.
+func (c *control) putUpstreamEntry(now time.Time, item kv.Item) {
 	u, err := platform.DecodeUpstream(item)
 	if err != nil {
 		id, _ := platform.UpstreamID(item.Key)
@@ -259,7 +260,7 @@
 		return
 	}
 	if !c.roster.Put(u) {
-		c.d.events.Debug("upstream entry old", "upstream", u.ID, "born", u.StartedMs, "sequence", u.Sequence)
+		c.d.events.Debug("stale upstream entry ignored", "upstream", u.ID, "born", u.StartedMs, "sequence", u.Sequence)
 		return
 	}
 	c.digest.SetUpstream(u)
@@ -269,7 +270,7 @@
 	}
 }
 
-func (c *control) unregister(now time.Time, id string) {
+func (c *control) deleteUpstreamEntry(now time.Time, id string) {
 	c.digest.RemoveUpstream(id)
 	if c.roster.EntryRemoved(now, id) {
 		c.removeUpstream(id, "entry removed")
