--- a/internal/daemon/capacity_test.go
+++ b/internal/daemon/capacity_test.go
@@ -15,26 +15,26 @@
 	"balsambarrow/internal/daemon"
 )
 
-// countedConn counts the bytes of a connection.
-type countedConn struct {
+// countingConn counts the bytes read and written on a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -47,34 +47,35 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// What control costs a daemon at rest, by the number of daemons: the slopes of
-// docs/CAPACITY.md. All daemons run in this process; the platform's stand-in
-// is in it too and is part of the processor time.
+// TestMeasureControl measures the cost of the control plane per idle daemon, for
+// several fleet sizes; docs/CAPACITY.md uses the results. All daemons run in this
+// process, and so does the stand-in platform, whose CPU time is included.
 func TestMeasureControl(t *testing.T) {
-	measured(t)
+	requireMeasureEnv(t)
 	const length = 10 * time.Second
 	for _, n := range []int{10, 20, 40, 80} {
 		t.Run(fmt.Sprintf("daemons=%d", n), func(t *testing.T) {
 			f := newFleet(t)
-			f.network.count = true
+			f.network.countBytes = true
 			before := heapInUse()
 			f.startMany(n)
 			time.Sleep(3 * time.Second)
-			calls, bytes, cpu := f.platform.Calls(), f.network.bytes.Load(), processorTime()
+			calls, bytes, cpu := f.platform.Calls(), f.network.bytes.Load(), cpuTime()
 			time.Sleep(length)
 			after := f.platform.Calls()
-			per := func(v float64) float64 { return v / length.Seconds() }
-			t.Logf("per daemon: %.0f B/s with peers, %.3f%% of a core, %.0f KB; store calls per second in all:",
-				per(float64(f.network.bytes.Load()-bytes))/float64(n),
-				100*per((processorTime()-cpu).Seconds())/float64(n), float64(heapInUse()-before)/1024/float64(n))
+			perSecond := func(v float64) float64 { return v / length.Seconds() }
+			t.Logf("per daemon: %.0f B/s with peers, %.3f%% of a core, %.0f KB; store calls per second in total:",
+				perSecond(float64(f.network.bytes.Load()-bytes))/float64(n),
+				100*perSecond((cpuTime()-cpu).Seconds())/float64(n), float64(heapInUse()-before)/1024/float64(n))
 			for _, kind := range slices.Sorted(maps.Keys(after)) {
-				t.Logf("    %-12s %.1f", kind, per(float64(after[kind]-calls[kind])))
+				t.Logf("    %-12s %.1f", kind, perSecond(float64(after[kind]-calls[kind])))
 			}
 		})
 	}
 }
 
-// startMany starts n daemons over six zones and waits until all know all.
+// startMany starts n daemons in six zones and waits until they are ready and all
+// know each other.
 func (f *fleet) startMany(n int) []*daemon.Daemon {
 	c := &config.Config{
 		Regions:   map[string]config.Region{"vt": {}, "me": {}, "ma": {}},
--- a/internal/daemon/config_measure_test.go
+++ b/internal/daemon/config_measure_test.go
@@ -16,43 +16,46 @@
 	"balsambarrow/internal/wire"
 )
 
-// changesMeasured is how many changes each figure rests on.
-const changesMeasured = 60
+// changesPerRun is the number of changes behind each reported figure.
+const changesPerRun = 60
 
-// spread is how long one change took.
-type spread struct {
-	// accepted is from the submission to its answer, everywhere from then
-	// until the last daemon has the version in force.
+// propagation holds the delays of one configuration change.
+type propagation struct {
+	// accepted is the time from submission to response, everywhere the time
+	// from the response until the change is active on every daemon.
 	accepted, everywhere time.Duration
 }
 
-// measureChange submits a change through a host and waits for every daemon.
-func (f *fleet) measureChange(through string, base uint64, merge string) (uint64, spread) {
+// measurePropagation submits a change through a host and waits for every daemon.
+func (f *fleet) measurePropagation(through string, base uint64, mergePatch string) (uint64, propagation) {
 	f.t.Helper()
-	var s spread
+	var delays propagation
 	start := time.Now()
-	a, err := ctl.NewClient(f.daemons[through].OperatorsAddress()).Patch(base, []byte(merge))
+	applied, err := ctl.NewClient(f.daemons[through].OperatorsAddress()).Patch(base, []byte(mergePatch))
 	f.g.Expect(err).NotTo(HaveOccurred())
-	s.accepted = time.Since(start)
+	delays.accepted = time.Since(start)
 	start = time.Now()
 	for _, d := range f.daemons {
-		for d.View().Self.ConfigVersion < a.Version {
-			f.g.Expect(time.Since(start)).To(BeNumerically("<", settle))
+		for d.View().Self.ConfigVersion < applied.Version {
+			f.g.Expect(time.Since(start)).To(BeNumerically("<", settleTimeout))
 			time.Sleep(time.Millisecond)
 		}
 	}
-	s.everywhere = time.Since(start)
-	return a.Version, s
+	delays.everywhere = time.Since(start)
+	return applied.Version, delays
 }
 
+// quantiles formats the median, the 99th percentile and the maximum.
 func quantiles(all []time.Duration) string {
 	slices.Sort(all)
 	at := func(q float64) time.Duration { return all[int(q*float64(len(all)-1))].Round(time.Millisecond) }
 	return fmt.Sprintf("p50 %v, p99 %v, max %v of %d", at(0.5), at(0.99), at(1), len(all))
 }
 
-func TestMeasureSpread(t *testing.T) {
-	measured(t)
+// TestMeasureConfigPropagation measures how long a change submitted through a
+// daemon takes to be accepted and to become active on every daemon.
+func TestMeasureConfigPropagation(t *testing.T) {
+	requireMeasureEnv(t)
 	for _, tc := range []struct {
 		name    string
 		through string
@@ -61,35 +64,35 @@
 		{"healthy", "vt-a-1", func(*fleet) {}},
 		{"healthy, submitted far from the store", "ma-b-1", func(*fleet) {}},
 		{"store slow by 500 ms", "vt-a-1", func(f *fleet) { f.platform.SetFaults(standin.Faults{Delay: 500 * time.Millisecond}) }},
-		{"one zone reached only through peers", "vt-a-1", func(f *fleet) { f.network.cut("ma-b-1", "platform") }},
-		{"both", "vt-a-1", func(f *fleet) {
-			f.network.cut("ma-b-1", "platform")
+		{"one zone reached only through peers", "vt-a-1", func(f *fleet) { f.network.partition("ma-b-1", "platform") }},
+		{"slow store, one zone reached only through peers", "vt-a-1", func(f *fleet) {
+			f.network.partition("ma-b-1", "platform")
 			f.platform.SetFaults(standin.Faults{Delay: 500 * time.Millisecond})
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := cooperative(t, map[string]config.Customer{"farm": customer("farm", 100, 100)})
+			f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", 100, 100)})
 			tc.prepare(f)
 			version := f.daemons["vt-a-1"].View().Self.ConfigVersion
 			var accepted, everywhere []time.Duration
-			for i := range changesMeasured {
-				var s spread
-				version, s = f.measureChange(tc.through, version, rate(uint64(100+i)))
+			for i := range changesPerRun {
+				var s propagation
+				version, s = f.measurePropagation(tc.through, version, ratePatch(uint64(100+i)))
 				accepted, everywhere = append(accepted, s.accepted), append(everywhere, s.everywhere)
 			}
-			t.Logf("FIGURE %s: submission to acceptance %s; acceptance to in force everywhere %s", tc.name, quantiles(accepted), quantiles(everywhere))
+			t.Logf("FIGURE %s: submission to acceptance %s; acceptance to active everywhere %s", tc.name, quantiles(accepted), quantiles(everywhere))
 		})
 	}
 }
 
-// TestMeasureSpreadByTheStore measures changes that no daemon takes part in:
-// they reach the fleet through the zones' watchers alone.
-func TestMeasureSpreadByTheStore(t *testing.T) {
-	measured(t)
-	f := cooperative(t, map[string]config.Customer{"farm": customer("farm", 100, 100)})
+// TestMeasureConfigPropagationThroughStore measures changes that are written
+// directly to the store: they reach the fleet only through the zones' watchers.
+func TestMeasureConfigPropagationThroughStore(t *testing.T) {
+	requireMeasureEnv(t)
+	f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", 100, 100)})
 	var everywhere []time.Duration
-	for i := range changesMeasured {
-		version := f.write(rate(uint64(100 + i)))
+	for i := range changesPerRun {
+		version := f.writeToStore(ratePatch(uint64(100 + i)))
 		start := time.Now()
 		for _, d := range f.daemons {
 			for d.View().Self.ConfigVersion < version {
@@ -98,32 +101,34 @@
 		}
 		everywhere = append(everywhere, time.Since(start))
 	}
-	t.Logf("FIGURE written past all daemons: acceptance to in force everywhere %s", quantiles(everywhere))
+	t.Logf("FIGURE written directly to the store: acceptance to active everywhere %s", quantiles(everywhere))
 }
 
-func TestMeasureWithdrawal(t *testing.T) {
-	measured(t)
-	f := cooperative(t, map[string]config.Customer{"farm": customer("farm", 1000, 1000)})
-	var refused, granted []time.Duration
+// TestMeasureKeyRevocation measures how long a new key takes to work, and a
+// revoked key to be rejected, on all hosts.
+func TestMeasureKeyRevocation(t *testing.T) {
+	requireMeasureEnv(t)
+	f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", 1000, 1000)})
+	var revoked, added []time.Duration
 	for i := range 20 {
 		id, key := fmt.Sprintf("x%d", i), fmt.Sprintf("extra-%d", i)
 		f.patch("vt-a-1", fmt.Sprintf(`{"customers":{"farm":{"keys":{%q:{"sha256":%q}}}}}`, id, config.DigestOf(key).String()))
-		granted = append(granted, f.untilEverywhere(key, func(r reply) bool { return r.Outcome == wire.OutcomeRan }))
+		added = append(added, f.waitForAllHosts(key, func(r reply) bool { return r.Outcome == wire.OutcomeRan }))
 		f.patch("vt-a-1", fmt.Sprintf(`{"customers":{"farm":{"keys":{%q:null}}}}`, id))
-		refused = append(refused, f.untilEverywhere(key, func(r reply) bool { return r.Problem.Type == wire.TypeUnknownKey }))
+		revoked = append(revoked, f.waitForAllHosts(key, func(r reply) bool { return r.Problem.Type == wire.TypeUnknownKey }))
 	}
-	t.Logf("FIGURE granted key works at all hosts: %s after acceptance", quantiles(granted))
-	t.Logf("FIGURE withdrawn key refused at all hosts: %s after acceptance", quantiles(refused))
+	t.Logf("FIGURE new key works on all hosts: %s after acceptance", quantiles(added))
+	t.Logf("FIGURE revoked key rejected on all hosts: %s after acceptance", quantiles(revoked))
 }
 
-// untilEverywhere calls every host until its answer is as wanted, and returns
-// when the last one's was.
-func (f *fleet) untilEverywhere(key string, wanted func(reply) bool) time.Duration {
+// waitForAllHosts sends requests to every host until each response is as wanted,
+// and returns how long that took.
+func (f *fleet) waitForAllHosts(key string, wanted func(reply) bool) time.Duration {
 	start := time.Now()
 	var wg sync.WaitGroup
 	for host := range f.daemons {
 		wg.Go(func() {
-			for !wanted(f.call(host, http.MethodGet, "lookup/animal/7", key, nil)) && time.Since(start) < settle {
+			for !wanted(f.call(host, http.MethodGet, "lookup/animal/7", key, nil)) && time.Since(start) < settleTimeout {
 				time.Sleep(2 * time.Millisecond)
 			}
 		})
@@ -132,10 +137,10 @@
 	return time.Since(start)
 }
 
-// TestMeasureConfigStoreCalls counts the platform's calls by kind, idle and with
-// changes, over fleets of three sizes in six zones.
+// TestMeasureConfigStoreCalls counts the platform's calls by kind, for an idle
+// fleet and for one with configuration changes, with three fleet sizes.
 func TestMeasureConfigStoreCalls(t *testing.T) {
-	measured(t)
+	requireMeasureEnv(t)
 	const window = 10 * time.Second
 	for _, size := range []int{10, 25, 50} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -166,55 +171,55 @@
 					}
 				}
 				return true
-			}, 2*settle).Should(BeTrue())
+			}, 2*settleTimeout).Should(BeTrue())
 			time.Sleep(5 * time.Second)
 			before := f.platform.Calls()
 			time.Sleep(window)
-			idle := difference(f.platform.Calls(), before)
+			idle := callDifference(f.platform.Calls(), before)
 			before = f.platform.Calls()
 			const changes = 20
 			start := time.Now()
 			var everywhere []time.Duration
 			for i := range changes {
-				var s spread
-				version, s = f.measureChange(first, version, rate(uint64(200+i)))
+				var s propagation
+				version, s = f.measurePropagation(first, version, ratePatch(uint64(200+i)))
 				everywhere = append(everywhere, s.everywhere)
 				time.Sleep(time.Until(start.Add(time.Duration(i+1) * window / changes)))
 			}
-			busy := difference(f.platform.Calls(), before)
+			busy := callDifference(f.platform.Calls(), before)
 			t.Logf("FIGURE %d daemons: idle calls in %v: %v; with %d changes: %v; everywhere %s", size, window, idle, changes, busy, quantiles(everywhere))
 		})
 	}
 }
 
-func difference(now, before map[string]int) map[string]int {
-	out := map[string]int{}
+func callDifference(now, before map[string]int) map[string]int {
+	difference := map[string]int{}
 	for kind, n := range now {
 		if d := n - before[kind]; d != 0 {
-			out[kind] = d
+			difference[kind] = d
 		}
 	}
-	return out
+	return difference
 }
 
-// TestMeasureConfirmationAge samples how old the confirmation of the version
-// in force becomes, which bounds what max_staleness_ms may sensibly be.
+// TestMeasureConfirmationAge samples the age of the active version's last
+// confirmation, which is a lower bound for useful values of max_staleness_ms.
 func TestMeasureConfirmationAge(t *testing.T) {
-	measured(t)
+	requireMeasureEnv(t)
 	for _, tc := range []struct {
-		name   string
-		faults standin.Faults
-		cut    bool
+		name        string
+		faults      standin.Faults
+		partitioned bool
 	}{
 		{"healthy", standin.Faults{}, false},
 		{"store slow by 500 ms", standin.Faults{Delay: 500 * time.Millisecond}, false},
 		{"one zone reached only through peers", standin.Faults{}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := cooperative(t, map[string]config.Customer{"farm": customer("farm", 100, 100)})
+			f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", 100, 100)})
 			f.platform.SetFaults(tc.faults)
-			if tc.cut {
-				f.network.cut("ma-b-1", "platform")
+			if tc.partitioned {
+				f.network.partition("ma-b-1", "platform")
 			}
 			time.Sleep(8 * time.Second)
 			var ages []time.Duration
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -25,86 +25,86 @@
 	"balsambarrow/platform"
 )
 
-// storeClient reaches the platform as nobody's daemon: what it writes is known
-// to the fleet through the store alone.
+// storeClient returns a store client that belongs to no daemon: the fleet learns of
+// its writes only through the store.
 func (f *fleet) storeClient() *platform.Store {
 	client := platform.NewStore(f.url, (&net.Dialer{}).DialContext, func(string, error) {})
 	f.t.Cleanup(client.Close)
 	return client
 }
 
-// write submits a patch past all daemons and returns the version it made.
-func (f *fleet) write(merge string) uint64 {
+// writeToStore writes a patch directly to the store and returns the new version.
+func (f *fleet) writeToStore(mergePatch string) uint64 {
 	f.t.Helper()
 	repository := config.NewRepository(f.storeClient(), time.Now)
 	old, _, err := repository.Load(context.Background())
 	f.g.Expect(err).NotTo(HaveOccurred())
 	applied, err := repository.Apply(context.Background(), config.Patch{
-		ChangeID: uuid.NewString(), Base: old.Version, Merge: json.RawMessage(merge),
+		ChangeID: uuid.NewString(), Base: old.Version, Merge: json.RawMessage(mergePatch),
 	})
 	f.g.Expect(err).NotTo(HaveOccurred())
 	return applied.Version
 }
 
-// patch submits a patch through a daemon.
-func (f *fleet) patch(through, merge string) uint64 {
+// patch submits a patch through a daemon and returns the new version.
+func (f *fleet) patch(through, mergePatch string) uint64 {
 	f.t.Helper()
 	client := ctl.NewClient(f.daemons[through].OperatorsAddress())
 	current, err := client.Config()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	a, err := client.Patch(current.Version, []byte(merge))
+	applied, err := client.Patch(current.Version, []byte(mergePatch))
 	f.g.Expect(err).NotTo(HaveOccurred())
-	return a.Version
+	return applied.Version
 }
 
-func (f *fleet) version(host string) func() uint64 {
+func (f *fleet) configVersion(host string) func() uint64 {
 	return func() uint64 { return f.daemons[host].View().Self.ConfigVersion }
 }
 
-func rate(n uint64) string { return fmt.Sprintf(`{"customers":{"farm":{"rate":%d}}}`, n) }
+func ratePatch(n uint64) string { return fmt.Sprintf(`{"customers":{"farm":{"rate":%d}}}`, n) }
 
-// A zone has lost the store but still hears another zone. A change accepted
-// elsewhere must come into force there too.
-func TestZoneWithoutStoreLearnsFromPeers(t *testing.T) {
+// Guards against a stale configuration in a zone that cannot reach the store but
+// can reach another zone. A change accepted elsewhere must become active there.
+func TestZoneWithoutStoreGetsChangesFromPeers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.start("me-1", "me-a")
-	f.awaitReady(f.apply("vt-1", twoRegions()))
-	f.network.cut("me-1", "platform")
-	version := f.patch("vt-1", rate(900))
-	f.g.Eventually(f.version("me-1"), settle).Should(Equal(version))
+	f.awaitReady(f.apply("vt-1", twoRegionConfig()))
+	f.network.partition("me-1", "platform")
+	version := f.patch("vt-1", ratePatch(900))
+	f.g.Eventually(f.configVersion("me-1"), settleTimeout).Should(Equal(version))
 }
 
-// The daemon that waits on the store for its zone loses the store, or dies,
-// while the zone is cut off from all others. A change that reaches only the
-// store must come into force in the zone all the same: another daemon of the
-// zone has to ask.
-func TestZoneFollowsTheStoreWithoutItsWatcher(t *testing.T) {
+// Guards against a zone that stops following the store. The daemon that watches
+// the store for the zone crashes or loses the store, and no daemon outside the
+// zone passes on the change. Another daemon of the zone must read it from the
+// store.
+func TestZoneReceivesChangesAfterLosingItsWatcher(t *testing.T) {
 	t.Parallel()
-	for name, lose := range map[string]func(*fleet){
-		"watcher cut off from the store": func(f *fleet) { f.network.cut("vt-1", "platform") },
-		"watcher dead":                   func(f *fleet) { f.kill("vt-1") },
+	for name, loseWatcher := range map[string]func(*fleet){
+		"watcher partitioned from the store": func(f *fleet) { f.network.partition("vt-1", "platform") },
+		"watcher crashed":                    func(f *fleet) { f.kill("vt-1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
 			f.start("vt-1", "vt-a")
 			f.start("vt-2", "vt-a")
-			f.awaitReady(f.apply("vt-1", twoRegions()))
+			f.awaitReady(f.apply("vt-1", twoRegionConfig()))
 			f.g.Expect(f.daemons["vt-1"].View().Self.Watches).To(BeTrue())
 			f.g.Expect(f.daemons["vt-2"].View().Self.Watches).To(BeFalse())
-			lose(f)
-			version := f.write(rate(900))
+			loseWatcher(f)
+			version := f.writeToStore(ratePatch(900))
 			for host := range f.daemons {
-				f.g.Eventually(f.version(host), settle).Should(Equal(version))
+				f.g.Eventually(f.configVersion(host), settleTimeout).Should(Equal(version))
 			}
 		})
 	}
 }
 
-// startAt runs a daemon whose peers listener has a known address, dialing
-// with a delay to one slow address.
+// startAt runs a daemon whose peers listener has a known address, and delays its
+// connections to the address slow.
 func (f *fleet) startAt(host, zone, peers, slow string, delay time.Duration) *daemon.Daemon {
 	text := fmt.Sprintf(`{"host":%q,"zone":%q,"listen":{"peers":%q},"platform":{"url":%q,"timeout_ms":1000},"tls":{"plain":true}}`, host, zone, peers, f.url)
 	s, err := settings.Parse("test", []byte(text))
@@ -125,16 +125,16 @@
 	return d
 }
 
-// The store is out, and a withdrawal was accepted shortly before. Of two
-// daemons that cannot hear each other one has it, one has not. A third starts
-// and hears only the older one. It must not serve by that version: the key
-// that it would let in was withdrawn. With the host list out as well, it knows
-// of the second daemon only through the first.
-func TestColdStartTakesTheHighestVersionOfItsPeers(t *testing.T) {
+// Guards against starting with a version that accepts a revoked key. The store is
+// down, and of two daemons that cannot reach each other only one has the latest
+// change. A third daemon starts and gets heartbeats only from the older one. It
+// must poll both and use the higher version. If the host list is unavailable too,
+// the third daemon knows of the newer one only through the older one.
+func TestColdStartUsesTheHighestVersionOfItsPeers(t *testing.T) {
 	t.Parallel()
 	for name, faults := range map[string]standin.Faults{
-		"store out":               {StaleOnly: true},
-		"store and host list out": {Down: true},
+		"store down":               {StaleOnly: true},
+		"store and host list down": {Down: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -142,19 +142,19 @@
 			old := f.start("vt-1", "vt-a")
 			newer := f.start("vt-2", "vt-a")
 			peers := freeAddress(f.g)
-			f.list(membership.Host{Name: "me-1", Zone: "me-a", Peers: peers})
-			first := f.apply("vt-1", twoRegions())
+			f.listHost(membership.Host{Name: "me-1", Zone: "me-a", Peers: peers})
+			first := f.apply("vt-1", twoRegionConfig())
 			f.awaitReady(first)
-			f.g.Eventually(func() int { return len(old.View().Fleet.Hosts) }, settle).Should(Equal(2))
-			f.network.cut("vt-1", "platform")
-			f.network.cut("vt-1", "vt-2")
-			second := f.patch("vt-2", rate(900))
-			f.g.Eventually(f.version("vt-2"), settle).Should(Equal(second))
+			f.g.Eventually(func() int { return len(old.View().Fleet.Hosts) }, settleTimeout).Should(Equal(2))
+			f.network.partition("vt-1", "platform")
+			f.network.partition("vt-1", "vt-2")
+			second := f.patch("vt-2", ratePatch(900))
+			f.g.Eventually(f.configVersion("vt-2"), settleTimeout).Should(Equal(second))
 			f.platform.SetFaults(faults)
 
-			f.network.cutOneWay("vt-2", "me-1", peers)
+			f.network.blockDials("vt-2", "me-1", peers)
 			third := f.startAt("me-1", "me-a", peers, newer.Identity().Peers, 600*time.Millisecond)
-			f.g.Eventually(func() membership.State { return third.View().Self.State }, settle, time.Millisecond).
+			f.g.Eventually(func() membership.State { return third.View().Self.State }, settleTimeout, time.Millisecond).
 				Should(Equal(membership.StateReady))
 			f.g.Expect(third.View().Self.ConfigVersion).To(Equal(second))
 			f.g.Expect(old.View().Self.ConfigVersion).To(BeNumerically(">=", first))
@@ -162,13 +162,13 @@
 	}
 }
 
-// cutOneWay refuses dials from one side to an address of another, which can
-// still dial back.
-func (n *network) cutOneWay(from, to, address string) {
+// blockDials rejects connections from one host to an address of another, which can
+// still connect in the other direction.
+func (n *network) blockDials(from, to, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sides[address] = to
-	n.cuts[[2]string{from, to}] = true
+	n.nodeByAddress[address] = to
+	n.partitioned[[2]string{from, to}] = true
 }
 
 func freeAddress(g *WithT) string {
@@ -178,66 +178,67 @@
 	return l.Addr().String()
 }
 
-// A host starts while the platform is out and no other host can be reached.
-// It has no configuration: it must say so and stay out of use, and come into
-// use by itself when the platform is back.
+// Guards against serving without a configuration. A host starts while the platform
+// is down and no other host can be reached. It must stay in the starting state and
+// reject requests, and become ready once the platform is back.
 func TestColdStartWithoutAnyConfiguration(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
-	version := f.apply("vt-1", twoRegions())
+	version := f.apply("vt-1", twoRegionConfig())
 	f.awaitReady(version)
 	f.kill("vt-1")
 	f.platform.SetFaults(standin.Faults{Down: true})
 	d := f.start("vt-2", "vt-a")
 	state := func() membership.State { return d.View().Self.State }
-	g.Eventually(state, settle).Should(Equal(membership.StateStarting))
-	refused := f.call("vt-2", http.MethodGet, "lookup/x", "secret", nil)
-	g.Expect(refused.Problem.Type).To(Equal(wire.TypeNoConfiguration))
-	g.Expect(refused.Outcome).To(Equal(wire.OutcomeNotRun))
+	g.Eventually(state, settleTimeout).Should(Equal(membership.StateStarting))
+	rejected := f.call("vt-2", http.MethodGet, "lookup/x", "secret", nil)
+	g.Expect(rejected.Problem.Type).To(Equal(wire.TypeNoConfiguration))
+	g.Expect(rejected.Outcome).To(Equal(wire.OutcomeNotRun))
 	g.Consistently(state).Should(Equal(membership.StateStarting))
 	f.platform.SetFaults(standin.Faults{})
-	g.Eventually(state, settle).Should(Equal(membership.StateReady))
-	g.Expect(f.version("vt-2")()).To(Equal(version))
+	g.Eventually(state, settleTimeout).Should(Equal(membership.StateReady))
+	g.Expect(f.configVersion("vt-2")()).To(Equal(version))
 }
 
-// The store loses data and comes back with an older configuration. What was
-// in force must stay in force, and a change built on the old one must be
-// refused: no daemon would ever adopt it.
-func TestStoreThatLostDataRevertsNothing(t *testing.T) {
+// Guards against a rollback when the store loses data and returns with an older
+// configuration. The active version must stay active, and a change based on the
+// older one must be rejected: no daemon would ever apply it.
+func TestStoreRollbackDoesNotRevertConfiguration(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
-	f.apply("vt-1", twoRegions())
+	f.apply("vt-1", twoRegionConfig())
 	store := f.storeClient()
 	before, err := store.Get(context.Background(), config.StoreKey)
 	g.Expect(err).NotTo(HaveOccurred())
-	version := f.patch("vt-1", rate(900))
-	g.Eventually(f.version("vt-1"), settle).Should(Equal(version))
+	version := f.patch("vt-1", ratePatch(900))
+	g.Eventually(f.configVersion("vt-1"), settleTimeout).Should(Equal(version))
 	now, err := store.Get(context.Background(), config.StoreKey)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = store.CompareAndSwap(context.Background(), config.StoreKey, now.Revision, before.Value, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 
-	g.Consistently(f.version("vt-1")).Should(Equal(version))
-	_, err = ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Patch(version-1, []byte(rate(800)))
-	var refused *ctl.RefusedError
-	g.Expect(errors.As(err, &refused)).To(BeTrue())
-	g.Expect(refused.Failure.Type).To(Equal(operator.FailNotApplied))
+	g.Consistently(f.configVersion("vt-1")).Should(Equal(version))
+	_, err = ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Patch(version-1, []byte(ratePatch(800)))
+	var rejected *ctl.RefusedError
+	g.Expect(errors.As(err, &rejected)).To(BeTrue())
+	g.Expect(rejected.Failure.Type).To(Equal(operator.FailNotApplied))
 }
 
-// Operators upgrade half of the fleet and use a field that the older daemons
-// do not know. The older ones must go on serving by the last version they can
-// read, and the fleet's status must show it.
-func TestUnreadableVersionIsShownAndNotAdopted(t *testing.T) {
+// Guards against an outage in a partial upgrade. Half of the fleet is upgraded, and
+// operators use a field that the older daemons do not know. The older daemons must
+// keep serving with the last version that they can read, and the fleet status must
+// report the rejected version.
+func TestUnreadableVersionIsReportedAndNotApplied(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
-	c := twoRegions()
-	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "vt-a", quick)
+	c := twoRegionConfig()
+	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "vt-a", fastUpstream)
 	version := f.apply("vt-1", c)
 	f.awaitReady(version)
 	f.awaitHandlers("vt-1", "lookup")
@@ -253,14 +254,14 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		return fleet.Daemons[0]
 	}
-	g.Eventually(status, settle).Should(And(
+	g.Eventually(status, settleTimeout).Should(And(
 		HaveField("ConfigRejected", version+1), HaveField("ConfigVersion", version)))
 	g.Eventually(func() wire.Outcome {
 		return f.call("vt-1", http.MethodGet, "lookup/x", "secret", nil).Outcome
-	}, settle).Should(Equal(wire.OutcomeRan))
+	}, settleTimeout).Should(Equal(wire.OutcomeRan))
 }
 
-// status is what one daemon shows of a host.
+// status is a host's status as reported by the daemon through.
 func (f *fleet) status(through, host string) operator.DaemonStatus {
 	fleet, err := ctl.NewClient(f.daemons[through].OperatorsAddress()).Fleet()
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -272,18 +273,18 @@
 	return operator.DaemonStatus{ConfirmedMs: -1}
 }
 
-// A host that is listed stops without a word before anyone asks for a change,
-// and another one has only been listed so far. Nobody can say that a version
-// is in force there, so the status must show both until they are delisted.
-func TestFleetStatusShowsSilentHosts(t *testing.T) {
+// Guards against a fleet status that omits hosts whose version is unknown. One
+// listed host crashes, and another is listed but was never started. The status
+// must show both as unresponsive until they are removed from the host list.
+func TestFleetStatusShowsUnresponsiveHosts(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.start("me-1", "me-a")
-	f.list(membership.Host{Name: "me-2", Zone: "me-a", Peers: "127.0.0.1:1"})
-	f.awaitReady(f.apply("vt-1", twoRegions()))
-	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedMs }, settle).Should(BeNumerically(">=", 0))
+	f.listHost(membership.Host{Name: "me-2", Zone: "me-a", Peers: "127.0.0.1:1"})
+	f.awaitReady(f.apply("vt-1", twoRegionConfig()))
+	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedMs }, settleTimeout).Should(BeNumerically(">=", 0))
 	f.kill("me-1")
 	status := func() []operator.DaemonStatus {
 		fleet, err := ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Fleet()
@@ -291,7 +292,7 @@
 		g.Expect(fleet.Complete).To(BeTrue())
 		return fleet.Daemons
 	}
-	g.Eventually(status, settle).Should(ConsistOf(
+	g.Eventually(status, settleTimeout).Should(ConsistOf(
 		And(HaveField("Host", "vt-1"), HaveField("State", membership.StateReady)),
 		And(HaveField("Host", "me-1"), HaveField("State", operator.StateSilent), HaveField("ConfigVersion", uint64(1))),
 		And(HaveField("Host", "me-2"), HaveField("State", operator.StateSilent), HaveField("ConfigVersion", uint64(0)),
--- a/internal/daemon/delay_test.go
+++ b/internal/daemon/delayed_conn_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// delayedConn holds what is written and what is read back by a one-way delay
-// each, without bounding the rate, as a long link does.
+// delayedConn delays written and received data by a one-way delay each, without
+// limiting the rate, like a long-distance link.
 type delayedConn struct {
 	net.Conn
-	delay time.Duration
-	out   chan chunk
-	in    chan chunk
-	rest  []byte
-	err   error
-	once  sync.Once
-	done  chan struct{}
+	delay  time.Duration
+	out    chan chunk
+	in     chan chunk
+	unread []byte
+	err    error
+	once   sync.Once
+	done   chan struct{}
 }
 
 type chunk struct {
@@ -25,12 +25,12 @@
 	err  error
 }
 
-const delayedChunks = 1024
+const maxDelayedChunks = 1024
 
 func newDelayedConn(c net.Conn, delay time.Duration) *delayedConn {
 	d := &delayedConn{
 		Conn: c, delay: delay, done: make(chan struct{}),
-		out: make(chan chunk, delayedChunks), in: make(chan chunk, delayedChunks),
+		out: make(chan chunk, maxDelayedChunks), in: make(chan chunk, maxDelayedChunks),
 	}
 	go d.pumpOut()
 	go d.pumpIn()
@@ -66,7 +66,7 @@
 	}
 }
 
-// Write accepts the data at once; it leaves a delay later.
+// Write returns at once; the data is sent after the delay.
 func (d *delayedConn) Write(p []byte) (int, error) {
 	select {
 	case d.out <- chunk{due: time.Now().Add(d.delay), data: append([]byte(nil), p...)}:
@@ -76,22 +76,22 @@
 	}
 }
 
-// Read is called by one goroutine at a time.
+// Read must not be called concurrently.
 func (d *delayedConn) Read(p []byte) (int, error) {
-	if len(d.rest) == 0 && d.err == nil {
+	if len(d.unread) == 0 && d.err == nil {
 		select {
 		case c := <-d.in:
 			time.Sleep(time.Until(c.due))
-			d.rest, d.err = c.data, c.err
+			d.unread, d.err = c.data, c.err
 		case <-d.done:
 			return 0, net.ErrClosed
 		}
 	}
-	if len(d.rest) == 0 {
+	if len(d.unread) == 0 {
 		return 0, d.err
 	}
-	n := copy(p, d.rest)
-	d.rest = d.rest[n:]
+	n := copy(p, d.unread)
+	d.unread = d.unread[n:]
 	return n, nil
 }
 
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// StallControl lets the control thread stand still, as a paused process does.
+// StallControl blocks the control thread for a time, as a suspended process would.
 func (d *Daemon) StallControl(pause time.Duration) { d.control.send(stall{pause}) }
 
 type stall struct{ pause time.Duration }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -29,11 +29,11 @@
 	"balsambarrow/internal/wire"
 )
 
-// settle bounds every wait for the fleet to reach a state.
-const settle = 20 * time.Second
+// settleTimeout limits how long a test waits for the fleet to reach a state.
+const settleTimeout = 20 * time.Second
 
-// fleet is a platform, upstreams and daemons in one process, over real
-// sockets on loopback.
+// fleet is a stand-in platform, upstreams and daemons that run in one process and
+// communicate over loopback sockets.
 type fleet struct {
 	t         testing.TB
 	g         *WithT
@@ -43,42 +43,42 @@
 	daemons   map[string]*daemon.Daemon
 	network   *network
 	client    *http.Client
-	// traces is a folder that each daemon writes its spans to; "" is none.
+	// traces is the directory for the daemons' span files; "" disables tracing.
 	traces string
-	// logs receives the daemons' logs; nil is the test's output.
+	// logs receives the daemons' logs; nil selects the test's output.
 	logs io.Writer
 }
 
-// network decides which dials succeed. Sides are host names and "platform".
+// network decides which dials succeed. A node is a host name or "platform".
 type network struct {
-	mu    sync.Mutex
-	sides map[string]string // address -> side
-	cuts  map[[2]string]bool
-	conns map[[2]string][]net.Conn
-	// delay gives the one-way delay from side to side; nil: none.
+	mu            sync.Mutex
+	nodeByAddress map[string]string // address -> node
+	partitioned   map[[2]string]bool
+	conns         map[[2]string][]net.Conn
+	// delay returns the one-way delay between two nodes; nil means no delay.
 	delay func(from, to string) time.Duration
-	// bytes counts what crossed connections to peers listeners, both ways.
+	// bytes counts the bytes sent and received on connections to peer and relay listeners.
 	bytes atomic.Int64
-	// count turns the counting on.
-	count bool
-	// wrap, where set, stands between a dialled connection and its user.
-	wrap func(link [2]string, conn net.Conn) net.Conn
+	// countBytes enables the byte counter.
+	countBytes bool
+	// wrapConn, if set, wraps each dialed connection.
+	wrapConn func(link [2]string, conn net.Conn) net.Conn
 }
 
-var errCut = errors.New("test network: cut")
+var errPartitioned = errors.New("test network: nodes are partitioned")
 
 func (n *network) dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, proto, address string) (net.Conn, error) {
 		n.mu.Lock()
-		link := [2]string{from, n.sides[address]}
-		cut := n.cuts[link]
+		link := [2]string{from, n.nodeByAddress[address]}
+		blocked := n.partitioned[link]
 		n.mu.Unlock()
-		if cut {
-			return nil, &net.OpError{Op: "dial", Err: errCut}
+		if blocked {
+			return nil, &net.OpError{Op: "dial", Err: errPartitioned}
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, proto, address)
-		if err == nil && n.count && link[1] != "" && link[1] != "platform" {
-			conn = &countedConn{Conn: conn, bytes: &n.bytes}
+		if err == nil && n.countBytes && link[1] != "" && link[1] != "platform" {
+			conn = &countingConn{Conn: conn, bytes: &n.bytes}
 		}
 		if err == nil && n.delay != nil {
 			if d := n.delay(from, link[1]); d > 0 {
@@ -87,8 +87,8 @@
 		}
 		if err == nil {
 			n.mu.Lock()
-			if n.wrap != nil {
-				conn = n.wrap(link, conn)
+			if n.wrapConn != nil {
+				conn = n.wrapConn(link, conn)
 			}
 			n.conns[link] = append(n.conns[link], conn)
 			n.mu.Unlock()
@@ -97,13 +97,13 @@
 	}
 }
 
-// cut breaks the open connections from one side to another, both ways, and
-// refuses new ones until heal.
-func (n *network) cut(a, b string) {
+// partition closes the open connections between two nodes and rejects new ones
+// until heal.
+func (n *network) partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, link := range [][2]string{{a, b}, {b, a}} {
-		n.cuts[link] = true
+		n.partitioned[link] = true
 		for _, c := range n.conns[link] {
 			_ = c.Close()
 		}
@@ -114,20 +114,20 @@
 func (n *network) heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cuts, [2]string{a, b})
-	delete(n.cuts, [2]string{b, a})
+	delete(n.partitioned, [2]string{a, b})
+	delete(n.partitioned, [2]string{b, a})
 }
 
 func newFleet(t testing.TB) *fleet {
 	f := &fleet{
 		t: t, g: NewWithT(t), platform: standin.NewKVStore(),
 		upstreams: map[string]*standin.Upstream{}, daemons: map[string]*daemon.Daemon{},
-		network: &network{sides: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}},
+		network: &network{nodeByAddress: map[string]string{}, partitioned: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}},
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 	server := httptest.NewServer(f.platform)
 	f.url = server.URL
-	f.network.sides[strings.TrimPrefix(server.URL, "http://")] = "platform"
+	f.network.nodeByAddress[strings.TrimPrefix(server.URL, "http://")] = "platform"
 	t.Cleanup(func() {
 		for _, d := range f.daemons {
 			d.Kill()
@@ -139,7 +139,7 @@
 	return f
 }
 
-// upstream starts a stand-in upstream and returns its part of a configuration.
+// upstream starts a stand-in upstream and returns its configuration entry.
 func (f *fleet) upstream(name, service, zone string, o standin.UpstreamOptions) config.Upstream {
 	u := standin.NewUpstream(o)
 	server := httptest.NewServer(u)
@@ -148,18 +148,18 @@
 	return config.Upstream{Service: service, Zone: zone, Address: strings.TrimPrefix(server.URL, "http://"), Slots: o.Slots}
 }
 
-// start runs a daemon on a host and enters it in the host list.
+// start starts a daemon on a host and adds the host to the host list.
 func (f *fleet) start(host, zone string) *daemon.Daemon {
-	more := `"tls":{"plain":true}`
+	extraSettings := `"tls":{"plain":true}`
 	if f.traces != "" {
-		more += fmt.Sprintf(`,"trace_file":%q`, f.traces+"/"+host)
+		extraSettings += fmt.Sprintf(`,"trace_file":%q`, f.traces+"/"+host)
 	}
-	return f.startWith(host, zone, more)
+	return f.startWith(host, zone, extraSettings)
 }
 
-// startWith is start with further settings.
-func (f *fleet) startWith(host, zone, more string) *daemon.Daemon {
-	text := fmt.Sprintf(`{"host":%q,"zone":%q,"platform":{"url":%q,"timeout_ms":1000},%s}`, host, zone, f.url, more)
+// startWith is like start but takes additional settings.
+func (f *fleet) startWith(host, zone, extraSettings string) *daemon.Daemon {
+	text := fmt.Sprintf(`{"host":%q,"zone":%q,"platform":{"url":%q,"timeout_ms":1000},%s}`, host, zone, f.url, extraSettings)
 	s, err := settings.Parse("test", []byte(text))
 	f.g.Expect(err).NotTo(HaveOccurred())
 	if f.logs == nil {
@@ -171,54 +171,55 @@
 	f.g.Expect(d.Start()).To(Succeed())
 	id := d.Identity()
 	f.network.mu.Lock()
-	f.network.sides[id.Peers], f.network.sides[id.Relay] = host, host
+	f.network.nodeByAddress[id.Peers], f.network.nodeByAddress[id.Relay] = host, host
 	f.network.mu.Unlock()
-	f.list(membership.Host{Name: host, Zone: zone, Peers: id.Peers})
+	f.listHost(membership.Host{Name: host, Zone: zone, Peers: id.Peers})
 	f.daemons[host] = d
 	return d
 }
 
-// list enters a host in the host list.
-func (f *fleet) list(h membership.Host) {
+// listHost adds a host to the host list.
+func (f *fleet) listHost(h membership.Host) {
 	h.State = membership.HostLive
 	f.platform.Put(membership.HostKey(h.Name), h.Value())
 }
 
-// kill ends a daemon as a crash would.
+// kill stops a daemon as a crash would.
 func (f *fleet) kill(host string) {
 	f.daemons[host].Kill()
 	delete(f.daemons, host)
 }
 
-// apply submits a whole configuration through a daemon.
+// apply submits a full configuration through a daemon and returns its version.
 func (f *fleet) apply(through string, c *config.Config) uint64 {
 	text, err := json.Marshal(c)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	client := ctl.NewClient(f.daemons[through].OperatorsAddress())
 	current, err := client.Config()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	a, err := client.Patch(current.Version, text)
+	applied, err := client.Patch(current.Version, text)
 	f.g.Expect(err).NotTo(HaveOccurred())
-	return a.Version
+	return applied.Version
 }
 
-// awaitReady waits until every daemon has the version, sees all the others
+// awaitReady waits until every daemon has the version, lists all daemons as ready
 // and holds slots that it may spend from.
 func (f *fleet) awaitReady(version uint64) {
 	f.t.Helper()
 	f.g.Eventually(func() bool {
 		for _, d := range f.daemons {
 			snap := d.View()
-			if snap.Self.ConfigVersion < version || len(snap.Ready) != len(f.daemons) || !settled(snap.Self.Held) {
+			if snap.Self.ConfigVersion < version || len(snap.Ready) != len(f.daemons) || !slotsSpendable(snap.Self.Held) {
 				return false
 			}
 		}
 		return true
-	}, settle, 20*time.Millisecond).Should(BeTrue())
+	}, settleTimeout, 20*time.Millisecond).Should(BeTrue())
 }
 
-// settled allows for two runs of the control thread after the quarantine.
-func settled(held []membership.Holding) bool {
+// slotsSpendable reports whether the quarantine of all held slots has passed, with
+// 200 ms to spare for two runs of the control thread.
+func slotsSpendable(held []membership.Holding) bool {
 	for _, h := range held {
 		if time.Since(h.Since) < quota.Quarantine+200*time.Millisecond {
 			return false
@@ -227,7 +228,7 @@
 	return len(held) > 0
 }
 
-// awaitHandlers waits until a daemon knows of room for a service.
+// awaitHandlers waits until a daemon knows of capacity for a service.
 func (f *fleet) awaitHandlers(host, service string) {
 	f.t.Helper()
 	f.g.Eventually(func() bool {
@@ -237,10 +238,10 @@
 			}
 		}
 		return false
-	}, settle, 20*time.Millisecond).Should(BeTrue())
+	}, settleTimeout, 20*time.Millisecond).Should(BeTrue())
 }
 
-// reply is what a caller received.
+// reply is the response that a caller received.
 type reply struct {
 	Status  int
 	Outcome wire.Outcome
@@ -249,12 +250,12 @@
 	Err     error
 }
 
-// call sends one request to a host as the holder of a key.
+// call sends one request to a host with an API key.
 func (f *fleet) call(host, method, path, key string, header map[string]string) reply {
 	return f.callAt(f.daemons[host].Identity().Callers, method, path, key, header)
 }
 
-// callAt is call by address, which may be that of a host that is gone.
+// callAt is like call but takes an address, for hosts that have stopped.
 func (f *fleet) callAt(address, method, path, key string, header map[string]string) reply {
 	url := "http://" + address + "/svc/" + path
 	req, err := http.NewRequest(method, url, bytes.NewReader(nil))
@@ -276,9 +277,9 @@
 	return r
 }
 
-// twoRegions is a configuration with one zone in each of two regions, one
-// customer "farm" with the key "secret", and the service "lookup".
-func twoRegions() *config.Config {
+// twoRegionConfig is a configuration with one zone in each of two regions, the
+// services "lookup" and "posting", and the customer "farm" with the key "secret".
+func twoRegionConfig() *config.Config {
 	return &config.Config{
 		Regions:  map[string]config.Region{"vermont": {}, "maine": {}},
 		Zones:    map[string]config.Zone{"vt-a": {Region: "vermont"}, "me-a": {Region: "maine"}},
@@ -291,4 +292,4 @@
 	}
 }
 
-var quick = standin.UpstreamOptions{Slots: 4, ServiceTime: time.Millisecond}
+var fastUpstream = standin.UpstreamOptions{Slots: 4, ServiceTime: time.Millisecond}
--- a/internal/daemon/beat_bench_test.go
+++ b/internal/daemon/heartbeat_bench_test.go
@@ -23,40 +23,41 @@
 	}
 }
 
-// BenchmarkBeat measures one round of heartbeats: to every member one message
-// is encoded, and one answer decoded and taken in; then the live list is made,
-// as for a snapshot. bytes/beat is the encoded message.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkHeartbeatRound measures one round of heartbeats. For each member, one
+// message is encoded and one response is decoded and applied; then the list of
+// live members is built, as for a snapshot. bytes/beat is the size of the encoded
+// message.
+func BenchmarkHeartbeatRound(b *testing.B) {
 	for _, members := range []int{10, 50, 100, 400} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			table, contacts := membership.NewTable(), membership.NewContacts("self")
 			now := time.Unix(1e9, 0)
-			answers := make([]*peer.Heartbeat, members)
+			responses := make([]*peer.Heartbeat, members)
 			for i := range members {
 				m := benchMember(i)
 				contacts.Heard(m.Peers, now)
-				answers[i] = memberToWire(m)
+				responses[i] = memberToWire(m)
 			}
-			raw := make([][]byte, members)
+			encoded := make([][]byte, members)
 			b.ReportAllocs()
 			for round := uint64(0); b.Loop(); round++ {
 				now = now.Add(membership.BeatEvery)
-				beatRound(table, contacts, answers, raw, now)
+				heartbeatRound(table, contacts, responses, encoded, now)
 			}
-			b.ReportMetric(float64(len(raw[0])), "bytes/beat")
+			b.ReportMetric(float64(len(encoded[0])), "bytes/beat")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*members), "ns/peer")
 		})
 	}
 }
 
-func beatRound(table *membership.Table, contacts *membership.Contacts, answers []*peer.Heartbeat, raw [][]byte, now time.Time) {
-	own := benchMember(0)
-	own.Known = contacts.Gossip(now)
+func heartbeatRound(table *membership.Table, contacts *membership.Contacts, responses []*peer.Heartbeat, encoded [][]byte, now time.Time) {
+	self := benchMember(0)
+	self.Known = contacts.Gossip(now)
 	_ = contacts.Due(now)
-	for i, answer := range answers {
-		answer.Sequence++
-		raw[i], _ = proto.Marshal(memberToWire(own))
-		received, _ := proto.Marshal(answer)
+	for i, response := range responses {
+		response.Sequence++
+		encoded[i], _ = proto.Marshal(memberToWire(self))
+		received, _ := proto.Marshal(response)
 		decoded := &peer.Heartbeat{}
 		_ = proto.Unmarshal(received, decoded)
 		m := memberFromWire(decoded)
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -18,20 +18,20 @@
 )
 
 // The tests in this file print the figures of docs/MEASUREMENTS.md. They take
-// minutes, judge nothing that depends on the wall clock, and run only on
-// request.
+// minutes, check nothing that depends on timing, and run only on request.
 
-func measured(t *testing.T) {
+// requireMeasureEnv skips the test unless BALSAM_MEASURE is set.
+func requireMeasureEnv(t *testing.T) {
 	t.Helper()
 	if os.Getenv("BALSAM_MEASURE") == "" {
 		t.Skip("set BALSAM_MEASURE=1 to measure")
 	}
 }
 
-// oneWay is the cooperative's delay between regions.
-const oneWay = 35 * time.Millisecond
+// regionDelay is the one-way delay between two regions.
+const regionDelay = 35 * time.Millisecond
 
-// tenHosts are the entry hosts of the cooperative, by zone.
+// tenHosts are the entry hosts that startTenHosts starts; a name begins with its zone.
 var tenHosts = []string{
 	"vt-a-1", "vt-a-2", "vt-b-1", "vt-b-2", "me-a-1", "me-a-2", "me-b-1", "ma-a-1", "ma-a-2", "ma-b-1",
 }
@@ -39,9 +39,9 @@
 func zoneOf(host string) string   { return host[:4] }
 func regionOf(host string) string { return host[:2] }
 
-// cooperative starts ten daemons over six zones at the brief's delays, with
-// the customers given, and three upstreams of a lookup service in each zone.
-func cooperative(t *testing.T, customers map[string]config.Customer) *fleet {
+// startTenHosts starts ten daemons in six zones, with regionDelay between regions,
+// the given customers, and three upstreams of a lookup service in each zone.
+func startTenHosts(t *testing.T, customers map[string]config.Customer) *fleet {
 	f := newFleet(t)
 	f.network.delay = func(from, to string) time.Duration {
 		switch to {
@@ -53,7 +53,7 @@
 		if regionOf(from) == regionOf(to) {
 			return 0
 		}
-		return oneWay
+		return regionDelay
 	}
 	c := &config.Config{
 		Regions:   map[string]config.Region{"vt": {}, "me": {}, "ma": {}},
@@ -85,8 +85,8 @@
 	}}
 }
 
-// load is an open-loop load over a fleet.
-func (f *fleet) load(l standin.Load) *standin.Report {
+// runLoad sends an open-loop load to the fleet.
+func (f *fleet) runLoad(l standin.Load) *standin.Report {
 	l.Config = f.daemons["vt-a-1"].View().Config.Config
 	l.Entry = f.daemons["vt-a-1"].Identity().Callers
 	l.Key = func(customer string) string { return "key-" + customer }
@@ -96,28 +96,30 @@
 	return r
 }
 
-// host returns the entry of a host.
-func (f *fleet) host(name string) lookup.Entry {
+// hostEntry returns the lookup entry of a host.
+func (f *fleet) hostEntry(name string) lookup.Entry {
 	id := f.daemons[name].Identity()
 	return lookup.Entry{Address: id.Callers, Zone: id.Zone, Instance: id.Instance}
 }
 
-// skewed sends four fifths of the requests to one host until move, then to
-// another, and the rest to all.
-func (f *fleet) skewed(first, second string, move time.Duration) func(string, []lookup.Entry, time.Duration, *rand.Rand) lookup.Entry {
+// skewedEntry returns a function that picks entry hosts: four fifths of the requests
+// go to the host first until move and to second afterwards, the rest to any host.
+func (f *fleet) skewedEntry(first, second string, moveAt time.Duration) func(string, []lookup.Entry, time.Duration, *rand.Rand) lookup.Entry {
 	return func(_ string, _ []lookup.Entry, since time.Duration, rng *rand.Rand) lookup.Entry {
 		host := first
-		if since > move {
+		if since > moveAt {
 			host = second
 		}
 		if rng.Float64() < 0.2 {
 			host = tenHosts[rng.IntN(len(tenHosts))]
 		}
-		return f.host(host)
+		return f.hostEntry(host)
 	}
 }
 
-func wrongfulPart(seconds []standin.Second) float64 {
+// wrongfulPercent returns the percentage of requests that were rejected although the
+// customer was within its rate.
+func wrongfulPercent(seconds []standin.Second) float64 {
 	sent, wrongful := 0, 0
 	for _, s := range seconds {
 		sent += s.Sent
@@ -126,32 +128,33 @@
 	return 100 * float64(wrongful) / float64(max(sent, 1))
 }
 
-// calmAfter is the first second from which on no second is over 0.5%.
-func calmAfter(seconds []standin.Second) int {
+// recoveredAfter returns the first second after which at most 0.5% of each second's
+// requests were wrongfully rejected.
+func recoveredAfter(seconds []standin.Second) int {
 	for i := len(seconds) - 1; i >= 0; i-- {
-		if wrongfulPart(seconds[i:i+1]) > 0.5 {
+		if wrongfulPercent(seconds[i:i+1]) > 0.5 {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// overshoot is how many requests more than rate*t+burst the upstreams ran of
-// a customer in any window: a bucket over all arrivals, how far below zero.
+// overshoot returns by how many requests a customer exceeded rate*t+burst in its
+// worst window: the largest deficit of a token bucket that all arrivals draw from.
 func (f *fleet) overshoot(name string, c config.Customer) float64 {
-	var at []time.Time
+	var arrivedAt []time.Time
 	for _, u := range f.upstreams {
 		for _, a := range u.Arrivals() {
 			if a.Customer == name {
-				at = append(at, a.At)
+				arrivedAt = append(arrivedAt, a.At)
 			}
 		}
 	}
-	slices.SortFunc(at, time.Time.Compare)
+	slices.SortFunc(arrivedAt, time.Time.Compare)
 	level, worst := c.Burst, 0.0
-	for i, t := range at {
+	for i, t := range arrivedAt {
 		if i > 0 {
-			level = min(c.Burst, level+c.Rate*t.Sub(at[i-1]).Seconds())
+			level = min(c.Burst, level+c.Rate*t.Sub(arrivedAt[i-1]).Seconds())
 		}
 		level--
 		worst = max(worst, -level)
@@ -159,80 +162,85 @@
 	return worst
 }
 
+// TestMeasureSkew measures wrongful rejections while most of a customer's load
+// arrives at one host and then moves to another.
 func TestMeasureSkew(t *testing.T) {
-	measured(t)
+	requireMeasureEnv(t)
 	const move, length = 25 * time.Second, 40 * time.Second
 	for _, tc := range []struct{ rate, burst float64 }{{200, 50}, {200, 10}, {20, 20}, {20, 5}} {
 		t.Run(fmt.Sprintf("rate=%v burst=%v", tc.rate, tc.burst), func(t *testing.T) {
-			f := cooperative(t, map[string]config.Customer{"farm": customer("farm", tc.rate, tc.burst)})
-			r := f.load(standin.Load{Fraction: 0.9, Duration: length, Pick: f.skewed("vt-a-1", "ma-a-1", move)})
+			f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", tc.rate, tc.burst)})
+			r := f.runLoad(standin.Load{Fraction: 0.9, Duration: length, Pick: f.skewedEntry("vt-a-1", "ma-a-1", move)})
 			steady, moved := r.Seconds[10:25], r.Seconds[25:]
-			t.Logf("wrongful refusals: seconds 10 to 25 %.2f%%, after the move %.2f%%, calm %d s after it; p50 %v p99 %v; overshoot %.2f",
-				wrongfulPart(steady), wrongfulPart(moved), calmAfter(moved), r.Quantile(50), r.Quantile(99),
+			t.Logf("wrongful rejections: seconds 10 to 25 %.2f%%, after the move %.2f%%, at most 0.5%% from %d s after it; p50 %v p99 %v; overshoot %.2f",
+				wrongfulPercent(steady), wrongfulPercent(moved), recoveredAfter(moved), r.Quantile(50), r.Quantile(99),
 				f.overshoot("farm", customer("", tc.rate, tc.burst)))
 		})
 	}
 }
 
+// TestMeasureEven measures wrongful rejections while eight customers send each
+// request to a random host.
 func TestMeasureEven(t *testing.T) {
-	measured(t)
+	requireMeasureEnv(t)
 	customers := map[string]config.Customer{}
 	for i, rate := range []float64{200, 100, 60, 40, 40, 20, 20, 20} {
 		name := fmt.Sprintf("c%d", i)
 		customers[name] = customer(name, rate, rate/2)
 	}
-	f := cooperative(t, customers)
-	r := f.load(standin.Load{Fraction: 0.9, Duration: 30 * time.Second})
-	t.Logf("wrongful refusals after 10 s: %.2f%%; p50 %v p99 %v", wrongfulPart(r.Seconds[10:]), r.Quantile(50), r.Quantile(99))
+	f := startTenHosts(t, customers)
+	r := f.runLoad(standin.Load{Fraction: 0.9, Duration: 30 * time.Second})
+	t.Logf("wrongful rejections after 10 s: %.2f%%; p50 %v p99 %v", wrongfulPercent(r.Seconds[10:]), r.Quantile(50), r.Quantile(99))
 	name, share := r.Worst()
 	t.Logf("worst-served %s: %.1f%% of its requests ran", name, 100*share)
 }
 
-// One customer sends five times its rate through all hosts while others keep
-// to theirs; its traffic moves, and a daemon is killed, or a zone is cut off.
+// TestMeasureOvershoot measures by how much a customer exceeds its rate when it
+// sends five times that rate through all hosts and its traffic moves between them,
+// while a daemon crashes, a zone is partitioned or the store is down.
 func TestMeasureOvershoot(t *testing.T) {
-	measured(t)
+	requireMeasureEnv(t)
 	faults := map[string]func(f *fleet){
-		"none":          func(*fleet) {},
-		"kill":          func(f *fleet) { f.kill("me-a-1") },
-		"zone cut off":  func(f *fleet) { f.cutZone("ma-a") },
-		"store down":    func(f *fleet) { f.platform.SetFaults(standin.Faults{Down: true}) },
-		"kill and down": func(f *fleet) { f.kill("me-a-1"); f.platform.SetFaults(standin.Faults{Down: true}) },
+		"none":                 func(*fleet) {},
+		"crash":                func(f *fleet) { f.kill("me-a-1") },
+		"zone partitioned":     func(f *fleet) { f.partitionZone("ma-a") },
+		"store down":           func(f *fleet) { f.platform.SetFaults(standin.Faults{Down: true}) },
+		"crash and store down": func(f *fleet) { f.kill("me-a-1"); f.platform.SetFaults(standin.Faults{Down: true}) },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			f := cooperative(t, map[string]config.Customer{
+			f := startTenHosts(t, map[string]config.Customer{
 				"hot": customer("hot", 100, 40), "calm": customer("calm", 100, 40),
 			})
 			timer := time.AfterFunc(10*time.Second, func() { fault(f) })
 			defer timer.Stop()
 			addresses := map[string]lookup.Entry{}
 			for _, h := range tenHosts {
-				addresses[h] = f.host(h)
+				addresses[h] = f.hostEntry(h)
 			}
 			pick := func(_ string, _ []lookup.Entry, since time.Duration, rng *rand.Rand) lookup.Entry {
-				near := tenHosts[int(since/(5*time.Second))%len(tenHosts)]
+				entryHost := tenHosts[int(since/(5*time.Second))%len(tenHosts)]
 				if rng.Float64() < 0.5 {
-					near = tenHosts[rng.IntN(len(tenHosts))]
+					entryHost = tenHosts[rng.IntN(len(tenHosts))]
 				}
-				return addresses[near]
+				return addresses[entryHost]
 			}
-			r := f.load(standin.Load{Fraction: 0.8, Fractions: map[string]float64{"hot": 5}, Duration: 30 * time.Second, Pick: pick})
+			r := f.runLoad(standin.Load{Fraction: 0.8, Fractions: map[string]float64{"hot": 5}, Duration: 30 * time.Second, Pick: pick})
 			over := f.overshoot("hot", customer("", 100, 40))
-			t.Logf("overshoot hot %.2f, calm %.2f; outcomes %v; wrongful %d of %d refused", over, f.overshoot("calm", customer("", 100, 40)),
+			t.Logf("overshoot hot %.2f, calm %.2f; outcomes %v; %d of %d rejections wrongful", over, f.overshoot("calm", customer("", 100, 40)),
 				r.Outcomes, r.Wrongful, r.Refused)
 			g.Expect(r.Wrong).To(BeZero())
 		})
 	}
 }
 
-// cutZone cuts a zone off from all other zones and the platform.
-func (f *fleet) cutZone(zone string) { f.eachCut(zone, f.network.cut) }
+// partitionZone disconnects a zone from all other zones and from the platform.
+func (f *fleet) partitionZone(zone string) { f.forEachLink(zone, f.network.partition) }
 
-func (f *fleet) healZone(zone string) { f.eachCut(zone, f.network.heal) }
+func (f *fleet) healZone(zone string) { f.forEachLink(zone, f.network.heal) }
 
-func (f *fleet) eachCut(zone string, do func(a, b string)) {
+func (f *fleet) forEachLink(zone string, do func(a, b string)) {
 	for _, inside := range tenHosts {
 		if !strings.HasPrefix(inside, zone) {
 			continue
@@ -246,17 +254,18 @@
 	}
 }
 
-// A zone is cut off from everything for half a minute under load.
-func TestMeasureCutOffZone(t *testing.T) {
-	measured(t)
-	f := cooperative(t, map[string]config.Customer{"farm": customer("farm", 240, 120)})
-	time.AfterFunc(10*time.Second, func() { f.cutZone("vt-a") })
+// TestMeasurePartitionedZone measures a zone under load that is disconnected from
+// everything for half a minute.
+func TestMeasurePartitionedZone(t *testing.T) {
+	requireMeasureEnv(t)
+	f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", 240, 120)})
+	time.AfterFunc(10*time.Second, func() { f.partitionZone("vt-a") })
 	time.AfterFunc(40*time.Second, func() { f.healZone("vt-a") })
 	inside := func(_ string, _ []lookup.Entry, _ time.Duration, rng *rand.Rand) lookup.Entry {
-		return f.host([]string{"vt-a-1", "vt-a-2"}[rng.IntN(2)])
+		return f.hostEntry([]string{"vt-a-1", "vt-a-2"}[rng.IntN(2)])
 	}
-	// A sixth of the rate is the zone's own share; it sends four fifths of it.
-	r := f.load(standin.Load{Fraction: 0.8 / 6, Duration: 50 * time.Second, Pick: inside})
+	// The zone's own share is a sixth of the rate; the load is four fifths of that share.
+	r := f.runLoad(standin.Load{Fraction: 0.8 / 6, Duration: 50 * time.Second, Pick: inside})
 	t.Logf("sent %d, outcomes %v", r.Sent, r.Outcomes)
 	version := f.daemons["vt-b-1"].View().Config
 	t.Logf("overshoot %.2f; version %d", f.overshoot("farm", customer("", 240, 120)), version.Version)
--- a/internal/daemon/postings_bench_test.go
+++ b/internal/daemon/postings_bench_test.go
@@ -10,7 +10,7 @@
 	"balsambarrow/internal/posting"
 )
 
-// BenchmarkHandover cuts a full table into messages, and reads them again.
+// BenchmarkHandover splits a full table into messages, and decodes them again.
 func BenchmarkHandover(b *testing.B) {
 	table := posting.Handover{Instance: "vt-1-ab"}
 	for i := range posting.MaxRecords {
--- a/internal/daemon/quota_test.go
+++ b/internal/daemon/quota_test.go
@@ -16,48 +16,48 @@
 	"balsambarrow/internal/wire"
 )
 
-// arrivals is an upstream that notes when requests come.
-type arrivals struct {
+// arrivalRecorder is an upstream that records when requests arrive.
+type arrivalRecorder struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-func (a *arrivals) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (a *arrivalRecorder) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
 	a.at = append(a.at, time.Now())
 	a.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (a *arrivals) times() []time.Time {
+func (a *arrivalRecorder) times() []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.SortedFunc(slices.Values(a.at), time.Time.Compare)
 }
 
-// onTheWay is how far the ways of two requests from admission to the upstream
-// may differ in time on a busy machine.
-const onTheWay = 250 * time.Millisecond
+// delayVariation is how much the delay between admission and the upstream may differ
+// between two requests on a busy machine.
+const delayVariation = 250 * time.Millisecond
 
-// excess is the most by which any window saw more than rate*t + burst.
-func excess(at []time.Time, rate, burst float64) float64 {
-	most := 0.0
+// maxExcess returns the largest excess over rate*t + burst in any window.
+func maxExcess(at []time.Time, rate, burst float64) float64 {
+	maximum := 0.0
 	for i := range at {
 		for j := i; j < len(at); j++ {
-			window := (at[j].Sub(at[i]) + onTheWay).Seconds()
-			most = max(most, float64(j-i+1)-rate*window-burst)
+			window := (at[j].Sub(at[i]) + delayVariation).Seconds()
+			maximum = max(maximum, float64(j-i+1)-rate*window-burst)
 		}
 	}
-	return most
+	return maximum
 }
 
-// One customer sends five times its rate through three daemons. One of them
-// dies, and another is cut off from the rest and from the platform. The
-// upstreams must see no more than the customer's rate and burst in any window,
-// and the callers must still get a good part of the rate. The causes guarded
-// against: a part of the quota spent by its lender and its borrower, and a
-// dead daemon's slots spent by two heirs.
-func TestCustomerOverItsRateThroughAKillAndACut(t *testing.T) {
+// Guards against exceeding a customer's rate during failures. The customer sends
+// five times its rate through three daemons; one is partitioned from the others and
+// from the platform, and another crashes. The upstreams must see no more than the
+// customer's rate and burst in any window, and requests must continue to arrive.
+// The rate is exceeded if a part of the quota is spent by both its lender and its
+// borrower, or if two daemons take over the slots of the crashed one.
+func TestCustomerRateHoldsThroughCrashAndPartition(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
 	hosts := map[string]string{"vt-1": "vt-a", "vt-2": "vt-a", "me-1": "me-a"}
@@ -65,13 +65,13 @@
 		f.start(host, zone)
 	}
 	const rate, burst = 100, 20
-	c := twoRegions()
+	c := twoRegionConfig()
 	farm := c.Customers["farm"]
 	farm.Rate, farm.Burst = rate, burst
 	c.Customers["farm"] = farm
-	seen := &arrivals{}
+	recorder := &arrivalRecorder{}
 	for _, zone := range []string{"vt-a", "me-a"} {
-		server := httptest.NewServer(seen)
+		server := httptest.NewServer(recorder)
 		t.Cleanup(server.Close)
 		c.Upstreams["lookup-"+zone] = config.Upstream{
 			Service: "lookup", Zone: zone, Slots: 64, Address: strings.TrimPrefix(server.URL, "http://"),
@@ -88,21 +88,21 @@
 		address := f.daemons[host].Identity().Callers
 		callers.Go(func() { f.flood(address, 5*rate/len(hosts), stop) })
 	}
-	g.Eventually(func() int { return len(seen.times()) }, settle).Should(BeNumerically(">", 4*rate))
-	f.network.cut("me-1", "platform")
-	f.network.cut("me-1", "vt-1")
-	f.network.cut("me-1", "vt-2")
-	cutAt := len(seen.times())
-	g.Eventually(func() int { return len(seen.times()) }, settle).Should(BeNumerically(">", cutAt+2*rate))
+	g.Eventually(func() int { return len(recorder.times()) }, settleTimeout).Should(BeNumerically(">", 4*rate))
+	f.network.partition("me-1", "platform")
+	f.network.partition("me-1", "vt-1")
+	f.network.partition("me-1", "vt-2")
+	arrivedBeforePartition := len(recorder.times())
+	g.Eventually(func() int { return len(recorder.times()) }, settleTimeout).Should(BeNumerically(">", arrivedBeforePartition+2*rate))
 	f.kill("vt-2")
-	killAt := len(seen.times())
-	g.Eventually(func() int { return len(seen.times()) }, settle).Should(BeNumerically(">", killAt+2*rate))
+	arrivedBeforeCrash := len(recorder.times())
+	g.Eventually(func() int { return len(recorder.times()) }, settleTimeout).Should(BeNumerically(">", arrivedBeforeCrash+2*rate))
 	close(stop)
 	callers.Wait()
-	g.Expect(excess(seen.times(), rate, burst)).To(BeZero())
+	g.Expect(maxExcess(recorder.times(), rate, burst)).To(BeZero())
 }
 
-// flood sends requests at perSecond until stop; whatever comes back counts.
+// flood sends requests at a fixed rate until stop is closed, and ignores the outcomes.
 func (f *fleet) flood(address string, perSecond int, stop chan struct{}) {
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
--- a/internal/daemon/caps_test.go
+++ b/internal/daemon/rate_limits_test.go
@@ -12,10 +12,10 @@
 	"balsambarrow/internal/standin"
 )
 
-// hammer sends requests to several hosts at once, as fast as they are
-// answered, for a length of time. It returns how
-// long it took, from before the first request to after the last.
-func (f *fleet) hammer(hosts []string, path string, length time.Duration) time.Duration {
+// sendLoad sends requests to several hosts concurrently, each client as fast as it
+// gets responses, for the given length of time. It returns the time from before
+// the first request to after the last one.
+func (f *fleet) sendLoad(hosts []string, path string, length time.Duration) time.Duration {
 	start := time.Now()
 	var tasks sync.WaitGroup
 	for _, host := range hosts {
@@ -31,7 +31,7 @@
 	return time.Since(start)
 }
 
-func (f *fleet) ran() float64 {
+func (f *fleet) totalRuns() float64 {
 	total := 0
 	for _, u := range f.upstreams {
 		total += u.Stats().Total
@@ -39,16 +39,17 @@
 	return float64(total)
 }
 
-// Callers in two zones of one region ask for a service that only another
-// region runs, far above the shift's cap. Both hosts believe that there is
-// room. What arrives there, over both together, must stay under the cap.
-func TestShiftCapHoldsOverAllHosts(t *testing.T) {
+// Guards against a shift cap that each host applies alone. Callers in two zones of
+// one region request a service that only another region runs, far above the
+// shift's cap, and each host sees free capacity there. The combined rate of both
+// hosts must stay below the cap.
+func TestShiftCapHoldsAcrossHosts(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.start("vt-2", "vt-b")
 	f.start("me-1", "me-a")
-	c := twoRegions()
+	c := twoRegionConfig()
 	c.Zones["vt-b"] = config.Zone{Region: "vermont"}
 	const limit = 40.0
 	c.Services["lookup"] = config.Service{ShiftCapPerSecond: limit}
@@ -57,32 +58,33 @@
 	f.awaitReady(f.apply("vt-1", c))
 	f.awaitHandlers("vt-1", "lookup")
 	f.awaitHandlers("vt-2", "lookup")
-	before := f.ran()
-	passed := f.hammer([]string{"vt-1", "vt-2"}, "lookup/animal/7", 2*time.Second)
-	ran := f.ran() - before
-	t.Logf("%v ran in %v", ran, passed)
+	before := f.totalRuns()
+	elapsed := f.sendLoad([]string{"vt-1", "vt-2"}, "lookup/animal/7", 2*time.Second)
+	ran := f.totalRuns() - before
+	t.Logf("%v ran in %v", ran, elapsed)
 	g.Expect(ran).To(BeNumerically(">", 0))
-	g.Expect(ran).To(BeNumerically("<=", limit*(0.9*passed.Seconds()+0.1)+1))
+	g.Expect(ran).To(BeNumerically("<=", limit*(0.9*elapsed.Seconds()+0.1)+1))
 }
 
-// The same, for the limit of a region: hosts inside and outside of it send to
-// it together, and each alone would stay under the limit.
-func TestRegionLimitHoldsOverAllHosts(t *testing.T) {
+// Guards against a region limit that each host applies alone. Hosts inside and
+// outside the region send requests to its upstreams. Their combined rate must stay
+// below the limit.
+func TestRegionLimitHoldsAcrossHosts(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.start("me-1", "me-a")
-	c := twoRegions()
+	c := twoRegionConfig()
 	const limit = 40.0
 	c.Regions["maine"] = config.Region{MaxRequestsPerSecond: limit}
 	c.Customers["farm"] = config.Customer{Rate: 1e5, Burst: 1e5, Keys: c.Customers["farm"].Keys}
 	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "me-a", standin.UpstreamOptions{Slots: 64})
 	f.awaitReady(f.apply("vt-1", c))
 	f.awaitHandlers("vt-1", "lookup")
-	before := f.ran()
-	passed := f.hammer([]string{"vt-1", "me-1"}, "lookup/animal/7", 2*time.Second)
-	ran := f.ran() - before
-	t.Logf("%v ran in %v", ran, passed)
+	before := f.totalRuns()
+	elapsed := f.sendLoad([]string{"vt-1", "me-1"}, "lookup/animal/7", 2*time.Second)
+	ran := f.totalRuns() - before
+	t.Logf("%v ran in %v", ran, elapsed)
 	g.Expect(ran).To(BeNumerically(">", 0))
-	g.Expect(ran).To(BeNumerically("<=", limit*(0.9*passed.Seconds()+0.1)+1))
+	g.Expect(ran).To(BeNumerically("<=", limit*(0.9*elapsed.Seconds()+0.1)+1))
 }
--- a/internal/daemon/path_bench_test.go
+++ b/internal/daemon/request_bench_test.go
@@ -9,13 +9,13 @@
 	"balsambarrow/internal/standin"
 )
 
-// BenchmarkRequest is one request from a caller through a daemon to an
-// upstream and back, with the caller and the upstream in the same process.
+// BenchmarkRequest measures one request from a caller through a daemon to an
+// upstream and back. The caller and the upstream run in the same process.
 func BenchmarkRequest(b *testing.B) {
 	f := newFleet(b)
 	f.logs = io.Discard
 	f.start("vt-1", "vt-a")
-	c := twoRegions()
+	c := twoRegionConfig()
 	c.Customers["farm"] = config.Customer{Rate: 1e9, Burst: 1e9, Keys: c.Customers["farm"].Keys}
 	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "vt-a", standin.UpstreamOptions{Slots: 64})
 	f.awaitReady(f.apply("vt-1", c))
--- a/internal/daemon/seed_test.go
+++ b/internal/daemon/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// init fixes the seed of rapid's searches, so that CI gives the same verdict on
-// every run; -rapid.seed=0 on the command line searches anew.
+// init fixes rapid's seed, so that CI gets the same result on every run. Use
+// -rapid.seed=0 for a random seed.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -21,37 +21,38 @@
 	"balsambarrow/internal/wire"
 )
 
-// steady is callers with one request after another over connections that they
-// keep alive. Half of them follow each lookup answer; the others stay with a
-// host until an answer asks them to close the connection. Requests are POST
-// without a posting id: no library replays those, so a cut one shows.
-type steady struct {
-	f       *fleet
-	stop    chan struct{}
-	tasks   sync.WaitGroup
-	mu      sync.Mutex
-	entries []lookup.Entry
-	sent    int
-	bad     []reply
+// steadyLoad is a group of callers that send requests one after another over
+// keep-alive connections. Half of them pick a host from the latest lookup response
+// for each request; the others stay with a host until a response asks them to close
+// the connection. The requests are POST without a posting id: no HTTP client retries
+// those, so an aborted request is visible.
+type steadyLoad struct {
+	f        *fleet
+	stop     chan struct{}
+	tasks    sync.WaitGroup
+	mu       sync.Mutex
+	entries  []lookup.Entry
+	sent     int
+	failures []reply
 }
 
-func (f *fleet) steadyCallers(n int) *steady {
-	s := &steady{f: f, stop: make(chan struct{})}
-	s.lookUp()
-	s.tasks.Go(func() { s.each(100*time.Millisecond, s.lookUp) })
+func (f *fleet) startSteadyLoad(n int) *steadyLoad {
+	s := &steadyLoad{f: f, stop: make(chan struct{})}
+	s.refreshEntries()
+	s.tasks.Go(func() { s.repeat(100*time.Millisecond, s.refreshEntries) })
 	for i := range n {
 		rng := rand.New(rand.NewPCG(1, uint64(i)))
 		client := &http.Client{Transport: &http.Transport{}}
-		caller := &steadyCaller{steady: s, client: client, rng: rng, sticky: i%2 == 0}
+		caller := &steadyCaller{steadyLoad: s, client: client, rng: rng, sticky: i%2 == 0}
 		s.tasks.Go(func() {
-			s.each(5*time.Millisecond, caller.post)
+			s.repeat(5*time.Millisecond, caller.post)
 			client.CloseIdleConnections()
 		})
 	}
 	return s
 }
 
-func (s *steady) each(pause time.Duration, do func()) {
+func (s *steadyLoad) repeat(pause time.Duration, do func()) {
 	for {
 		select {
 		case <-s.stop:
@@ -62,30 +63,31 @@
 	}
 }
 
-// lookUp asks any host that the last answer named.
-func (s *steady) lookUp() {
+// refreshEntries sends a lookup to the hosts of the last response, or to any daemon
+// if there is none yet, until one responds.
+func (s *steadyLoad) refreshEntries() {
 	s.mu.Lock()
-	ask := make([]string, 0, len(s.entries))
+	addresses := make([]string, 0, len(s.entries))
 	for _, e := range s.entries {
-		ask = append(ask, e.Address)
+		addresses = append(addresses, e.Address)
 	}
-	if len(ask) == 0 {
+	if len(addresses) == 0 {
 		for _, d := range s.f.daemons {
-			ask = append(ask, d.Identity().Callers)
+			addresses = append(addresses, d.Identity().Callers)
 		}
 	}
 	s.mu.Unlock()
-	for _, address := range ask {
+	for _, address := range addresses {
 		resp, err := http.Get("http://" + address + "/v1/entries")
 		if err != nil {
 			continue
 		}
-		var answer lookup.Answer
-		err = json.NewDecoder(resp.Body).Decode(&answer)
+		var response lookup.Answer
+		err = json.NewDecoder(resp.Body).Decode(&response)
 		_ = resp.Body.Close()
-		if err == nil && len(answer.Entries) > 0 {
+		if err == nil && len(response.Entries) > 0 {
 			s.mu.Lock()
-			s.entries = answer.Entries
+			s.entries = response.Entries
 			s.mu.Unlock()
 			return
 		}
@@ -93,7 +95,7 @@
 }
 
 type steadyCaller struct {
-	*steady
+	*steadyLoad
 	client *http.Client
 	rng    *rand.Rand
 	sticky bool
@@ -112,14 +114,14 @@
 		s.host = ""
 	}
 	if r.Err != nil || r.Outcome != wire.OutcomeRan || len(r.Body) != 2000 {
-		s.f.t.Logf("bad: sticky=%v host=%s problem=%s err=%v", s.sticky, s.host, r.Problem.Type, r.Err)
+		s.f.t.Logf("failed request: sticky=%v host=%s problem=%s err=%v", s.sticky, s.host, r.Problem.Type, r.Err)
 		s.mu.Lock()
-		s.bad = append(s.bad, r)
+		s.failures = append(s.failures, r)
 		s.mu.Unlock()
 	}
 }
 
-// postOnce also tells whether the answer asks to close the connection.
+// postOnce sends one POST, and also reports whether the response closes the connection.
 func postOnce(client *http.Client, url string) (reply, bool) {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader("{}"))
 	if err != nil {
@@ -139,22 +141,22 @@
 	return r, resp.Close
 }
 
-func (s *steady) end() {
+func (s *steadyLoad) finish() {
 	close(s.stop)
 	s.tasks.Wait()
 }
 
-// Every daemon but the last is stopped in turn while callers post one request
-// after another over connections that they keep alive. No caller may see a
-// request cut off, refused or in doubt, and the slots must all end at the
-// daemon that is left, at once and not when a lease lapses.
-func TestPlannedStopsCutNoRequest(t *testing.T) {
+// Guards against planned stops that abort requests. All daemons but one are stopped
+// in turn while callers send requests over keep-alive connections. No request may be
+// aborted, rejected or uncertain. Right after each stop, the remaining daemons must
+// hold all slots, without waiting for a lease to expire.
+func TestPlannedStopsAbortNoRequest(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
 	for _, host := range []string{"vt-1", "vt-2", "vt-3", "vt-4"} {
 		f.start(host, "vt-a")
 	}
-	c := oneZone()
+	c := oneZoneConfig()
 	slow := standin.UpstreamOptions{Slots: 8, ServiceTime: 10 * time.Millisecond}
 	for _, name := range []string{"lookup-1", "lookup-2", "lookup-3", "lookup-4"} {
 		c.Upstreams[name] = f.upstream(name, "lookup", "vt-a", slow)
@@ -164,62 +166,62 @@
 		f.awaitHandlers(host, "lookup")
 		g.Eventually(func() wire.Outcome {
 			return f.call(host, http.MethodGet, "lookup/x", "secret", nil).Outcome
-		}, settle).Should(Equal(wire.OutcomeRan))
+		}, settleTimeout).Should(Equal(wire.OutcomeRan))
 	}
-	callers := f.steadyCallers(4)
+	callers := f.startSteadyLoad(4)
 	for _, host := range []string{"vt-1", "vt-2", "vt-3"} {
 		took := f.stop(host)
-		t.Logf("figure: stop of %s took %v, of which %v for the lookup answers", host, took, fleetLookupTTL)
-		g.Expect(f.slotsOf()).To(Equal(allFour), "right after the stop of "+host)
+		t.Logf("figure: stop of %s took %v, of which %v is the lookup TTL", host, took, fleetLookupTTL)
+		g.Expect(f.usedSlots()).To(Equal(allSlots), "right after the stop of "+host)
 	}
-	callers.end()
-	t.Logf("figure: %d requests, %d cut, refused or in doubt", callers.sent, len(callers.bad))
+	callers.finish()
+	t.Logf("figure: %d requests, %d aborted, rejected or uncertain", callers.sent, len(callers.failures))
 	g.Expect(callers.sent).To(BeNumerically(">", 100))
-	g.Expect(callers.bad).To(BeEmpty())
+	g.Expect(callers.failures).To(BeEmpty())
 }
 
-// fleetLookupTTL is what fleet.start sets.
+// fleetLookupTTL is the lookup TTL that fleet.start sets.
 const fleetLookupTTL = 300 * time.Millisecond
 
-// stop ends a daemon as SIGTERM does, and waits until the mates hold its slots.
+// stop stops a daemon as SIGTERM does, and waits until its zone peers hold its slots.
 func (f *fleet) stop(host string) time.Duration {
 	d := f.daemons[host]
 	delete(f.daemons, host)
 	start := time.Now()
-	f.g.Expect(stopWithin(d, settle)).To(Succeed())
+	f.g.Expect(stopWithin(d, settleTimeout)).To(Succeed())
 	took := time.Since(start)
-	// Without a hand-over a mate takes the slots SilenceBound later.
-	f.g.Eventually(f.slotsOf, membership.SilenceBound/2, 5*time.Millisecond).Should(Equal(allFour))
+	// Without a transfer, a zone peer would take the slots only after the full holder timeout.
+	f.g.Eventually(f.usedSlots, membership.SilenceBound/2, 5*time.Millisecond).Should(Equal(allSlots))
 	return took
 }
 
-func stopWithin(d *daemon.Daemon, bound time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+func stopWithin(d *daemon.Daemon, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return d.Stop(ctx)
 }
 
-// A customer has saved up its burst when one of two daemons is stopped. The
-// saved tokens of the stopped daemon's slots must be there at its mate: after a
-// restart of hosts, one by one, a customer would otherwise find none left.
-func TestPlannedStopPassesBucketLevels(t *testing.T) {
+// Guards against losing the saved burst of a customer in a rolling restart. A
+// customer has a full burst when one of two daemons is stopped. The tokens of the
+// stopped daemon's slots must be transferred to its zone peer.
+func TestPlannedStopTransfersBucketLevels(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.start("vt-2", "vt-a")
-	c := oneZone()
-	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "vt-a", quick)
+	c := oneZoneConfig()
+	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "vt-a", fastUpstream)
 	c.Customers["farm"] = withRate(c.Customers["farm"], 40)
 	f.awaitReady(f.apply("vt-1", c))
 	f.awaitHandlers("vt-2", "lookup")
-	g.Eventually(f.slotsOf, settle).Should(Equal(allFour))
-	time.Sleep(2 * time.Second) // the buckets fill: 40 tokens at 40 a second
+	g.Eventually(f.usedSlots, settleTimeout).Should(Equal(allSlots))
+	time.Sleep(2 * time.Second) // fills the buckets: 40 tokens at 40 per second
 	c.Customers["farm"] = withRate(c.Customers["farm"], 0.01)
 	f.awaitReady(f.apply("vt-1", c))
 	f.stop("vt-1")
 
-	spent := func() int {
+	spendAll := func() int {
 		n := 0
 		for f.call("vt-2", http.MethodGet, "lookup/x", "secret", nil).Outcome == wire.OutcomeRan {
 			n++
@@ -227,7 +229,7 @@
 		return n
 	}
 	total := 0
-	g.Eventually(func() int { total += spent(); return total }, settle, 100*time.Millisecond).Should(BeNumerically(">=", 35))
+	g.Eventually(func() int { total += spendAll(); return total }, settleTimeout, 100*time.Millisecond).Should(BeNumerically(">=", 35))
 	g.Expect(total).To(BeNumerically("<=", 41))
 }
 
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -26,7 +26,8 @@
 	"balsambarrow/internal/wire"
 )
 
-// writeFleetTLS makes an authority and a certificate by it in a directory.
+// writeFleetTLS writes a CA certificate, which is also the host certificate, and its
+// key to a directory.
 func writeFleetTLS(t *testing.T, dir string) settings.TLS {
 	t.Helper()
 	g := NewWithT(t)
@@ -56,31 +57,31 @@
 	return fmt.Sprintf(`"tls":{"cert_file":%q,"key_file":%q,"ca_file":%q}`, files.CertFile, files.KeyFile, files.CAFile)
 }
 
-// Someone inside the network talks to a relay listener and claims to be a
-// customer, without the fleet's certificate: over plain HTTP and over TLS of
-// its own. No request of theirs may reach a worker. The fleet itself relays as
-// before, also after its certificates were changed; who held the old ones is
-// refused then, on standing connections too.
-func TestRelayBelievesTheFleetOnly(t *testing.T) {
+// Guards against relayed requests from outside the fleet. A client without the
+// fleet's certificate, over plain HTTP or with a TLS certificate of its own, sends a
+// request to a relay listener in the name of a customer. No such request may reach
+// an upstream. The fleet's own requests must work, also after its certificates were
+// replaced. The old certificate must then be rejected, on open connections too.
+func TestRelayAcceptsOnlyFleetCertificates(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
 	files := writeFleetTLS(t, t.TempDir())
 	f.startWith("vt-1", "vt-a", tlsSettings(files))
 	f.startWith("me-1", "me-a", tlsSettings(files))
-	c := twoRegions()
-	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "me-a", quick)
+	c := twoRegionConfig()
+	c.Upstreams["lookup-1"] = f.upstream("lookup-1", "lookup", "me-a", fastUpstream)
 	f.awaitReady(f.apply("vt-1", c))
 	f.awaitHandlers("vt-1", "lookup")
 	lookup := func() wire.Outcome {
 		return f.call("vt-1", http.MethodGet, "lookup/animal/7", "secret", nil).Outcome
 	}
 	g.Expect(lookup()).To(Equal(wire.OutcomeRan))
-	seen := f.upstreams["lookup-1"].Stats().Total
+	servedBefore := f.upstreams["lookup-1"].Stats().Total
 
-	wrong := writeFleetTLS(t, t.TempDir())
-	own, err := tls.LoadX509KeyPair(wrong.CertFile, wrong.KeyFile)
+	foreignFiles := writeFleetTLS(t, t.TempDir())
+	foreignCert, err := tls.LoadX509KeyPair(foreignFiles.CertFile, foreignFiles.KeyFile)
 	g.Expect(err).NotTo(HaveOccurred())
-	ask := func(scheme string, transport *http.Transport) error {
+	sendRelayed := func(scheme string, transport *http.Transport) error {
 		req, err := http.NewRequest(http.MethodGet, scheme+"://"+f.daemons["me-1"].Identity().Relay+"/relay/lookup/x", nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		req.Header.Set(wire.HeaderRole, wire.RoleHandle)
@@ -98,35 +99,35 @@
 		}
 		return nil
 	}
-	forge := func(scheme string, conf *tls.Config) error {
+	sendForged := func(scheme string, conf *tls.Config) error {
 		transport := &http.Transport{TLSClientConfig: conf}
 		defer transport.CloseIdleConnections()
-		return ask(scheme, transport)
+		return sendRelayed(scheme, transport)
 	}
-	g.Expect(forge("http", nil)).NotTo(Succeed())
-	g.Expect(forge("https", &tls.Config{InsecureSkipVerify: true})).NotTo(Succeed())
-	g.Expect(forge("https", &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{own}})).NotTo(Succeed())
-	g.Expect(f.upstreams["lookup-1"].Stats().Total).To(Equal(seen))
+	g.Expect(sendForged("http", nil)).NotTo(Succeed())
+	g.Expect(sendForged("https", &tls.Config{InsecureSkipVerify: true})).NotTo(Succeed())
+	g.Expect(sendForged("https", &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{foreignCert}})).NotTo(Succeed())
+	g.Expect(f.upstreams["lookup-1"].Stats().Total).To(Equal(servedBefore))
 
-	before, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
+	oldCert, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 	g.Expect(err).NotTo(HaveOccurred())
-	standing := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{before}}}
-	defer standing.CloseIdleConnections()
-	g.Expect(ask("https", standing)).To(Succeed())
+	keptTransport := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{oldCert}}}
+	defer keptTransport.CloseIdleConnections()
+	g.Expect(sendRelayed("https", keptTransport)).To(Succeed())
 
 	writeFleetTLS(t, filepath.Dir(files.CertFile))
-	fresh, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
+	newCert, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(func() error {
-		return forge("https", &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{fresh}})
-	}, settle).Should(Succeed())
-	g.Expect(ask("https", standing)).NotTo(Succeed())
-	g.Eventually(lookup, settle).Should(Equal(wire.OutcomeRan))
+		return sendForged("https", &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{newCert}})
+	}, settleTimeout).Should(Succeed())
+	g.Expect(sendRelayed("https", keptTransport)).NotTo(Succeed())
+	g.Eventually(lookup, settleTimeout).Should(Equal(wire.OutcomeRan))
 }
 
-// A daemon whose TLS files cannot be read must not come up: in doubt it would
-// serve the relay unprotected.
-func TestUnreadableTLSFilesStopTheStart(t *testing.T) {
+// Guards against an unprotected relay listener: a daemon that cannot read its TLS
+// files must not start.
+func TestUnreadableTLSFilesPreventStart(t *testing.T) {
 	g := NewWithT(t)
 	s, err := settings.Parse("test", []byte(`{"host":"a","zone":"z","platform":{"url":"http://127.0.0.1:1"},`+
 		tlsSettings(settings.TLS{CertFile: "/none", KeyFile: "/none", CAFile: "/none"})+`}`))
