--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -261,7 +261,7 @@
 	}, settleTimeout).Should(Equal(wire.OutcomeRan))
 }
 
-// status is a host's status as reported by the daemon through.
+// status returns the status of host as the daemon on the host through reports it.
 func (f *fleet) status(through, host string) operator.DaemonStatus {
 	fleet, err := ctl.NewClient(f.daemons[through].OperatorsAddress()).Fleet()
 	f.g.Expect(err).NotTo(HaveOccurred())
--- a/internal/daemon/posting_test.go
+++ b/internal/daemon/posting_test.go
@@ -98,7 +98,8 @@
 	ran       int
 	notRun    int
 	uncertain int
-	// reportedStale means that the owner reported the id as stale: it never ran and never will.
+	// reportedStale means that the owner has no record of the posting and rejected its
+	// id as stale, so the posting did not run.
 	reportedStale bool
 	finalOutcome  wire.Outcome
 }
@@ -124,8 +125,9 @@
 // Guards against duplicate runs and wrong outcomes under failures. Callers send
 // postings to all hosts and retry at other hosts while the outcome is uncertain.
 // Meanwhile hosts crash, stop, or are partitioned from each other and from the
-// upstreams at random. No posting may run twice. A posting that was reported as
-// not-run, and never as uncertain, must not have run; one reported as ran must have.
+// upstreams at random. No posting may run twice. A posting reported as ran must have
+// run. A posting reported as not-run must not have run, unless a try was uncertain
+// and the owner did not reject the id as stale.
 func TestPostingsUnderSeededFailures(t *testing.T) { failureRuns(t, defaultRuns) }
 
 // TestMeasurePostings runs TestPostingsUnderSeededFailures with many seeds.
