--- a/internal/daemon/config_confirmation_test.go
+++ b/internal/daemon/config_confirmation_test.go
@@ -113,14 +113,14 @@
 	const peer = "127.0.0.1:2"
 	now := time.Now()
 	c.config.confirmedAt = now
-	c.contacts().Answered(peer, now)
+	c.contacts().RecordResponse(peer, now)
 	targeted := map[time.Duration]bool{}
-	for since := time.Duration(0); since < 10*time.Second; since += membership.BeatEvery {
+	for since := time.Duration(0); since < 10*time.Second; since += membership.HeartbeatInterval {
 		heartbeatAt := now.Add(since)
-		c.contacts().Heard(peer, heartbeatAt.Add(-100*time.Millisecond))
+		c.contacts().RecordHeartbeat(peer, heartbeatAt.Add(-100*time.Millisecond))
 		targeted[since] = slices.Contains(c.heartbeatTargets(false, heartbeatAt), peer)
 	}
-	g.Expect(targeted[membership.BeatEvery]).To(BeFalse(), "heartbeats were just exchanged and the confirmation is recent")
+	g.Expect(targeted[membership.HeartbeatInterval]).To(BeFalse(), "heartbeats were just exchanged and the confirmation is recent")
 	for since, isTarget := range targeted {
 		g.Expect(isTarget).To(Equal(since > maxConfirmationAge), since.String())
 	}
--- a/internal/daemon/config_model_test.go
+++ b/internal/daemon/config_model_test.go
@@ -152,7 +152,7 @@
 	case errors.Is(err, config.ErrOutcomeUnknown):
 		op.uncertain = true
 	case errors.As(err, &stale):
-		op.rejected = !stale.Forgotten
+		op.rejected = !stale.HistoryTruncated
 	case errors.Is(err, config.ErrNotApplied):
 		op.rejected = op.rejected || !op.uncertain
 	default:
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -171,9 +171,9 @@
 	f.g.Expect(d.Start()).To(Succeed())
 	id := d.Identity()
 	f.network.mu.Lock()
-	f.network.nodeByAddress[id.Peers], f.network.nodeByAddress[id.Relay] = host, host
+	f.network.nodeByAddress[id.PeerAddress], f.network.nodeByAddress[id.RelayAddress] = host, host
 	f.network.mu.Unlock()
-	f.listHost(membership.Host{Name: host, Zone: zone, Peers: id.Peers})
+	f.listHost(membership.Host{Name: host, Zone: zone, PeerAddress: id.PeerAddress})
 	f.daemons[host] = d
 	return d
 }
@@ -181,7 +181,7 @@
 // listHost adds a host to the host list.
 func (f *fleet) listHost(h membership.Host) {
 	h.State = membership.HostLive
-	f.platform.Put(membership.HostKey(h.Name), h.Value())
+	f.platform.Put(membership.HostKey(h.Name), h.Encode())
 }
 
 // kill stops a daemon as a crash would.
@@ -209,7 +209,7 @@
 	f.g.Eventually(func() bool {
 		for _, d := range f.daemons {
 			snap := d.View()
-			if snap.Self.ConfigVersion < version || len(snap.Ready) != len(f.daemons) || !slotsSpendable(snap.Self.Held) {
+			if snap.Self.ConfigVersion < version || len(snap.Ready) != len(f.daemons) || !slotsSpendable(snap.Self.HeldSlots) {
 				return false
 			}
 		}
@@ -219,7 +219,7 @@
 
 // slotsSpendable reports whether the quarantine of all held slots has passed, with
 // 200 ms to spare for two runs of the control thread.
-func slotsSpendable(held []membership.Holding) bool {
+func slotsSpendable(held []membership.HeldSlot) bool {
 	for _, h := range held {
 		if time.Since(h.Since) < quota.Quarantine+200*time.Millisecond {
 			return false
@@ -252,7 +252,7 @@
 
 // call sends one request to a host with an API key.
 func (f *fleet) call(host, method, path, key string, header map[string]string) reply {
-	return f.callAt(f.daemons[host].Identity().Callers, method, path, key, header)
+	return f.callAt(f.daemons[host].Identity().CallerAddress, method, path, key, header)
 }
 
 // callAt is like call but takes an address, for hosts that have stopped.
--- a/internal/daemon/heartbeat_bench_test.go
+++ b/internal/daemon/heartbeat_bench_test.go
@@ -15,7 +15,7 @@
 	return membership.Member{
 		Instance: fmt.Sprintf("host-%04d-0123abcd", i), Host: fmt.Sprintf("host-%04d", i),
 		Zone: fmt.Sprintf("zone-%03d", i%145), State: membership.StateReady,
-		Callers: "10.20.30.40:8080", Peers: fmt.Sprintf("10.20.%d.%d:8081", i/250, i%250), Relay: "10.20.30.40:8082",
+		CallerAddress: "10.20.30.40:8080", PeerAddress: fmt.Sprintf("10.20.%d.%d:8081", i/250, i%250), RelayAddress: "10.20.30.40:8082",
 		Sequence: uint64(1e6 + i), ConfigVersion: 12345, Slots: []int{0, 1},
 		Headroom: map[string]membership.Headroom{
 			"lookup": {Free: 3, Limit: 4}, "posting": {Free: 3, Limit: 4}, "report": {Free: 3, Limit: 4},
@@ -35,13 +35,13 @@
 			responses := make([]*peer.Heartbeat, members)
 			for i := range members {
 				m := benchMember(i)
-				contacts.Heard(m.Peers, now)
+				contacts.RecordHeartbeat(m.PeerAddress, now)
 				responses[i] = memberToWire(m)
 			}
 			encoded := make([][]byte, members)
 			b.ReportAllocs()
 			for round := uint64(0); b.Loop(); round++ {
-				now = now.Add(membership.BeatEvery)
+				now = now.Add(membership.HeartbeatInterval)
 				heartbeatRound(table, contacts, responses, encoded, now)
 			}
 			b.ReportMetric(float64(len(encoded[0])), "bytes/beat")
@@ -52,8 +52,8 @@
 
 func heartbeatRound(table *membership.Table, contacts *membership.Contacts, responses []*peer.Heartbeat, encoded [][]byte, now time.Time) {
 	self := benchMember(0)
-	self.Known = contacts.Gossip(now)
-	_ = contacts.Due(now)
+	self.GossipAddresses = contacts.Gossip(now)
+	_ = contacts.HeartbeatTargets(now)
 	for i, response := range responses {
 		response.Sequence++
 		encoded[i], _ = proto.Marshal(memberToWire(self))
@@ -61,9 +61,9 @@
 		decoded := &peer.Heartbeat{}
 		_ = proto.Unmarshal(received, decoded)
 		m := memberFromWire(decoded)
-		table.Hear(m, now)
-		contacts.Heard(m.Peers, now)
-		contacts.Rumored(m.Known, now)
+		table.Update(m, now)
+		contacts.RecordHeartbeat(m.PeerAddress, now)
+		contacts.AddGossip(m.GossipAddresses, now)
 	}
 	_ = table.Live(now)
 }
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -88,7 +88,7 @@
 // runLoad sends an open-loop load to the fleet.
 func (f *fleet) runLoad(l standin.Load) *standin.Report {
 	l.Config = f.daemons["vt-a-1"].View().Config.Config
-	l.Entry = f.daemons["vt-a-1"].Identity().Callers
+	l.Entry = f.daemons["vt-a-1"].Identity().CallerAddress
 	l.Key = func(customer string) string { return "key-" + customer }
 	l.Seed = 1
 	r, err := standin.Run(context.Background(), l)
@@ -99,7 +99,7 @@
 // hostEntry returns the lookup entry of a host.
 func (f *fleet) hostEntry(name string) lookup.Entry {
 	id := f.daemons[name].Identity()
-	return lookup.Entry{Address: id.Callers, Zone: id.Zone, Instance: id.Instance}
+	return lookup.Entry{Address: id.CallerAddress, Zone: id.Zone, Instance: id.Instance}
 }
 
 // skewedEntry returns a function that picks entry hosts: four fifths of the requests
--- a/internal/daemon/outcomes_test.go
+++ b/internal/daemon/outcomes_test.go
@@ -373,7 +373,7 @@
 	f, u := startFaultyUpstreamFleet(t)
 	for i, form := range []requestForm{requestForms[4], requestForms[5]} {
 		name := "left-" + strconv.Itoa(i)
-		url := "http://" + f.daemons[form.entry].Identity().Callers + "/svc/posting/slow"
+		url := "http://" + f.daemons[form.entry].Identity().CallerAddress + "/svc/posting/slow"
 		ctx, cancel := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, form.method, url, http.NoBody)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -441,7 +441,7 @@
 		for _, entry := range []string{"me-1", "vt-1"} {
 			t.Run(name+" at "+entry, func(t *testing.T) {
 				g := NewWithT(t)
-				conn, err := net.Dial("tcp", f.daemons[entry].Identity().Callers)
+				conn, err := net.Dial("tcp", f.daemons[entry].Identity().CallerAddress)
 				g.Expect(err).NotTo(HaveOccurred())
 				defer func() { _ = conn.Close() }()
 				_, err = fmt.Fprintf(conn, "POST /svc/posting/fine HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\n%s: broken\r\nContent-Length: %d\r\n\r\n%s",
--- a/internal/daemon/posting_test.go
+++ b/internal/daemon/posting_test.go
@@ -193,7 +193,7 @@
 
 	entries := map[string]string{}
 	for host, d := range f.daemons {
-		entries[host] = d.Identity().Callers
+		entries[host] = d.Identity().CallerAddress
 	}
 	callerPostings := make([][]*callerPosting, callersPerRun)
 	done := make(chan struct{})
@@ -337,7 +337,7 @@
 	defer func() { _ = conns.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	client := peer.NewDRPCHandoverClient(conns.To(ctx, f.daemons["vt-1"].Identity().Peers))
+	client := peer.NewDRPCHandoverClient(conns.Conn(ctx, f.daemons["vt-1"].Identity().PeerAddress))
 	digest := make([]byte, 32)
 	for name, table := range map[string]*peer.PostingTable{
 		"incomplete":      {Instance: "gone", Total: 2, Postings: []*peer.Posting{{Id: "gone-0.1", State: "ran", Digest: digest}}},
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -14,36 +14,39 @@
 )
 
 const (
-	// maxPartBytes bounds one part of a table on its way, far below what a peer
-	// takes in one message.
+	// maxPartBytes limits one part of a table in transfer. It is far below the
+	// size that a peer accepts in one message.
 	maxPartBytes = 512 << 10
-	// partTimeout bounds the passing on of one part.
+	// partTimeout limits the transfer of one part.
 	partTimeout = 2 * time.Second
-	// transferTimeout bounds the passing on of all tables; 80 parts of a full one
-	// take a second within a zone.
+	// transferTimeout limits the transfer of all tables. The 80 parts of a full
+	// table take one second within a zone.
 	transferTimeout = 10 * time.Second
-	// maxSuccessors bounds the peers that are tried: a host that is cut off
-	// must not spend its stop on asking everybody.
-	maxSuccessors = 4
-	// postingOverhead is added to the variable bytes of a posting.
+	// maxTransferTargets limits the number of peers that are tried. A host that is
+	// partitioned from the network must not spend its planned stop on querying
+	// every peer.
+	maxTransferTargets = 4
+	// postingOverhead is the estimated size of the fixed fields of a posting.
+	// It is added to the size of the variable fields.
 	postingOverhead = 128
-	// assemblyTTL is how long the parts of an unfinished table are kept: more
-	// than a planned stop takes.
+	// assemblyTTL is how long the parts of an incomplete table are kept. It is
+	// longer than a planned stop.
 	assemblyTTL = 2 * time.Minute
-	// maxHTTPStatus is the highest status of an answer.
+	// maxHTTPStatus is the highest status code of an HTTP response.
 	maxHTTPStatus = 599
-	// maxAssemblies bounds the tables on their way at once.
+	// maxAssemblies limits the number of tables in transfer at once.
 	maxAssemblies = 8
 )
 
-// errDeclined says that a peer had no room for a table.
-var errDeclined = errors.New("daemon: peer does not take the postings")
+// errDeclined reports that a peer had no room for a table.
+var errDeclined = errors.New("daemon: peer rejected the postings")
 
-// transferPostings closes the table of postings and passes it to a peer of the
-// zone, which answers for this instance from then on. It is called at a
-// planned stop, after the callers' and relay listeners have ended every
-// request: a posting that still runs goes as unknown. Where no peer of the
-// zone takes it, another zone's may.
+// transferPostings closes the table of postings and transfers it to a peer of
+// the zone, which answers queries about this instance's postings from then on.
+// It is called at a planned stop, after the callers' and relay listeners have
+// finished all requests. A posting that still runs is transferred with an
+// unknown outcome. If no peer of the zone accepts the table, a peer of another
+// zone may.
 func (d *Daemon) transferPostings(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -52,12 +55,12 @@
 	}
 }
 
-func (d *Daemon) transferTable(ctx context.Context, table posting.Handover) {
+func (d *Daemon) transferTable(ctx context.Context, table posting.Transfer) {
 	peers := d.transferTargets()
-	for _, to := range peers[:min(len(peers), maxSuccessors)] {
+	for _, to := range peers[:min(len(peers), maxTransferTargets)] {
 		err := d.sendTable(ctx, to, table)
 		if err == nil {
-			d.log.Info("postings_handed_over", "instance", table.Instance, "to", to.Instance, "postings", len(table.Postings))
+			d.log.Info("postings_transferred", "instance", table.Instance, "to", to.Instance, "postings", len(table.Postings))
 			return
 		}
 		d.log.Warn("postings_not_taken", "instance", table.Instance, "by", to.Instance, "err", err)
@@ -68,7 +71,7 @@
 	d.log.Warn("postings_lost", "instance", table.Instance, "postings", len(table.Postings))
 }
 
-// transferTargets lists the ready daemons, those of the own zone first.
+// transferTargets returns the ready daemons, those of this daemon's zone first.
 func (d *Daemon) transferTargets() []membership.Member {
 	var sameZone, otherZones []membership.Member
 	for _, m := range d.view.Load().Members {
@@ -83,8 +86,8 @@
 	return append(sameZone, otherZones...)
 }
 
-func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Handover) error {
-	client := peer.NewDRPCHandoverClient(d.conns.To(ctx, to.Peers))
+func (d *Daemon) sendTable(ctx context.Context, to membership.Member, table posting.Transfer) error {
+	client := peer.NewDRPCHandoverClient(d.conns.Conn(ctx, to.PeerAddress))
 	var reply *peer.HandoverReply
 	for _, part := range splitTable(table) {
 		partCtx, cancel := context.WithTimeout(ctx, partTimeout)
@@ -101,9 +104,10 @@
 	return nil
 }
 
-// splitTable cuts a table so that each part stays small. An empty table is passed
-// too: it makes the successor's not-run true for ids that never came.
-func splitTable(table posting.Handover) []*peer.PostingTable {
+// splitTable splits a table into parts. A part exceeds maxPartBytes only if a
+// single posting does. An empty table is transferred too: only with the table
+// can the successor report ids that never arrived as not-run.
+func splitTable(table posting.Transfer) []*peer.PostingTable {
 	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
 	}
@@ -135,8 +139,8 @@
 	return n
 }
 
-// postingReceiver receives what a stopping peer passes on; it implements
-// peer.DRPCHandoverServer.
+// postingReceiver receives the posting tables that stopping peers transfer. It
+// implements the posting part of peer.DRPCHandoverServer.
 type postingReceiver struct {
 	peer.DRPCHandoverUnimplementedServer
 	d *Daemon
@@ -145,18 +149,19 @@
 	assemblies map[string]*assembly
 }
 
-// assembly is a table of which parts are missing, by the postings' ids: a part
-// that arrives twice counts once.
+// assembly is a table of which some parts have not arrived yet. Its postings
+// are indexed by customer and id, so that a part that arrives twice counts
+// once.
 type assembly struct {
 	startedAt   time.Time
-	postings    map[postingKey]posting.Kept
+	postings    map[postingKey]posting.TransferRecord
 	answerBytes int
 }
 
-func (a *assembly) add(record posting.Kept) {
+func (a *assembly) add(record posting.TransferRecord) {
 	k := postingKey{customer: record.Customer, id: record.ID}
-	if _, duplicate := a.postings[k]; !duplicate && record.Answer != nil {
-		a.answerBytes += len(record.Answer.Body)
+	if _, duplicate := a.postings[k]; !duplicate && record.Response != nil {
+		a.answerBytes += len(record.Response.Body)
 	}
 	a.postings[k] = record
 }
@@ -170,116 +175,117 @@
 	return &postingReceiver{d: d, assemblies: map[string]*assembly{}}
 }
 
-// TakePostings takes one part in. The reply says whether the whole table has
-// been taken: answering for an instance with a part of its table would call
-// the rest not-run.
-func (h *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
+// TakePostings receives one part of a table. The response says whether the full
+// table has been received. A daemon that answered for an instance with an
+// incomplete table would report the missing postings as not-run.
+func (r *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
 	postings, err := postingsFromWire(in)
 	if err != nil {
 		return nil, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	a := h.assembly(in.Instance, time.Now())
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	a := r.assembly(in.Instance, time.Now())
 	if a == nil || uint64(len(a.postings)+len(postings)) > posting.MaxRecords {
 		return &peer.HandoverReply{}, nil
 	}
 	for _, record := range postings {
 		a.add(record)
 	}
-	if a.answerBytes > posting.MaxAnswerBytes {
-		delete(h.assemblies, in.Instance)
+	if a.answerBytes > posting.MaxTotalResponseBytes {
+		delete(r.assemblies, in.Instance)
 		return &peer.HandoverReply{}, nil
 	}
 	if uint64(len(a.postings)) < in.Total {
 		return &peer.HandoverReply{}, nil
 	}
-	delete(h.assemblies, in.Instance)
-	return &peer.HandoverReply{Taken: h.d.storeTable(in, a)}, nil
+	delete(r.assemblies, in.Instance)
+	return &peer.HandoverReply{Taken: r.d.storeTable(in, a)}, nil
 }
 
-// assembly finds or begins the collecting of an instance's parts; nil where
-// there are too many.
-func (h *postingReceiver) assembly(instance string, now time.Time) *assembly {
-	for name, a := range h.assemblies {
+// assembly returns the assembly of an instance's table, and creates it if
+// needed. It returns nil if there are too many assemblies.
+func (r *postingReceiver) assembly(instance string, now time.Time) *assembly {
+	for name, a := range r.assemblies {
 		if now.Sub(a.startedAt) > assemblyTTL {
-			delete(h.assemblies, name)
+			delete(r.assemblies, name)
 		}
 	}
-	a := h.assemblies[instance]
-	if a == nil && len(h.assemblies) < maxAssemblies {
-		a = &assembly{startedAt: now, postings: map[postingKey]posting.Kept{}}
-		h.assemblies[instance] = a
+	a := r.assemblies[instance]
+	if a == nil && len(r.assemblies) < maxAssemblies {
+		a = &assembly{startedAt: now, postings: map[postingKey]posting.TransferRecord{}}
+		r.assemblies[instance] = a
 	}
 	return a
 }
 
 func (d *Daemon) storeTable(in *peer.PostingTable, a *assembly) bool {
-	table := posting.Handover{Instance: in.Instance, Epoch: in.Epoch}
+	table := posting.Transfer{Instance: in.Instance, Epoch: in.Epoch}
 	for _, record := range a.postings {
 		table.Postings = append(table.Postings, record)
 	}
-	accepted := d.postings.Take(table, time.Now())
-	d.log.Info("postings_taken", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
+	accepted := d.postings.Import(table, time.Now())
+	d.log.Info("postings_received", "instance", in.Instance, "postings", len(table.Postings), "taken", accepted)
 	return accepted
 }
 
-// stateNames are the states that travel. A running one does not.
+// stateNames are the names of the states on the wire. A running posting is
+// transferred as unknown.
 var stateNames = map[posting.State]string{posting.StateRan: "ran", posting.StateUnknown: "unknown"}
 
 var statesByName = map[string]posting.State{"ran": posting.StateRan, "unknown": posting.StateUnknown}
 
-func postingToWire(record posting.Kept) *peer.Posting {
+func postingToWire(record posting.TransferRecord) *peer.Posting {
 	out := &peer.Posting{Id: record.ID.String(), Customer: record.Customer, State: stateNames[record.State], Digest: record.Digest[:]}
-	if record.Answer == nil {
+	if record.Response == nil {
 		return out
 	}
-	out.Status, out.Body, out.Dropped = uint32(record.Answer.Status), record.Answer.Body, record.Answer.Dropped
-	for name, values := range record.Answer.Header {
+	out.Status, out.Body, out.Dropped = uint32(record.Response.Status), record.Response.Body, record.Response.Dropped
+	for name, values := range record.Response.Header {
 		out.Headers = append(out.Headers, &peer.PostingHeader{Name: name, Values: values})
 	}
 	return out
 }
 
-// errInvalidPosting says that a peer's posting cannot be read.
-var errInvalidPosting = errors.New("daemon: unreadable posting in a table")
+// errInvalidPosting reports that a posting received from a peer is malformed.
+var errInvalidPosting = errors.New("daemon: invalid posting in a transferred table")
 
-func postingsFromWire(in *peer.PostingTable) ([]posting.Kept, error) {
-	var all []posting.Kept
+func postingsFromWire(in *peer.PostingTable) ([]posting.TransferRecord, error) {
+	var all []posting.TransferRecord
 	for _, p := range in.Postings {
 		record, err := postingFromWire(p)
 		if err != nil {
 			return nil, err
 		}
 		if record.ID.Instance != in.Instance {
-			return nil, errors.Wrap(errInvalidPosting, "another instance's")
+			return nil, errors.Wrap(errInvalidPosting, "id of another instance")
 		}
 		all = append(all, record)
 	}
 	return all, nil
 }
 
-func postingFromWire(in *peer.Posting) (posting.Kept, error) {
+func postingFromWire(in *peer.Posting) (posting.TransferRecord, error) {
 	id, err := posting.ParseID(in.Id)
 	if err != nil {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, err.Error())
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, err.Error())
 	}
 	state, known := statesByName[in.State]
 	if len(in.Digest) != len(posting.Digest{}) || !known {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "digest or state")
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, "invalid digest or state")
 	}
-	record := posting.Kept{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
+	record := posting.TransferRecord{ID: id, Customer: in.Customer, Digest: posting.Digest(in.Digest), State: state}
 	if in.Status == 0 {
 		return record, nil
 	}
 	if in.Status < http.StatusOK || in.Status > maxHTTPStatus {
-		return posting.Kept{}, errors.Wrap(errInvalidPosting, "status")
+		return posting.TransferRecord{}, errors.Wrap(errInvalidPosting, "invalid status")
 	}
-	record.Answer = &posting.Answer{
+	record.Response = &posting.Response{
 		Status: int(in.Status), Header: http.Header{}, Body: in.Body, Dropped: in.Dropped,
 	}
 	for _, h := range in.Headers {
-		record.Answer.Header[h.Name] = h.Values
+		record.Response.Header[h.Name] = h.Values
 	}
 	return record, nil
 }
--- a/internal/daemon/slots_test.go
+++ b/internal/daemon/slots_test.go
@@ -137,9 +137,9 @@
 	f.awaitReady(f.apply("vt-1", oneZoneConfig()))
 	g.Eventually(f.usedSlots, settleTimeout).Should(Equal(allSlots))
 	pausedAt := time.Now()
-	d.StallControl(membership.TickBound + time.Second)
+	d.StallControl(membership.PauseThreshold + time.Second)
 	g.Eventually(func(g Gomega) {
-		held := d.View().Self.Held
+		held := d.View().Self.HeldSlots
 		g.Expect(held).To(HaveLen(4))
 		for _, h := range held {
 			g.Expect(h.Since).To(BeTemporally(">", pausedAt))
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -73,7 +73,7 @@
 	}
 	if len(addresses) == 0 {
 		for _, d := range s.f.daemons {
-			addresses = append(addresses, d.Identity().Callers)
+			addresses = append(addresses, d.Identity().CallerAddress)
 		}
 	}
 	s.mu.Unlock()
@@ -82,7 +82,7 @@
 		if err != nil {
 			continue
 		}
-		var response lookup.Answer
+		var response lookup.Response
 		err = json.NewDecoder(resp.Body).Decode(&response)
 		_ = resp.Body.Close()
 		if err == nil && len(response.Entries) > 0 {
@@ -191,7 +191,7 @@
 	f.g.Expect(stopWithin(d, settleTimeout)).To(Succeed())
 	took := time.Since(start)
 	// Without a transfer, a zone peer would take the slots only after the full holder timeout.
-	f.g.Eventually(f.usedSlots, membership.SilenceBound/2, 5*time.Millisecond).Should(Equal(allSlots))
+	f.g.Eventually(f.usedSlots, membership.HolderTimeout/2, 5*time.Millisecond).Should(Equal(allSlots))
 	return took
 }
 
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -82,7 +82,7 @@
 	foreignCert, err := tls.LoadX509KeyPair(foreignFiles.CertFile, foreignFiles.KeyFile)
 	g.Expect(err).NotTo(HaveOccurred())
 	sendRelayed := func(scheme string, transport *http.Transport) error {
-		req, err := http.NewRequest(http.MethodGet, scheme+"://"+f.daemons["me-1"].Identity().Relay+"/relay/lookup/x", nil)
+		req, err := http.NewRequest(http.MethodGet, scheme+"://"+f.daemons["me-1"].Identity().RelayAddress+"/relay/lookup/x", nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		req.Header.Set(wire.HeaderRole, wire.RoleHandle)
 		req.Header.Set(wire.HeaderCustomer, "farm")
