--- a/internal/posting/doc.go
+++ b/internal/posting/doc.go
@@ -1,13 +1,14 @@
-// Package posting runs non-idempotent requests at most once. A caller that
-// wants to be able to ask again bears a posting id: the prefix of one daemon
-// instance and the caller's own part. Only that instance runs it, once, and
-// keeps the outcome; every other daemon passes it on, and answers
-// outcome-unknown where the instance is gone. Nobody ever runs it a second
-// time.
+// Package posting runs non-idempotent requests, called postings, at most once.
+// A caller that wants to be able to retry a request sends a posting id, which
+// consists of a prefix that one daemon instance issued and a suffix that the
+// caller chose. Only the instance named in the prefix runs the posting, once,
+// and it stores the outcome. All other daemons relay the request to that
+// instance. If the instance is gone, they respond with outcome-unknown; the
+// posting never runs a second time.
 //
-// The decision is pure: time comes as an argument, nothing here waits or
-// calls. The load pattern answered is a caller that asks again, at any host,
-// at any time, also many at once; without it a lost answer becomes a lost or
-// a doubled posting. Memory is bounded by refusing new ids when it is full,
-// never by forgetting one that could still come back.
+// The package solves the problem of callers that retry at any host, at any
+// time, or many times concurrently: without it, a lost response becomes a lost
+// or a duplicate posting. The table's decisions do not block and do no I/O, and
+// the current time is a parameter. A full table rejects new ids; it never
+// removes an id that a caller could still retry, so memory stays bounded.
 package posting
--- a/internal/posting/fuzz_test.go
+++ b/internal/posting/fuzz_test.go
@@ -6,8 +6,8 @@
 	"balsambarrow/internal/posting"
 )
 
-// Callers write what they like into Idempotency-Key. What is accepted must
-// name one posting only: its form read again gives the same id.
+// Callers can send any text as Idempotency-Key. An accepted id must be
+// unambiguous: formatting and parsing it again yields the same id.
 func FuzzParseID(f *testing.F) {
 	f.Fuzz(func(t *testing.T, text string) {
 		id, err := posting.ParseID(text)
@@ -16,7 +16,7 @@
 		}
 		again, err := posting.ParseID(id.String())
 		if err != nil || again != id {
-			t.Fatalf("%q reads as %+v, and that as %+v (%v)", text, id, again, err)
+			t.Fatalf("%q parses as %+v, which parses as %+v after formatting (%v)", text, id, again, err)
 		}
 	})
 }
--- a/internal/posting/id.go
+++ b/internal/posting/id.go
@@ -7,48 +7,48 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of an id's parts.
+// Limits of the parts of a posting id.
 const (
-	maxInstance = 64
-	maxOwn      = 128
+	maxInstanceBytes = 64
+	maxSuffixBytes   = 128
 )
 
 // ErrInvalidID reports a posting id that cannot be parsed.
 var ErrInvalidID = errors.New("posting: want <posting_prefix>.<caller's own id>")
 
-// ID is a posting id: <instance>-<epoch>.<own>.
+// ID is a posting id of the form <instance>-<epoch>.<suffix>.
 type ID struct {
-	// Instance of the daemon that alone may run it.
+	// Instance is the only daemon instance that may run the posting.
 	Instance string
-	// Epoch of that instance when the prefix was given out.
+	// Epoch is the epoch of the instance when it issued the prefix.
 	Epoch uint64
 	// Suffix is the part that the caller chose.
 	Suffix string
 }
 
-// Prefix is what GET /v1/entries gives callers as posting_prefix.
+// Prefix returns the prefix that GET /v1/entries returns as posting_prefix.
 func Prefix(instance string, epoch uint64) string {
 	return instance + "-" + strconv.FormatUint(epoch, 10)
 }
 
-// String is the form in the Idempotency-Key header.
+// String returns the id as it is written in the Idempotency-Key header.
 func (id ID) String() string { return Prefix(id.Instance, id.Epoch) + "." + id.Suffix }
 
-// ParseID reads an Idempotency-Key header.
+// ParseID parses the value of an Idempotency-Key header.
 func ParseID(s string) (ID, error) {
-	prefix, own, ok := strings.Cut(s, ".")
-	cut := strings.LastIndexByte(prefix, '-')
-	if !ok || cut <= 0 || cut > maxInstance || own == "" || len(own) > maxOwn || !printable(s) {
+	prefix, suffix, ok := strings.Cut(s, ".")
+	dash := strings.LastIndexByte(prefix, '-')
+	if !ok || dash <= 0 || dash > maxInstanceBytes || suffix == "" || len(suffix) > maxSuffixBytes || !isPrintable(s) {
 		return ID{}, ErrInvalidID
 	}
-	epoch, err := strconv.ParseUint(prefix[cut+1:], 10, 64)
+	epoch, err := strconv.ParseUint(prefix[dash+1:], 10, 64)
 	if err != nil {
 		return ID{}, ErrInvalidID
 	}
-	return ID{Instance: prefix[:cut], Epoch: epoch, Suffix: own}, nil
+	return ID{Instance: prefix[:dash], Epoch: epoch, Suffix: suffix}, nil
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for _, r := range s {
 		if r <= ' ' || r > '~' {
 			return false
--- a/internal/posting/table.go
+++ b/internal/posting/table.go
@@ -7,213 +7,236 @@
 	"time"
 )
 
-// Bounds of the table.
+// Limits of the table.
 const (
-	// EpochLength is how long one prefix is given out. Callers keep a prefix
-	// for the lookup's time to live, seconds, so most ids are young.
+	// EpochLength is how long an instance issues the same prefix. Callers keep
+	// a prefix only for the TTL of the lookup response, which is some seconds,
+	// so most requests have a recent prefix.
 	EpochLength = 5 * time.Minute
-	// RetainedEpochs is how many epochs back an id is still known: it can be asked
-	// for again for ten to fifteen minutes, longer than a caller's patience.
+	// RetainedEpochs is the number of past epochs whose records are retained.
+	// An id can be retried for ten to fifteen minutes, which is longer than
+	// callers keep retrying.
 	RetainedEpochs = 2
-	// MaxStoredResponseBytes is the largest answer, headers and body, kept for a
-	// repeated asking. Answers to postings and top-ups are receipts.
+	// MaxStoredResponseBytes is the maximum size, headers and body, of a
+	// response that is stored for retries. Responses to postings and top-ups
+	// are short receipts.
 	MaxStoredResponseBytes = 16 << 10
-	// MaxRecords bounds the postings remembered: 100 a second over fifteen
-	// minutes, twice the sum of all customers' rates over ten hosts of today.
-	// See docs/measurements/posting.md for the bytes of each.
+	// MaxRecords limits the stored records. It allows for 100 postings per
+	// second over fifteen minutes, which is twice the current sum of all
+	// customers' rates divided by ten hosts. The memory per record is listed
+	// in docs/measurements/posting.md.
 	MaxRecords = 90_000
-	// MaxTotalResponseBytes bounds the answers kept, all together. Beyond it a
-	// posting runs and is remembered, but its answer is not kept.
+	// MaxTotalResponseBytes limits the total size of the stored responses.
+	// Beyond it, a posting still runs and has a record, but its response is
+	// not stored.
 	MaxTotalResponseBytes = 32 << 20
-	// MaxImportedInstances bounds the instances whose records are imported.
+	// MaxImportedInstances limits the stopped instances whose records are
+	// imported.
 	MaxImportedInstances = 32
 )
 
-// Limits bounds a table; tests make them small.
+// Limits are the size limits of a table. Tests use small limits.
 type Limits struct {
 	Records       int
 	ResponseBytes int
 }
 
-// DefaultLimits are the bounds of a daemon.
+// DefaultLimits returns the limits that a daemon uses.
 func DefaultLimits() Limits { return Limits{Records: MaxRecords, ResponseBytes: MaxTotalResponseBytes} }
 
-// State of a posting.
+// State is the state of a posting.
 type State uint8
 
-// States of a posting. It only moves forward.
+// States of a posting. A posting leaves StateRunning once and then keeps its
+// state.
 const (
-	// StateRunning: a dispatch is under way.
+	// StateRunning means that the posting is being dispatched.
 	StateRunning State = iota
-	// StateRan: an upstream answered; the answer is kept.
+	// StateRan means that an upstream responded and the response is stored.
 	StateRan
-	// StateUnknown: an upstream may have run it, its answer was lost.
+	// StateUnknown means that an upstream may have run the posting and its
+	// response was lost.
 	StateUnknown
 )
 
-// Digest identifies the request that a posting id came with.
+// Digest identifies the content of the request that was sent with a posting id.
 type Digest [sha256.Size]byte
 
-// Request is one asking for a posting.
+// Request is a request to run a posting, first or retried.
 type Request struct {
 	ID       ID
 	Customer string
 	Digest   Digest
 }
 
-func (r Request) key() key { return key{customer: r.Customer, own: r.ID.Suffix} }
+func (r Request) key() key { return key{customer: r.Customer, suffix: r.ID.Suffix} }
 
 // Decision is what Begin decided about a request.
 type Decision int
 
 // Decisions of Begin.
 const (
-	// DecisionRun: the asker is the first and must run it, then end BeginResult.Run.
+	// DecisionRun means that this request is the first. The caller of Begin
+	// must run the posting and then end BeginResult.Run.
 	DecisionRun Decision = iota
-	// DecisionWait: another asker runs it; wait for BeginResult.Done, begin again.
+	// DecisionWait means that another request is running the posting. The
+	// caller of Begin waits for BeginResult.Done and calls Begin again.
 	DecisionWait
-	// DecisionDone: it has ended; BeginResult.State and Found.Answer tell how.
+	// DecisionDone means that the posting has ended. BeginResult.State and
+	// BeginResult.Response hold its outcome.
 	DecisionDone
-	// DecisionStaleEpoch: its epoch is forgotten; it may have run.
+	// DecisionStaleEpoch means that the epoch of the id has expired. The
+	// posting may have run.
 	DecisionStaleEpoch
-	// DecisionFutureEpoch: its prefix was never given out; it has not run.
+	// DecisionFutureEpoch means that the prefix was never issued. The posting
+	// has not run.
 	DecisionFutureEpoch
-	// DecisionIDReused: the id came before with another request.
+	// DecisionIDReused means that the id was used before with another request.
 	DecisionIDReused
-	// DecisionTableFull: no more postings can be remembered; it has not run.
+	// DecisionTableFull means that the table has no room for another record.
+	// The posting has not run.
 	DecisionTableFull
-	// DecisionClosed: the instance runs no more postings; it has not run.
+	// DecisionClosed means that the instance no longer runs postings. The
+	// posting has not run.
 	DecisionClosed
-	// DecisionOtherInstance: the id names an instance not answered for here.
+	// DecisionOtherInstance means that the id names another instance whose
+	// records are not imported here.
 	DecisionOtherInstance
 )
 
 // BeginResult is the result of Begin.
 type BeginResult struct {
 	Decision Decision
-	// Run of DecisionRun.
+	// Run is set with DecisionRun.
 	Run *Run
-	// Done of DecisionWait is closed when the posting has ended.
+	// Done is set with DecisionWait and closed when the posting has ended.
 	Done <-chan struct{}
-	// State and Answer of DecisionDone; Answer.Body must not be modified.
+	// State and Response are set with DecisionDone. Response.Body must not be
+	// modified.
 	State    State
 	Response *Response
-	// RetryAfter of DecisionTableFull is when an epoch will be forgotten.
+	// RetryAfter is set with DecisionTableFull. It is the time until the next
+	// epoch expires.
 	RetryAfter time.Duration
 }
 
-// Table remembers the postings that this instance ran, and those of stopped
-// instances that were handed over to it. It is safe for concurrent use.
+// Table stores the records of the postings that this instance ran, and the
+// records that stopped instances transferred to it. It is safe for concurrent
+// use.
 type Table struct {
 	mu       sync.Mutex
 	instance string
 	start    time.Time
 	limits   Limits
-	own      memory
-	archives map[string]*archive
-	// records and answerBytes count own and archives together.
-	records     int
-	answerBytes int
-	sealed      bool
+	own      instanceRecords
+	imported map[string]*importedRecords
+	// records and responseBytes are the totals of own and imported.
+	records       int
+	responseBytes int
+	sealed        bool
 }
 
-// NewTable returns an empty table of an instance that started at start.
+// NewTable returns an empty table for an instance that started at start.
 func NewTable(instance string, start time.Time, limits Limits) *Table {
 	return &Table{
 		instance: instance, start: start, limits: limits,
-		own: newMemory(0), archives: map[string]*archive{},
+		own: newInstanceRecords(0), imported: map[string]*importedRecords{},
 	}
 }
 
-// epochAt counts the epochs since start. Both times must bear the monotonic
-// clock: with the wall clock a step back would bring a forgotten epoch's ids
-// back to life, and they would run again.
+// epochAt returns the number of epochs since start. Both times must have a
+// monotonic clock reading. With the wall clock, a backward step would make the
+// ids of an expired epoch valid again, and retried postings would run twice.
 func epochAt(start, now time.Time) uint64 { return uint64(max(now.Sub(start), 0) / EpochLength) }
 
-// Epoch is the epoch at now.
+// Epoch returns the epoch at now.
 func (t *Table) Epoch(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.advance(now)
-	return t.own.epoch
+	t.removeExpired(now)
+	return t.own.currentEpoch
 }
 
-// Begin enters a posting, or finds what became of it.
+// Begin adds a record for a new posting, or returns the state of a posting that
+// has a record.
 func (t *Table) Begin(req Request, now time.Time) BeginResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.advance(now)
+	t.removeExpired(now)
 	if req.ID.Instance != t.instance {
-		return t.recall(req)
+		return t.lookupImported(req)
 	}
-	if found, known := known(&t.own, req); known {
-		return found
+	if result, found := lookup(&t.own, req); found {
+		return result
 	}
 	if t.sealed {
 		return BeginResult{Decision: DecisionClosed}
 	}
 	if t.records >= t.limits.Records {
-		return BeginResult{Decision: DecisionTableFull, RetryAfter: t.untilForgotten(now)}
+		return BeginResult{Decision: DecisionTableFull, RetryAfter: t.timeToExpiry(now)}
 	}
-	// The own part is a piece of the caller's header; a copy lets that go.
+	// Suffix is a substring of the caller's header. Cloning it allows the
+	// header to be garbage-collected.
 	req.ID.Suffix = strings.Clone(req.ID.Suffix)
 	r := &record{digest: req.Digest, state: StateRunning, done: make(chan struct{})}
-	t.own.put(req.ID.Epoch, req.key(), r)
+	t.own.add(req.ID.Epoch, req.key(), r)
 	t.records++
 	return BeginResult{Decision: DecisionRun, Run: &Run{table: t, epoch: req.ID.Epoch, key: req.key(), record: r}}
 }
 
-// recall finds what became of a stopped instance's posting.
-func (t *Table) recall(req Request) BeginResult {
-	a := t.archives[req.ID.Instance]
-	if a == nil {
+// lookupImported returns the result for a posting of a stopped instance.
+func (t *Table) lookupImported(req Request) BeginResult {
+	imported := t.imported[req.ID.Instance]
+	if imported == nil {
 		return BeginResult{Decision: DecisionOtherInstance}
 	}
-	if found, known := known(&a.memory, req); known {
-		return found
+	if result, found := lookup(&imported.instanceRecords, req); found {
+		return result
 	}
 	return BeginResult{Decision: DecisionClosed}
 }
 
-// known judges an id by its epoch and its record; false if it is new.
-func known(m *memory, req Request) (BeginResult, bool) {
+// lookup returns the result for a request by the epoch and the record of its id,
+// and false if the id is new.
+func lookup(records *instanceRecords, req Request) (BeginResult, bool) {
 	switch {
-	case m.forgotten(req.ID.Epoch):
+	case records.isExpired(req.ID.Epoch):
 		return BeginResult{Decision: DecisionStaleEpoch}, true
-	case req.ID.Epoch > m.epoch:
+	case req.ID.Epoch > records.currentEpoch:
 		return BeginResult{Decision: DecisionFutureEpoch}, true
 	}
-	return judge(m.find(req.ID.Epoch, req.key()), req)
+	return resultOf(records.find(req.ID.Epoch, req.key()), req)
 }
 
-// advance forgets what is too old at now.
-func (t *Table) advance(now time.Time) {
+// removeExpired removes the records of the epochs that have expired at now.
+func (t *Table) removeExpired(now time.Time) {
 	t.own.advance(epochAt(t.start, now))
-	t.drop(t.own.takeForgotten())
-	for instance, a := range t.archives {
-		a.advanceTo(now)
-		t.drop(a.takeForgotten())
-		if a.forgotten(a.atEpoch) {
-			delete(t.archives, instance)
+	t.subtract(t.own.removeExpired())
+	for instance, imported := range t.imported {
+		imported.advanceAt(now)
+		t.subtract(imported.removeExpired())
+		if imported.isExpired(imported.importedEpoch) {
+			delete(t.imported, instance)
 		}
 	}
 }
 
-func (t *Table) drop(epochs []*epochRecords) {
+// subtract subtracts the records of removed epochs from the totals.
+func (t *Table) subtract(epochs []*epochRecords) {
 	for _, e := range epochs {
 		t.records -= len(e.records)
-		t.answerBytes -= e.answerBytes
+		t.responseBytes -= e.responseBytes
 	}
 }
 
-// untilForgotten is the time until the oldest epoch leaves the table.
-func (t *Table) untilForgotten(now time.Time) time.Duration {
-	end := t.start.Add(time.Duration(t.own.oldest()+RetainedEpochs+1) * EpochLength)
+// timeToExpiry returns the time until the oldest epoch expires.
+func (t *Table) timeToExpiry(now time.Time) time.Duration {
+	end := t.start.Add(time.Duration(t.own.oldestEpoch()+RetainedEpochs+1) * EpochLength)
 	return max(end.Sub(now), 0)
 }
 
-// Run is the right to run one posting, given out once. It must be ended by
-// one call of FinishNotRun or Finish.
+// Run is the permission to run one posting. The table grants it once, and its
+// holder must end it by a call of FinishNotRun or Finish.
 type Run struct {
 	table  *Table
 	epoch  uint64
@@ -221,25 +244,25 @@
 	record *record
 }
 
-// FinishNotRun takes the posting out: it certainly did not run, nor will by this
-// attempt, so asking again runs it.
+// FinishNotRun removes the record. The posting certainly did not run and will
+// not run by this attempt, so a retry runs it.
 func (r *Run) FinishNotRun() {
-	r.end(func(t *Table) {
+	r.complete(func(t *Table) {
 		delete(t.own.epochs[r.epoch].records, r.key)
 		t.records--
 	})
 }
 
-// Finish keeps how the posting ended. answer is nil where it is not known;
-// the table owns it from now on.
-func (r *Run) Finish(state State, answer *Response) {
-	kept := pack(answer)
-	r.end(func(t *Table) { t.keep(t.own.epochs[r.epoch], r.record, state, kept) })
+// Finish stores the outcome of the posting. response is nil if the response is
+// not known. The caller must not modify response afterwards.
+func (r *Run) Finish(state State, response *Response) {
+	stored := newStoredResponse(response)
+	r.complete(func(t *Table) { t.storeOutcome(t.own.epochs[r.epoch], r.record, state, stored) })
 }
 
-// end lets the waiting askers go. An epoch that was forgotten meanwhile took
-// the record with it; then there is nothing to change.
-func (r *Run) end(change func(*Table)) {
+// complete calls update and wakes the requests that wait for the posting. It does
+// not call update if the record was removed because its epoch expired.
+func (r *Run) complete(update func(*Table)) {
 	t := r.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,24 +270,26 @@
 		return
 	}
 	if t.own.find(r.epoch, r.key) == r.record {
-		change(t)
+		update(t)
 	}
 	close(r.record.done)
 	r.record.done = nil
 }
 
-func (t *Table) keep(e *epochRecords, r *record, state State, answer *keptAnswer) {
-	if size := answer.size(); size > MaxStoredResponseBytes || t.answerBytes+size > t.limits.ResponseBytes {
-		answer = answer.drop()
+// storeOutcome stores the state and the response of a posting. Of a response
+// that exceeds a size limit, it stores only the status.
+func (t *Table) storeOutcome(e *epochRecords, r *record, state State, response *storedResponse) {
+	if size := response.size(); size > MaxStoredResponseBytes || t.responseBytes+size > t.limits.ResponseBytes {
+		response = response.withoutBody()
 	}
-	r.state, r.answer = state, answer
-	e.answerBytes += answer.size()
-	t.answerBytes += answer.size()
+	r.state, r.response = state, response
+	e.responseBytes += response.size()
+	t.responseBytes += response.size()
 }
 
-// Size returns the postings remembered and the bytes of their answers.
-func (t *Table) Size() (records, answerBytes int) {
+// Size returns the number of records and the total size of their responses.
+func (t *Table) Size() (records, responseBytes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.records, t.answerBytes
+	return t.records, t.responseBytes
 }
