--- a/internal/entry/authenticate.go
+++ b/internal/entry/authenticate.go
@@ -11,30 +11,30 @@
 	"balsambarrow/internal/wire"
 )
 
-// authenticate finds whose key came with the request and makes a call that
-// bears the customer instead of the key.
+// authenticate looks up the customer that owns the API key of the request. It
+// returns a call that names the customer and does not contain the key.
 func (s *Server) authenticate(w http.ResponseWriter, r *http.Request, snap *view.Snapshot) (*wire.Call, *wire.Problem) {
 	if !snap.Current(time.Now()) {
-		return nil, noConfiguration()
+		return nil, noConfigurationProblem()
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	digest := config.DigestOf(strings.TrimSpace(key))
-	owner, known := snap.Config.Owner(digest)
-	if !ok || !known {
+	owner, found := snap.Config.Owner(digest)
+	if !ok || !found {
 		return nil, wire.NotRunProblem(wire.TypeUnknownKey, "no customer has this key", 0)
 	}
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/svc/"), "/")
-	sv, ok := snap.Config.Config.Services[service]
+	serviceConfig, ok := snap.Config.Config.Services[service]
 	if !ok {
 		return nil, wire.NotRunProblem(wire.TypeUnknownService, "there is no service of this name", 0)
 	}
 	if !snap.Config.Allows(owner.Customer, service) {
 		return nil, wire.NotRunProblem(wire.TypeForbidden, "the customer may not call this service", 0)
 	}
-	if stale := staleness(snap, owner.Customer); stale != nil {
-		return nil, stale
+	if problem := checkStaleness(snap, owner.Customer); problem != nil {
+		return nil, problem
 	}
-	deadline, problem := deadlineOf(r, sv)
+	deadline, problem := requestDeadline(r, serviceConfig)
 	if problem != nil {
 		return nil, problem
 	}
@@ -51,10 +51,11 @@
 	return call, nil
 }
 
-// recheckKey refuses a call whose key was withdrawn after it was admitted,
-// while it waited for the customer's rate: it asks the version in force now,
-// not the one of the admission. The handler asks again by its own version, so
-// whichever of the two daemons knows of the withdrawal refuses.
+// recheckKey rejects a call whose key was revoked after authentication, while the
+// call was queued for its customer's rate. It checks the current configuration
+// version instead of the version at authentication. The handler checks the key
+// again with its own version, so the call is rejected if either daemon has
+// received the revocation.
 func (s *Server) recheckKey(call *wire.Call) *wire.Problem {
 	digest, ok := config.ParseDigest(call.KeyDigest)
 	if ok && s.View.Load().OwnsKey(digest, call.Customer) {
@@ -63,9 +64,10 @@
 	return wire.NotRunProblem(wire.TypeUnknownKey, "the key was withdrawn", 0)
 }
 
-// staleness refuses a customer whose operators prefer refusal to serving by a
-// configuration that may be out of date.
-func staleness(snap *view.Snapshot, customer string) *wire.Problem {
+// checkStaleness rejects requests of a customer with a staleness limit if the
+// configuration was not confirmed within that limit. Operators set the limit for
+// customers that prefer rejection to service with an outdated configuration.
+func checkStaleness(snap *view.Snapshot, customer string) *wire.Problem {
 	limit := snap.Config.Config.Customers[customer].MaxStalenessMs
 	if limit > 0 && time.Since(snap.ConfirmedAt) > time.Duration(limit)*time.Millisecond {
 		return wire.NotRunProblem(wire.TypeNoConfiguration, "the configuration is older than the customer allows", time.Second)
@@ -73,14 +75,16 @@
 	return nil
 }
 
-func deadlineOf(r *http.Request, sv config.Service) (time.Time, *wire.Problem) {
-	budget := time.Duration(sv.TimeoutMs) * time.Millisecond
+// requestDeadline returns the deadline of a request: now plus the timeout of the
+// service, or the caller's timeout if that is shorter.
+func requestDeadline(r *http.Request, service config.Service) (time.Time, *wire.Problem) {
+	budget := time.Duration(service.TimeoutMs) * time.Millisecond
 	if text := r.Header.Get(wire.HeaderTimeoutMs); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms <= 0 {
 			return time.Time{}, wire.NotRunProblem(wire.TypeBadRequest, wire.HeaderTimeoutMs+": want a positive number of milliseconds", 0)
 		}
-		budget = time.Duration(min(ms, sv.TimeoutMs)) * time.Millisecond
+		budget = time.Duration(min(ms, service.TimeoutMs)) * time.Millisecond
 	}
 	return time.Now().Add(budget), nil
 }
--- a/internal/entry/authenticate_test.go
+++ b/internal/entry/authenticate_test.go
@@ -21,24 +21,24 @@
 	"balsambarrow/internal/wire"
 )
 
-// recorder stands in for the handler and counts what reaches it.
-type recorder struct{ calls int }
+// countingRunner replaces the handler and counts the calls that it receives.
+type countingRunner struct{ calls int }
 
-func (r *recorder) Run(context.Context, *wire.Call) (*wire.Response, *wire.Problem) {
+func (r *countingRunner) Run(context.Context, *wire.Call) (*wire.Response, *wire.Problem) {
 	r.calls++
 	return nil, wire.NotRunProblem(wire.TypeNoRoom, "recorded", 0)
 }
 
-// onRead runs a function when the request's body is read, which is after its
-// key was looked up.
-type onRead struct{ do func() }
+// hookBody is a request body that calls onRead when it is read, which is after the
+// lookup of the key.
+type hookBody struct{ onRead func() }
 
-func (o onRead) Read([]byte) (int, error) {
-	o.do()
+func (o hookBody) Read([]byte) (int, error) {
+	o.onRead()
 	return 0, io.EOF
 }
 
-func snapshot(c *config.Config, version uint64) *view.Snapshot {
+func newSnapshot(c *config.Config, version uint64) *view.Snapshot {
 	self := membership.Member{
 		Instance: "vt-1-x", Host: "vt-1", Zone: "vt-a", State: membership.StateReady,
 		Headroom: map[string]membership.Headroom{"lookup": {Free: 1, Limit: 1}},
@@ -51,7 +51,7 @@
 	}
 }
 
-func configOf(keys map[string]config.Key) *config.Config {
+func configWithKeys(keys map[string]config.Key) *config.Config {
 	return &config.Config{
 		Regions:   map[string]config.Region{"vermont": {}},
 		Zones:     map[string]config.Zone{"vt-a": {Region: "vermont", Slots: 1, Weight: 1}},
@@ -60,42 +60,42 @@
 	}
 }
 
-// A key is withdrawn between a request's admission and its dispatch, which may
-// lie a wait for the customer's rate apart. A host that was just resumed from
-// a pause has a configuration of unknown age. Both must refuse, and no handler
-// may be asked.
-func TestRefusedBeforeDispatch(t *testing.T) {
+// A key is revoked between the authentication and the dispatch of a request, while
+// the request may be queued for its customer's rate. A host that resumes after a
+// pause has a configuration of unknown age. In both cases, the host must reject
+// the request and must not send it to a handler.
+func TestRejectedBeforeDispatch(t *testing.T) {
 	key := map[string]config.Key{"k1": {SHA256: config.DigestOf("secret").String()}}
 	for name, tc := range map[string]struct {
-		before func(*view.Snapshot)
-		during func(*view.Publisher)
-		want   string
-		calls  int
+		beforeRequest       func(*view.Snapshot)
+		afterAuthentication func(*view.Publisher)
+		wantType            string
+		wantCalls           int
 	}{
-		"key in force": {want: wire.TypeNoRoom, calls: 1},
-		"withdrawn after admission": {
-			during: func(p *view.Publisher) { p.Store(snapshot(configOf(nil), 2)) }, want: wire.TypeUnknownKey,
+		"valid key": {wantType: wire.TypeNoRoom, wantCalls: 1},
+		"revoked after authentication": {
+			afterAuthentication: func(p *view.Publisher) { p.Store(newSnapshot(configWithKeys(nil), 2)) }, wantType: wire.TypeUnknownKey,
 		},
-		"moved to another customer after admission": {
-			during: func(p *view.Publisher) {
-				c := configOf(nil)
+		"moved to another customer after authentication": {
+			afterAuthentication: func(p *view.Publisher) {
+				c := configWithKeys(nil)
 				c.Customers["other"] = config.Customer{Keys: key}
-				p.Store(snapshot(c, 2))
-			}, want: wire.TypeUnknownKey,
+				p.Store(newSnapshot(c, 2))
+			}, wantType: wire.TypeUnknownKey,
 		},
 		"paused": {
-			before: func(s *view.Snapshot) { s.PublishedAt = time.Now().Add(-2 * view.MaxAge) }, want: wire.TypeNoConfiguration,
+			beforeRequest: func(s *view.Snapshot) { s.PublishedAt = time.Now().Add(-2 * view.MaxAge) }, wantType: wire.TypeNoConfiguration,
 		},
-		"resumed and not caught up": {
-			before: func(s *view.Snapshot) { s.ConfigVerified = false }, want: wire.TypeNoConfiguration,
+		"resumed, configuration not verified": {
+			beforeRequest: func(s *view.Snapshot) { s.ConfigVerified = false }, wantType: wire.TypeNoConfiguration,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			var published view.Publisher
-			snap := snapshot(configOf(key), 1)
-			if tc.before != nil {
-				tc.before(snap)
+			snap := newSnapshot(configWithKeys(key), 1)
+			if tc.beforeRequest != nil {
+				tc.beforeRequest(snap)
 			}
 			published.Store(snap)
 			ledger := quota.NewLedger()
@@ -103,23 +103,23 @@
 			ledger.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
 			tracing, err := telemetry.NewTracing("")
 			g.Expect(err).NotTo(HaveOccurred())
-			handler := &recorder{}
+			handler := &countingRunner{}
 			server := entry.New(entry.Deps{
 				View: &published, Ledger: ledger, LocalHandler: handler, MaxBodyBytes: 1 << 20,
 				Tracer: tracing.Tracer, Log: telemetry.NewLogger(t.Output(), "info"),
 			})
-			body := onRead{func() {
-				if tc.during != nil {
-					tc.during(&published)
+			body := hookBody{func() {
+				if tc.afterAuthentication != nil {
+					tc.afterAuthentication(&published)
 				}
 			}}
 			req := httptest.NewRequest(http.MethodGet, "/svc/lookup/x", body)
 			req.Header.Set("Authorization", "Bearer secret")
-			answer := httptest.NewRecorder()
-			server.ServeHTTP(answer, req)
-			g.Expect(answer.Body.String()).To(ContainSubstring(`"type":"` + tc.want + `"`))
-			g.Expect(answer.Body.String()).To(ContainSubstring(`"outcome":"not-run"`))
-			g.Expect(handler.calls).To(Equal(tc.calls))
+			response := httptest.NewRecorder()
+			server.ServeHTTP(response, req)
+			g.Expect(response.Body.String()).To(ContainSubstring(`"type":"` + tc.wantType + `"`))
+			g.Expect(response.Body.String()).To(ContainSubstring(`"outcome":"not-run"`))
+			g.Expect(handler.calls).To(Equal(tc.wantCalls))
 		})
 	}
 }
--- a/internal/entry/caps.go
+++ b/internal/entry/caps.go
@@ -7,10 +7,11 @@
 	"balsambarrow/internal/wire"
 )
 
-// takeCaps takes what a target costs from the caps of its shift, drain and
-// link, all or nothing. A cap that is used up is not waited for: the request
-// stays where it can run now.
-func (s *Server) takeCaps(t *steer.Target, now time.Time) bool {
+// takeCapTokens takes the cost of a request to the target from the quotas that
+// cap its shift, drain and link. It takes either all costs or none. It does not
+// wait for a quota that is used up: the request goes to another target that can
+// run it now.
+func (s *Server) takeCapTokens(t *steer.Target, now time.Time) bool {
 	costs := capCosts(t)
 	for i, c := range costs {
 		if ok, _ := s.Ledger.Take(c.quota, c.cost, now); !ok {
@@ -21,15 +22,17 @@
 	return true
 }
 
-// refundCaps gives back what was taken for a request that certainly did not
-// run at the target.
-func (s *Server) refundCaps(t *steer.Target, now time.Time) { s.refund(capCosts(t), now) }
+// refundCapTokens returns the tokens of a request that certainly did not run at
+// the target.
+func (s *Server) refundCapTokens(t *steer.Target, now time.Time) { s.refund(capCosts(t), now) }
 
+// capCost is the cost of a request in one quota.
 type capCost struct {
 	quota string
 	cost  float64
 }
 
+// capCosts returns the costs of a request to the target in all quotas that cap it.
 func capCosts(t *steer.Target) []capCost {
 	var costs []capCost
 	if t.ShiftQuota != "" {
@@ -50,14 +53,15 @@
 	}
 }
 
-// steerRequest is what steering needs to know of a call. Its path is the key:
-// an animal, a family, a canteen.
+// steerRequest returns the properties of a call that determine its targets. The
+// hash key is the path, which names one object, such as an animal, a family or a
+// canteen.
 func steerRequest(call *wire.Call) steer.Request {
 	return steer.Request{
 		Service: call.Service, Customer: call.Customer, HashKey: call.Path,
-		SizeBytes: float64(max(call.Body.Length(), 0)) + requestOverhead,
+		SizeBytes: float64(max(call.Body.Length(), 0)) + requestHeaderBytes,
 	}
 }
 
-// requestOverhead stands for a request's line and headers, in bytes.
-const requestOverhead = 1024
+// requestHeaderBytes is the assumed size of the request line and headers.
+const requestHeaderBytes = 1024
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,4 +1,5 @@
-// Package entry is the callers' way in: lookups, and the request path from the
-// caller's key to the answer. The order is authenticate, strip the key, quota,
-// deadline, choose a handler, run; see docs/ARCHITECTURE.md.
+// Package entry serves the callers' listener of an entry host: the lookup of
+// entry hosts, and requests to services. A service request is authenticated by
+// the caller's API key, which is then removed, admitted within its customer's
+// quota and deadline, and run by a chosen handler. See docs/ARCHITECTURE.md.
 package entry
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -21,55 +21,57 @@
 	"balsambarrow/internal/wire"
 )
 
-// Deps is what the request path works with.
+// Deps are the dependencies and settings of a Server.
 type Deps struct {
 	View     *view.Publisher
 	Ledger   *quota.Ledger
 	Postings *posting.Table
-	// LocalHandler runs a call on an upstream that this daemon handles.
+	// LocalHandler runs calls on the upstreams that this daemon handles.
 	LocalHandler relay.Runner
 	Relay        *relay.Client
-	// MaxBodyBytes bounds a caller's body.
+	// MaxBodyBytes limits the size of a caller's request body.
 	MaxBodyBytes int64
-	// BodyTimeout bounds the reading of a held body; 0: the default.
+	// BodyTimeout limits the time to read a buffered body. The default of 15
+	// seconds applies if it is 0.
 	BodyTimeout time.Duration
-	// RetryBudgets bounds what is sent to another handler after it may have run;
-	// nil: everything is.
+	// RetryBudgets limits the requests that are sent to another handler after
+	// they may have run. There is no limit if it is nil.
 	RetryBudgets *retry.Budgets
 	Tracer       trace.Tracer
 	Log          *log.Logger
 }
 
-// Server serves the callers' listener.
+// Server handles the requests of the callers' listener.
 type Server struct {
 	Deps
 	mux *http.ServeMux
 }
 
-// New returns a server over deps.
+// New returns a server that uses deps.
 func New(deps Deps) *Server {
 	if deps.BodyTimeout == 0 {
 		deps.BodyTimeout = bodyTimeout
 	}
 	s := &Server{Deps: deps, mux: http.NewServeMux()}
-	s.mux.HandleFunc("GET /v1/entries", s.entries)
-	s.mux.HandleFunc("/svc/", s.service)
+	s.mux.HandleFunc("GET /v1/entries", s.serveEntries)
+	s.mux.HandleFunc("/svc/", s.serveRequest)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Server) entries(w http.ResponseWriter, r *http.Request) {
+// serveEntries responds with the entry hosts that the caller should use.
+func (s *Server) serveEntries(w http.ResponseWriter, r *http.Request) {
 	snap := s.View.Load()
 	if snap.Config == nil {
-		noConfiguration().Write(w)
+		noConfigurationProblem().Write(w)
 		return
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	answer := snap.Lookup.Entries(callerAddr(r), rng)
-	w.Header().Set("Cache-Control", "max-age="+strconv.FormatInt(answer.TTLMs/1000, 10))
-	writeJSON(w, answer)
+	response := snap.Lookup.Entries(callerAddr(r), rng)
+	w.Header().Set("Cache-Control", "max-age="+strconv.FormatInt(response.TTLMs/1000, 10))
+	writeJSON(w, response)
 }
 
 func callerAddr(r *http.Request) netip.Addr {
@@ -77,21 +79,22 @@
 	return ap.Addr().Unmap()
 }
 
-func noConfiguration() *wire.Problem {
+func noConfigurationProblem() *wire.Problem {
 	return wire.NotRunProblem(wire.TypeNoConfiguration, "this daemon has no current configuration yet", time.Second)
 }
 
-func (s *Server) service(w http.ResponseWriter, r *http.Request) {
+// serveRequest handles a request to a service.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	ctx, span := s.Tracer.Start(telemetry.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	snap := s.View.Load()
-	call, problem := s.read(w, r, snap)
+	call, problem := s.readRequest(w, r, snap)
 	if problem == nil {
 		span.SetAttributes(attribute.String("service", call.Service), attribute.String("customer", call.Customer))
-		var answer *wire.Response
-		answer, problem = s.serve(ctx, call, r.Header.Get(wire.HeaderIdempotencyKey))
+		var response *wire.Response
+		response, problem = s.run(ctx, call, r.Header.Get(wire.HeaderIdempotencyKey))
 		if problem == nil {
-			answer.Write(w)
+			response.Write(w)
 			return
 		}
 	}
@@ -99,28 +102,30 @@
 	problem.Write(w)
 }
 
-// serve runs a call: by its posting id if it bears one.
-func (s *Server) serve(ctx context.Context, call *wire.Call, idempotencyKey string) (*wire.Response, *wire.Problem) {
+// run runs a call. A call with a posting id runs at most once, unless its method
+// is safe.
+func (s *Server) run(ctx context.Context, call *wire.Call, idempotencyKey string) (*wire.Response, *wire.Problem) {
 	if idempotencyKey == "" || call.Safe() {
-		bounded, cancel := call.WithDeadline(ctx)
-		return bindCancel(cancel)(s.admit(bounded, call))
+		callCtx, cancel := call.WithDeadline(ctx)
+		return cancelOnClose(cancel)(s.admit(callCtx, call))
 	}
-	return s.post(ctx, call, idempotencyKey)
+	return s.runPosting(ctx, call, idempotencyKey)
 }
 
-// admit takes from the customer's quota and runs the call.
+// admit takes a token of the customer's quota and runs the call. It refunds the
+// token if the call certainly did not run.
 func (s *Server) admit(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	if problem := s.takeQuota(ctx, call); problem != nil {
 		return nil, problem
 	}
-	answer, problem := s.steer(ctx, call)
+	response, problem := s.runOnHandlers(ctx, call)
 	if problem != nil && problem.Outcome == wire.OutcomeNotRun {
 		s.Ledger.Refund(quota.CustomerQuota(call.Customer), 1, time.Now())
 	}
-	return answer, problem
+	return response, problem
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = jsonEncode(w, v)
+	_ = encodeJSON(w, v)
 }
--- a/internal/entry/quota.go
+++ b/internal/entry/quota.go
@@ -8,36 +8,37 @@
 	"balsambarrow/internal/wire"
 )
 
-// unknownRetry is told where no time is known at which the quota has room:
-// after it the daemon's shares have settled.
-const unknownRetry = time.Second
+// defaultRetryAfter is the Retry-After time if the quota cannot estimate when a
+// token will be available. After this time, the quota shares of the daemons have
+// converged.
+const defaultRetryAfter = time.Second
 
-// takeQuota spends one request of the customer's quota. A request that finds
-// no token waits in the order of coming for at most quota.MaxWait and never
-// past its deadline; one for which no token can be there in time is refused
-// at once.
+// takeQuota takes one token of the customer's quota. If no token is available,
+// the request is queued in order of arrival for at most quota.MaxWait and not past
+// its deadline. A request that cannot get a token in time is rejected
+// immediately.
 func (s *Server) takeQuota(ctx context.Context, call *wire.Call) *wire.Problem {
 	name := quota.CustomerQuota(call.Customer)
 	if ok, _ := s.Ledger.Take(name, 1, time.Now()); ok {
 		return nil
 	}
-	ticket, wait := s.Ledger.JoinQueue(name, 1, time.Until(call.Deadline), time.Now())
+	ticket, delay := s.Ledger.JoinQueue(name, 1, time.Until(call.Deadline), time.Now())
 	if ticket == nil {
-		return overRate(wait)
+		return overRateProblem(delay)
 	}
 	if s.Ledger.Await(ctx, name, ticket) {
 		return nil
 	}
 	if ctx.Err() != nil {
-		return wire.NotRunProblem(wire.TypeDeadline, "given up while waiting for the customer's rate", wait)
+		return wire.NotRunProblem(wire.TypeDeadline, "given up while waiting for the customer's rate", delay)
 	}
-	_, wait = s.Ledger.ExpectedWait(name, 1, time.Now())
-	return overRate(wait)
+	_, delay = s.Ledger.ExpectedWait(name, 1, time.Now())
+	return overRateProblem(delay)
 }
 
-func overRate(wait time.Duration) *wire.Problem {
-	if wait < 0 {
-		wait = unknownRetry
+func overRateProblem(retryAfter time.Duration) *wire.Problem {
+	if retryAfter < 0 {
+		retryAfter = defaultRetryAfter
 	}
-	return wire.NotRunProblem(wire.TypeOverRate, "the customer's rate is used up", max(wait, time.Millisecond))
+	return wire.NotRunProblem(wire.TypeOverRate, "the customer's rate is used up", max(retryAfter, time.Millisecond))
 }
--- a/internal/entry/read.go
+++ b/internal/entry/read.go
@@ -8,15 +8,15 @@
 	"balsambarrow/internal/wire"
 )
 
-// bodyTimeout bounds the reading of a body that is held in memory, 64 KiB at
-// most: a caller on a bad line sends that in a few seconds, one that drips
-// bytes holds a connection no longer than this.
+// bodyTimeout limits the time to read a buffered body of at most 64 KiB. Callers
+// on slow links send such a body in a few seconds. A caller that sends single
+// bytes at long intervals can hold a connection only until this timeout.
 const bodyTimeout = 15 * time.Second
 
-// read checks the form of a request, authenticates it and takes its body over
-// within bounded time.
-func (s *Server) read(w http.ResponseWriter, r *http.Request, snap *view.Snapshot) (*wire.Call, *wire.Problem) {
-	if problem := malformed(r); problem != nil {
+// readRequest validates and authenticates a request and buffers its body, or the
+// start of a large body, within BodyTimeout.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, snap *view.Snapshot) (*wire.Call, *wire.Problem) {
+	if problem := validateRequest(r); problem != nil {
 		return nil, problem
 	}
 	control := http.NewResponseController(w)
@@ -25,23 +25,24 @@
 	if problem != nil {
 		return nil, problem
 	}
-	// A deadline left on a connection would end the request's context when it
-	// passes, as if the caller had gone. A larger body is read while the call
-	// runs, so it may take as long as that.
-	var until time.Time
+	// A read deadline that stays on the connection would cancel the context of
+	// the request when it passes, as if the caller had disconnected. A larger
+	// body is read while the call runs, so its deadline is that of the call.
+	var readDeadline time.Time
 	if !call.Body.Buffered() {
-		until = call.Deadline
+		readDeadline = call.Deadline
 	}
-	_ = control.SetReadDeadline(until)
+	_ = control.SetReadDeadline(readDeadline)
 	return call, nil
 }
 
-// malformed refuses requests that cannot be passed on truthfully.
-func malformed(r *http.Request) *wire.Problem {
+// validateRequest rejects requests that cannot be forwarded correctly.
+func validateRequest(r *http.Request) *wire.Problem {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
-		// Without chunks an answer of unknown length ends with its
-		// connection: a part would pass for the whole.
+		// HTTP/1.0 has no chunked encoding. A response of unknown length
+		// would end when the connection closes, so the caller could not
+		// detect a truncated response.
 		return wire.NotRunProblem(wire.TypeBadRequest, "want HTTP/1.1", 0)
 	case r.Method == http.MethodConnect || r.Method == http.MethodTrace:
 		return wire.NotRunProblem(wire.TypeBadRequest, "method not served", 0)
--- a/internal/entry/read_test.go
+++ b/internal/entry/read_test.go
@@ -27,13 +27,13 @@
 	"balsambarrow/internal/wire"
 )
 
-// worker stands in for an upstream behind the handler.
-type worker struct {
+// fakeUpstream replaces the handler and its upstream, and records the calls.
+type fakeUpstream struct {
 	mu    sync.Mutex
 	calls []*wire.Call
 }
 
-func (w *worker) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
+func (w *fakeUpstream) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	body, _ := call.Body.Reader()
 	_, err := io.Copy(io.Discard, body)
 	w.mu.Lock()
@@ -42,17 +42,17 @@
 	if err != nil {
 		return nil, wire.MayHaveRunProblem(wire.TypeUpstreamFailed, err.Error())
 	}
-	return &wire.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("whole"))}, nil
+	return &wire.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("complete"))}, nil
 }
 
-func (w *worker) seen() []*wire.Call {
+func (w *fakeUpstream) received() []*wire.Call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls
 }
 
-// newEntry serves the customer "farm" with the key "secret".
-func newEntry(t *testing.T) (address string, w *worker) {
+// newEntryServer starts a server with the customer "farm" and its key "secret".
+func newEntryServer(t *testing.T) (address string, w *fakeUpstream) {
 	t.Helper()
 	c := &config.Config{
 		Regions:  map[string]config.Region{"vermont": {}},
@@ -74,7 +74,7 @@
 	ledger := quota.NewLedger()
 	ledger.Fence.Extend(time.Now().Add(time.Hour))
 	ledger.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
-	w = &worker{}
+	w = &fakeUpstream{}
 	server := httptest.NewServer(entry.New(entry.Deps{
 		View: published, Ledger: ledger, LocalHandler: w, MaxBodyBytes: 200 << 10, BodyTimeout: 100 * time.Millisecond,
 		Postings: posting.NewTable("vt-1-ab", time.Now(), posting.DefaultLimits()),
@@ -84,14 +84,14 @@
 	return strings.TrimPrefix(server.URL, "http://"), w
 }
 
-// raw sends bytes as they are and reads one answer.
-func raw(t *testing.T, address, text string) *http.Response {
+// sendRaw sends a request as raw bytes and reads one response.
+func sendRaw(t *testing.T, address, request string) *http.Response {
 	t.Helper()
 	g := NewWithT(t)
 	conn, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = conn.Close() })
-	_, err = io.WriteString(conn, text)
+	_, err = io.WriteString(conn, request)
 	g.Expect(err).NotTo(HaveOccurred())
 	_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -99,23 +99,23 @@
 	return resp
 }
 
-// Callers send what must not be passed on: versions and methods that cannot
-// be answered truthfully, doubled headers, bodies that are too large, that
-// stop half-way. Each gets its final answer, and no worker sees a request.
-func TestWhatIsNotPassedOn(t *testing.T) {
+// Callers send requests that must not be forwarded: unsupported HTTP versions and
+// methods, duplicate headers, and bodies that are too large or incomplete. Each
+// request must get a final response, and none may reach an upstream.
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	const key = "Authorization: Bearer secret\r\n"
 	for name, c := range map[string]struct {
-		text   string
-		status int
+		request string
+		status  int
 	}{
 		"HTTP/1.0":           {"GET /svc/posting/x HTTP/1.0\r\n" + key + "\r\n", 400},
 		"TRACE":              {"TRACE /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "\r\n", 400},
 		"two keys":           {"GET /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + key + "\r\n", 400},
 		"two posting ids":    {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Idempotency-Key: a-0.1\r\nIdempotency-Key: a-0.2\r\n\r\n", 400},
-		"foreign posting id": {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Idempotency-Key: 7\r\n\r\n", 400},
+		"invalid posting id": {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Idempotency-Key: 7\r\n\r\n", 400},
 		"two lengths":        {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx", 400},
-		"body that stops":    {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Content-Length: 9\r\n\r\nhalf", 413},
-		"chunks that stop":   {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf", 413},
+		"incomplete body":    {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Content-Length: 9\r\n\r\nhalf", 413},
+		"incomplete chunk":   {"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf", 413},
 		"posting id, large body": {
 			"POST /svc/posting/x HTTP/1.1\r\nHost: x\r\n" + key + "Idempotency-Key: vt-1-ab-0.1\r\n" +
 				fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 70<<10, make([]byte, 70<<10)), 413,
@@ -123,56 +123,57 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			address, w := newEntry(t)
-			resp := raw(t, address, c.text)
+			address, w := newEntryServer(t)
+			resp := sendRaw(t, address, c.request)
 			g.Expect(resp.StatusCode).To(Equal(c.status))
-			if name != "two lengths" { // refused by net/http itself
+			if name != "two lengths" { // net/http rejects this request itself
 				g.Expect(resp.Header.Get(wire.HeaderOutcome)).To(Equal(string(wire.OutcomeNotRun)))
 			}
-			g.Expect(w.seen()).To(BeEmpty())
+			g.Expect(w.received()).To(BeEmpty())
 		})
 	}
 }
 
-// A body over the limit whose length was not declared has partly been sent on
-// when that shows: the answer must say that it may have run.
-func TestOversizedStreamIsInDoubt(t *testing.T) {
+// A body of undeclared length exceeds the limit after a part of it was forwarded.
+// The response must report that the request may have run.
+func TestOversizedStreamMayHaveRun(t *testing.T) {
 	g := NewWithT(t)
-	address, _ := newEntry(t)
+	address, _ := newEntryServer(t)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", 100<<10, make([]byte, 100<<10))
-	resp := raw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk+chunk+chunk+"0\r\n\r\n")
+	resp := sendRaw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk+chunk+chunk+"0\r\n\r\n")
 	g.Expect(resp.Header.Get(wire.HeaderOutcome)).To(Equal(string(wire.OutcomeMayHaveRun)))
 }
 
-// A caller's key and its forged identity never get past the entry host,
-// however they are written; its posting id does.
-func TestKeyStaysAtTheEntry(t *testing.T) {
+// A caller's key and a forged customer header must never be forwarded by the entry
+// host, however they are written. The posting id must be forwarded.
+func TestKeyIsRemovedAtEntryHost(t *testing.T) {
 	g := NewWithT(t)
-	address, w := newEntry(t)
-	resp := raw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nauthorization: Bearer secret\r\n"+
+	address, w := newEntryServer(t)
+	resp := sendRaw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nauthorization: Bearer secret\r\n"+
 		"Connection: Authorization, Idempotency-Key\r\nProxy-Authorization: Bearer secret\r\nBalsam-Customer: other\r\n"+
 		"Idempotency-Key: vt-1-ab-0.1\r\nCookie: c=1\r\nExpect: 100-continue\r\nContent-Length: 0\r\n\r\n")
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
-	g.Expect(w.seen()).To(HaveLen(1))
-	call := w.seen()[0]
+	g.Expect(w.received()).To(HaveLen(1))
+	call := w.received()[0]
 	g.Expect(call.Customer).To(Equal("farm"))
 	g.Expect(fmt.Sprint(call.Header)).NotTo(Or(ContainSubstring("secret"), ContainSubstring("other"), ContainSubstring("Expect")))
 	g.Expect(call.Header).To(And(HaveKey("Cookie"), HaveKey("Idempotency-Key")))
 }
 
-// Many callers ask for the same posting at once. One runs; all get its answer.
-func TestConcurrentRepeatsRunOnce(t *testing.T) {
+// Many requests for the same posting arrive concurrently. The posting must run
+// once, and all requests must get its response.
+func TestConcurrentRetriesRunOnce(t *testing.T) {
 	g := NewWithT(t)
-	address, w := newEntry(t)
+	address, w := newEntryServer(t)
 	var callers sync.WaitGroup
 	for range 16 {
 		callers.Go(func() {
-			resp := raw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nIdempotency-Key: vt-1-ab-0.1\r\nContent-Length: 0\r\n\r\n")
+			resp := sendRaw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nIdempotency-Key: vt-1-ab-0.1\r\nContent-Length: 0\r\n\r\n")
 			body, err := io.ReadAll(resp.Body)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(string(body)).To(Equal("whole"))
+			g.Expect(string(body)).To(Equal("complete"))
 		})
 	}
 	callers.Wait()
-	g.Expect(w.seen()).To(HaveLen(1))
+	g.Expect(w.received()).To(HaveLen(1))
 }
--- a/internal/entry/inflight_test.go
+++ b/internal/entry/requestlimiter_test.go
@@ -11,13 +11,14 @@
 	"balsambarrow/internal/wire"
 )
 
-// An upstream stalls and requests pile up at an entry host. Beyond its bound
-// it must refuse at once and truthfully, and serve again when one has ended.
-func TestBoundedRefusesBeyondItsBound(t *testing.T) {
+// An upstream stalls and requests accumulate at an entry host. Above its limit, the
+// host must reject requests immediately as not-run, and must accept requests again
+// after one has ended.
+func TestRequestLimiterRejectsAboveLimit(t *testing.T) {
 	g := NewWithT(t)
-	gauge := entry.NewRequestLimiter(1)
+	limiter := entry.NewRequestLimiter(1)
 	running, release := make(chan struct{}), make(chan struct{})
-	handler := gauge.Wrap(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	handler := limiter.Wrap(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		running <- struct{}{}
 		<-release
 	}))
@@ -32,13 +33,13 @@
 		close(done)
 	}()
 	<-running
-	g.Expect(gauge.Load()).To(Equal(1.0))
-	refused := call()
-	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(refused.Header().Get(wire.HeaderOutcome)).To(Equal(string(wire.OutcomeNotRun)))
+	g.Expect(limiter.Load()).To(Equal(1.0))
+	rejected := call()
+	g.Expect(rejected.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(rejected.Header().Get(wire.HeaderOutcome)).To(Equal(string(wire.OutcomeNotRun)))
 	close(release)
 	<-done
 	go func() { <-running }()
 	g.Expect(call().Code).To(Equal(http.StatusOK))
-	g.Expect(gauge.Load()).To(BeZero())
+	g.Expect(limiter.Load()).To(BeZero())
 }
--- a/internal/entry/steer.go
+++ b/internal/entry/steer.go
@@ -12,9 +12,10 @@
 	"balsambarrow/internal/wire"
 )
 
-// steer asks handlers in turn until one runs the call or a second try could
-// run it twice.
-func (s *Server) steer(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
+// runOnHandlers sends the call to its target handlers in order, until a handler
+// runs it or until another attempt is not allowed, for example because the call
+// could run twice.
+func (s *Server) runOnHandlers(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	snap := s.View.Load()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	targets := snap.Steer.Choose(steerRequest(call), time.Now(), rng)
@@ -25,28 +26,28 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if !s.takeCaps(target, time.Now()) {
+		if !s.takeCapTokens(target, time.Now()) {
 			continue
 		}
-		answer, latest := s.ask(ctx, target, call)
-		if latest == nil {
-			target.RecordResult(queued(answer), false)
-			return answer, nil
+		response, attemptProblem := s.send(ctx, target, call)
+		if attemptProblem == nil {
+			target.RecordResult(takeQueueingDelay(response), false)
+			return response, nil
 		}
-		target.RecordResult(0, latest.Type == wire.TypeNoRoom)
-		if latest.Outcome == wire.OutcomeNotRun {
-			s.refundCaps(target, time.Now())
+		target.RecordResult(0, attemptProblem.Type == wire.TypeNoRoom)
+		if attemptProblem.Outcome == wire.OutcomeNotRun {
+			s.refundCapTokens(target, time.Now())
 		}
-		problem = latest.MergeEarlier(problem)
-		if !another(call, latest) || !s.RetryBudgets.AllowRetryOn(call.Service, latest) {
+		problem = attemptProblem.MergeEarlier(problem)
+		if !mayRetry(call, attemptProblem) || !s.RetryBudgets.AllowRetryOn(call.Service, attemptProblem) {
 			break
 		}
 	}
-	return nil, lastProblem(ctx, problem)
+	return nil, finalProblem(ctx, problem)
 }
 
-// lastProblem is the final answer where no handler ran the call.
-func lastProblem(ctx context.Context, problem *wire.Problem) *wire.Problem {
+// finalProblem returns the problem for a call that no handler ran.
+func finalProblem(ctx context.Context, problem *wire.Problem) *wire.Problem {
 	switch {
 	case problem != nil:
 		return problem
@@ -56,7 +57,9 @@
 	return wire.NotRunProblem(wire.TypeNoRoom, "no zone that may serve this has a ready handler", time.Second)
 }
 
-func (s *Server) ask(ctx context.Context, target *steer.Target, call *wire.Call) (*wire.Response, *wire.Problem) {
+// send runs the call at the target: locally if this instance is the handler, and
+// otherwise through the relay.
+func (s *Server) send(ctx context.Context, target *steer.Target, call *wire.Call) (*wire.Response, *wire.Problem) {
 	if problem := s.recheckKey(call); problem != nil {
 		return nil, problem
 	}
@@ -70,33 +73,35 @@
 	return s.Relay.Send(ctx, member.Relay, wire.RoleHandle, call)
 }
 
-// another tells whether another handler may be asked after a problem.
-func another(call *wire.Call, p *wire.Problem) bool {
+// mayRetry reports whether a call may be sent to another handler after a problem.
+func mayRetry(call *wire.Call, problem *wire.Problem) bool {
 	if !call.Body.CanSend() {
 		return false
 	}
-	switch p.Type {
+	switch problem.Type {
 	case wire.TypeNoRoom:
-		return p.Outcome == wire.OutcomeNotRun
+		return problem.Outcome == wire.OutcomeNotRun
 	case wire.TypeUpstreamFailed, wire.TypeUpstreamShed:
-		return p.Outcome == wire.OutcomeNotRun || call.Safe()
+		return problem.Outcome == wire.OutcomeNotRun || call.Safe()
 	}
 	return false
 }
 
-// bindCancel ends a call's context once its answer has been read, or at once
-// where there is none.
-func bindCancel(cancel context.CancelFunc) func(*wire.Response, *wire.Problem) (*wire.Response, *wire.Problem) {
-	return func(a *wire.Response, p *wire.Problem) (*wire.Response, *wire.Problem) {
-		if p != nil {
+// cancelOnClose returns a function that passes the result of a call through and
+// cancels the context of the call when the response body is closed, or immediately
+// if there is no response.
+func cancelOnClose(cancel context.CancelFunc) func(*wire.Response, *wire.Problem) (*wire.Response, *wire.Problem) {
+	return func(response *wire.Response, problem *wire.Problem) (*wire.Response, *wire.Problem) {
+		if problem != nil {
 			cancel()
-			return nil, p
+			return nil, problem
 		}
-		a.Body = &cancelBody{ReadCloser: a.Body, cancel: cancel}
-		return a, nil
+		response.Body = &cancelBody{ReadCloser: response.Body, cancel: cancel}
+		return response, nil
 	}
 }
 
+// cancelBody calls cancel when it is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -108,12 +113,13 @@
 	return err
 }
 
-func jsonEncode(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
+func encodeJSON(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
 
-// queued takes out of an answer how long it waited at its handler.
-func queued(a *wire.Response) time.Duration {
-	ms, err := strconv.ParseInt(a.Header.Get(wire.HeaderQueuedMs), 10, 64)
-	a.Header.Del(wire.HeaderQueuedMs)
+// takeQueueingDelay returns the queueing delay that the handler reported in the
+// response header, and removes the header.
+func takeQueueingDelay(response *wire.Response) time.Duration {
+	ms, err := strconv.ParseInt(response.Header.Get(wire.HeaderQueuedMs), 10, 64)
+	response.Header.Del(wire.HeaderQueuedMs)
 	if err != nil {
 		return 0
 	}
