--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -13,23 +13,25 @@
 	"balsambarrow/internal/h1"
 )
 
-// Call is one admitted request on its way to an upstream.
+// Call is an authenticated request that is to run on an upstream.
 type Call struct {
 	Service  string
 	Path     string
 	RawQuery string
 	Method   string
-	// Header is the caller's, without its key and without hop-by-hop headers.
+	// Header holds the caller's headers without its key, hop-by-hop headers and
+	// headers of this system.
 	Header http.Header
 	Body   Body
-	// Customer whose key came with the request.
+	// Customer is the customer that owns the key of the request.
 	Customer string
-	// KeyDigest is the hexadecimal SHA-256 of that key.
+	// KeyDigest is the hexadecimal SHA-256 digest of that key.
 	KeyDigest string
 	Deadline  time.Time
 }
 
-// Safe tells whether the method may be tried again after it may have run.
+// Safe reports whether the method is safe, so that the call may be retried after it
+// may have run.
 func (c *Call) Safe() bool {
 	switch c.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -38,58 +40,62 @@
 	return false
 }
 
-// Body is a request body: held in memory, so that another dispatch can send
-// it again, or a stream that can be sent once.
+// Body is a request body. It is either buffered in memory, so that it can be sent
+// again with each attempt, or a stream that can be sent once.
 type Body struct {
-	held   []byte
-	stream io.Reader
-	length int64
-	used   bool
+	buffer   []byte
+	stream   io.Reader
+	length   int64
+	consumed bool
 }
 
-// MaxBufferedBodyBytes is the largest body held in memory: more than any posting of
-// the two deployments; larger ones are uploads, sent once as they come.
+// MaxBufferedBodyBytes is the maximum size of a body that is buffered in memory. It
+// is larger than any posting of the two deployments. Larger bodies are uploads,
+// which are streamed and sent once.
 const MaxBufferedBodyBytes = 64 << 10
 
-// ReadBody takes a request's body over. length is -1 where it is not known.
+// ReadBody buffers the body of a request. If the body exceeds MaxBufferedBodyBytes,
+// ReadBody returns a stream that continues to read from r. The length is -1 if it is
+// not known.
 func ReadBody(r io.Reader, length int64) (Body, error) {
 	if r == nil || length == 0 {
 		return Body{}, nil
 	}
-	held, err := io.ReadAll(io.LimitReader(r, MaxBufferedBodyBytes+1))
+	buffer, err := io.ReadAll(io.LimitReader(r, MaxBufferedBodyBytes+1))
 	if err != nil {
 		return Body{}, err
 	}
-	if len(held) <= MaxBufferedBodyBytes {
-		return Body{held: held, length: int64(len(held))}, nil
+	if len(buffer) <= MaxBufferedBodyBytes {
+		return Body{buffer: buffer, length: int64(len(buffer))}, nil
 	}
-	return Body{stream: io.MultiReader(bytes.NewReader(held), r), length: length}, nil
+	return Body{stream: io.MultiReader(bytes.NewReader(buffer), r), length: length}, nil
 }
 
-// Buffered tells whether the whole body is in memory.
+// Buffered reports whether the complete body is in memory.
 func (b *Body) Buffered() bool { return b.stream == nil }
 
-// Length is the body's size in bytes; -1 where a stream's is not known.
+// Length returns the size of the body in bytes, or -1 for a stream of unknown
+// length.
 func (b *Body) Length() int64 { return b.length }
 
-// CanSend tells whether the body can be sent (again).
-func (b *Body) CanSend() bool { return b.stream == nil || !b.used }
+// CanSend reports whether the body can be sent, or sent again.
+func (b *Body) CanSend() bool { return b.stream == nil || !b.consumed }
 
-// Reader returns the body for one dispatch, and its length.
+// Reader returns a reader of the body for one attempt, and the length of the body.
 func (b *Body) Reader() (io.Reader, int64) {
-	b.used = true
+	b.consumed = true
 	if b.stream != nil {
 		return b.stream, b.length
 	}
-	return bytes.NewReader(b.held), int64(len(b.held))
+	return bytes.NewReader(b.buffer), int64(len(b.buffer))
 }
 
-// SanitizeRequestHeaders removes from a caller's headers what must not reach an
-// upstream: its key, hop-by-hop headers, this system's own, and Expect, which
-// the listener has answered already.
+// SanitizeRequestHeaders removes the headers that must not be forwarded to an
+// upstream: the caller's key, hop-by-hop headers, headers of this system, and
+// Expect, which the listener has already handled.
 //
-// The key goes first and by name: a caller may list Authorization in
-// Connection, send it twice or in an odd case, and it is gone all the same.
+// The key is removed first and by name. It is removed even if a caller lists
+// Authorization in Connection, sends it twice or writes it in unusual case.
 func SanitizeRequestHeaders(h http.Header) {
 	h.Del("Authorization")
 	h.Del("Expect")
@@ -97,7 +103,7 @@
 	RemoveInternalHeaders(h)
 }
 
-// CopyEndToEndHeaders copies end-to-end headers.
+// CopyEndToEndHeaders copies all headers except hop-by-hop headers.
 func CopyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
@@ -105,38 +111,39 @@
 	h1.RemoveHopByHop(to)
 }
 
-// ownPrefix begins the names of this system's headers, in any case.
-const ownPrefix = "balsam-"
+// internalHeaderPrefix is the prefix of all headers of this system, in lower case.
+// Header names are case-insensitive.
+const internalHeaderPrefix = "balsam-"
 
-// RemoveInternalHeaders removes every header of this system's own, so that none that a
-// caller or an upstream wrote is believed.
+// RemoveInternalHeaders removes all headers of this system, so that headers forged
+// by a caller or an upstream have no effect.
 func RemoveInternalHeaders(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(strings.ToLower(name), ownPrefix) {
+		if strings.HasPrefix(strings.ToLower(name), internalHeaderPrefix) {
 			delete(h, name)
 		}
 	}
 }
 
-// Digest identifies the request: service, method, path, query and body. Two
-// requests with the same posting id must have the same digest. It is defined
-// for held bodies only.
+// Digest returns a digest of the service, method, path, query and body. Two requests
+// with the same posting id must have the same digest. Digest is defined only for
+// calls with a buffered body.
 func (c *Call) Digest() [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{c.Service, c.Method, c.Path, c.RawQuery} {
 		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
 	}
-	_, _ = h.Write(c.Body.held)
+	_, _ = h.Write(c.Body.buffer)
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// WithDeadline bounds a context by the call's deadline.
+// WithDeadline returns a context that ends at the deadline of the call.
 func (c *Call) WithDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, c.Deadline)
 }
 
-// NewRequest makes the call's request to base, a URL without the call's path. The
-// caller of it adds what the next hop needs.
+// NewRequest returns an HTTP request for the call. base is the URL without the path
+// of the call. Headers that the next hop needs are not set.
 func (c *Call) NewRequest(ctx context.Context, base string) (*http.Request, error) {
 	url := base + c.Path
 	if c.RawQuery != "" {
--- a/internal/wire/call_test.go
+++ b/internal/wire/call_test.go
@@ -14,13 +14,13 @@
 	"balsambarrow/internal/wire"
 )
 
-// A caller tries to get its key or a header of the system's own to a worker,
-// or to have the system's own headers removed on the way. Cookies and the
-// caller's other headers stay.
-func TestStripRequest(t *testing.T) {
+// A caller sends its key, headers of this system and hop-by-hop headers, some of
+// them in unusual case or listed in Connection. They must be removed. Cookies and
+// other headers of the caller must stay.
+func TestSanitizeRequestHeaders(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   http.Header
-		left []string
+		want []string
 	}{
 		"key":                      {http.Header{"Authorization": {"Bearer k", "Bearer l"}, "Cookie": {"a=b"}}, []string{"Cookie"}},
 		"key named in Connection":  {http.Header{"Authorization": {"Bearer k"}, "Connection": {"Authorization, close"}}, nil},
@@ -32,18 +32,18 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			wire.SanitizeRequestHeaders(c.in)
-			var left []string
+			var remaining []string
 			for h := range c.in {
-				left = append(left, h)
+				remaining = append(remaining, h)
 			}
-			g.Expect(left).To(Equal(c.left))
+			g.Expect(remaining).To(Equal(c.want))
 		})
 	}
 }
 
-// An upstream's answer breaks off after its first bytes. Whoever reads it must
-// see an error, whether its length was declared or not.
-func TestBrokenAnswerIsBrokenOff(t *testing.T) {
+// The response of an upstream is truncated after its first bytes. The reader must
+// get an error, whether the length was declared or not.
+func TestTruncatedResponseStaysTruncated(t *testing.T) {
 	for name, header := range map[string]http.Header{"length": {"Content-Length": {"9"}}, "chunks": {}} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -61,18 +61,18 @@
 	}
 }
 
-// Requests that differ in any part have different digests, also where the
-// parts run together to the same text.
-func TestDigestTellsRequestsApart(t *testing.T) {
+// Requests that differ in any part must have different digests, even if the
+// concatenation of their parts is the same.
+func TestDigestDependsOnAllParts(t *testing.T) {
 	g := NewWithT(t)
 	seen := map[[32]byte]bool{}
 	for _, parts := range [][4]string{
 		{"a", "POST", "/b", "q"}, {"a", "POST", "/bq", ""}, {"aP", "OST", "/b", "q"}, {"a", "PUT", "/b", "q"}, {"a", "POST", "/b", "r"},
 	} {
 		for _, body := range []string{"", "1", "2"} {
-			held, err := wire.ReadBody(strings.NewReader(body), int64(len(body)))
+			buffered, err := wire.ReadBody(strings.NewReader(body), int64(len(body)))
 			g.Expect(err).NotTo(HaveOccurred())
-			call := &wire.Call{Service: parts[0], Method: parts[1], Path: parts[2], RawQuery: parts[3], Body: held}
+			call := &wire.Call{Service: parts[0], Method: parts[1], Path: parts[2], RawQuery: parts[3], Body: buffered}
 			g.Expect(seen).NotTo(HaveKey(call.Digest()))
 			seen[call.Digest()] = true
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire holds the names that cross the callers' and relay listeners:
-// headers, outcomes and problem types. They are the contract with callers.
+// Package wire defines the HTTP interface of the callers' and relay listeners: its
+// headers, outcomes and problem types, which are the contract with callers, and the
+// calls and responses that daemons exchange.
 package wire
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Headers that callers see.
+// Headers that callers send or receive.
 const (
 	HeaderOutcome        = "Balsam-Outcome"
 	HeaderTimeoutMs      = "Balsam-Timeout-Ms"
@@ -17,82 +18,89 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// HeaderShed is what an upstream may set on a 503 to declare that nothing of
-// the request ran; the value is ShedNotRun. Without it a 503 proves nothing.
+// HeaderShed is the header by which an upstream declares in a 503 response that it
+// ran no part of the request. Its value is ShedNotRun. A 503 response without the
+// header does not prove that the request did not run.
 const (
 	HeaderShed = "Balsam-Shed"
 	ShedNotRun = "not-run"
 )
 
-// Headers between daemons, on the relay listener only. Whatever a caller
-// sends under these names is dropped.
+// Headers between daemons, used on the relay listener only. They are removed from
+// requests of callers.
 const (
-	// HeaderKeyDigest is the SHA-256 of the caller's key, never the key, so
-	// that the handler can refuse a key withdrawn meanwhile.
+	// HeaderKeyDigest is the SHA-256 digest of the caller's key. With it, the
+	// handler can reject a key that was revoked after authentication. The key
+	// itself is never sent.
 	HeaderKeyDigest = "Balsam-Key-Digest"
-	// HeaderRole says what the receiver is to do; see the Role constants.
+	// HeaderRole is the role of the receiver, one of the Role constants.
 	HeaderRole = "Balsam-Role"
-	// HeaderBudgetMs is what is left of the caller's budget when sent.
+	// HeaderBudgetMs is the remaining time budget of the caller at the time of
+	// sending.
 	HeaderBudgetMs = "Balsam-Budget-Ms"
-	// HeaderQueuedMs is how long an answered request waited at the handler.
-	// The entry host takes it out of the answer.
+	// HeaderQueuedMs is the queueing delay of the request at the handler. The
+	// entry host removes it from the response.
 	HeaderQueuedMs = "Balsam-Queued-Ms"
-	// HeaderFrom names the sending daemon's instance.
+	// HeaderFrom is the instance of the sending daemon.
 	HeaderFrom = "Balsam-From"
 )
 
-// Role of a relayed request's receiver.
+// Roles of the receiver of a relayed request.
 const (
-	// RoleHandle: run it on an upstream of the receiver's own zone.
+	// RoleHandle means that the receiver runs the request on an upstream of its
+	// own zone.
 	RoleHandle = "handle"
-	// RolePosting: the receiver's instance is named by the posting id; it
-	// admits and runs the request once.
+	// RolePosting means that the posting id names the receiver's instance,
+	// which admits the request and runs it once.
 	RolePosting = "posting"
 )
 
-// Outcome is what a caller may conclude about its request.
+// Outcome tells a caller whether its request ran.
 type Outcome string
 
 // Outcomes.
 const (
-	// OutcomeRan: an upstream ran it and this is its answer.
+	// OutcomeRan means that an upstream ran the request and returned the
+	// response.
 	OutcomeRan Outcome = "ran"
-	// OutcomeNotRun: no upstream has run any of it, nor will.
+	// OutcomeNotRun means that no upstream has run or will run any part of the
+	// request.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeMayHaveRun: an upstream may have run it.
+	// OutcomeMayHaveRun means that an upstream may have run the request.
 	OutcomeMayHaveRun Outcome = "may-have-run"
 )
 
-// Problem is a refusal in the form of RFC 9457.
+// Problem is an error response in the format of RFC 9457.
 type Problem struct {
 	Type   string `json:"type"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
-	// Outcome is OutcomeRan for TypeAnswerNotKept alone.
+	// Outcome is OutcomeRan only for TypeAnswerNotKept.
 	Outcome Outcome `json:"outcome"`
-	// RetryAfterMs is when coming back makes sense; 0: not known.
+	// RetryAfterMs is the time after which a retry can succeed; 0 if unknown.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
-	// PeerUnreachable: this daemon could not send the request to the peer at all.
-	// It does not travel: a peer's own problem never bears it.
+	// PeerUnreachable reports that this daemon could not send the request to
+	// the peer. It is not encoded, so the problem in a response of a peer never
+	// sets it.
 	PeerUnreachable bool `json:"-"`
 }
 
-// MergeEarlier returns p as the answer to a request that had met earlier problems.
-// A doubt stays: when a first attempt may have run, a second one that was
-// refused does not make the request not-run.
+// MergeEarlier returns the problem p of the latest attempt of a request, with the
+// outcome of all attempts. If an earlier attempt may have run, the request may have
+// run, even if the latest attempt was rejected.
 func (p *Problem) MergeEarlier(earlier *Problem) *Problem {
 	if earlier == nil || earlier.Outcome != OutcomeMayHaveRun || p.Outcome == OutcomeMayHaveRun {
 		return p
 	}
-	doubted := *p
-	doubted.Outcome = OutcomeMayHaveRun
-	return &doubted
+	merged := *p
+	merged.Outcome = OutcomeMayHaveRun
+	return &merged
 }
 
-// Error makes Problem an error, so that a refusal travels as one.
+// Error implements the error interface.
 func (p *Problem) Error() string { return p.Type + ": " + p.Detail }
 
-// Types of problem.
+// Problem types.
 const (
 	TypeBadRequest      = "bad-request"
 	TypeUnknownKey      = "unknown-key"
@@ -106,15 +114,17 @@
 	TypeOutcomeUnknown  = "outcome-unknown"
 	TypeStalePostingID  = "stale-posting-id"
 	TypeTooLarge        = "too-large"
-	// TypeUpstreamShed: an upstream answered 503.
+	// TypeUpstreamShed means that an upstream responded with status 503.
 	TypeUpstreamShed = "upstream-shed"
-	// TypePostingIDReused: the posting id came before with another request.
+	// TypePostingIDReused means that the posting id was used before with
+	// another request.
 	TypePostingIDReused = "posting-id-reused"
-	// TypeAnswerNotKept: the posting ran; its answer was too large to keep.
+	// TypeAnswerNotKept means that the posting ran and its response was too
+	// large to store.
 	TypeAnswerNotKept = "answer-not-kept"
 )
 
-var statusOf = map[string]int{
+var statusByType = map[string]int{
 	TypeBadRequest:      http.StatusBadRequest,
 	TypeUnknownKey:      http.StatusUnauthorized,
 	TypeForbidden:       http.StatusForbidden,
@@ -132,26 +142,26 @@
 	TypeAnswerNotKept:   http.StatusConflict,
 }
 
-// NotRunProblem returns a problem whose request has certainly not run.
-func NotRunProblem(kind, detail string, retryAfter time.Duration) *Problem {
+// NotRunProblem returns a problem for a request that has certainly not run.
+func NotRunProblem(problemType, detail string, retryAfter time.Duration) *Problem {
 	return &Problem{
-		Type: kind, Status: statusOf[kind], Detail: detail,
-		Outcome: OutcomeNotRun, RetryAfterMs: milliseconds(retryAfter),
+		Type: problemType, Status: statusByType[problemType], Detail: detail,
+		Outcome: OutcomeNotRun, RetryAfterMs: ceilMilliseconds(retryAfter),
 	}
 }
 
-// MayHaveRunProblem returns a problem whose request may have run.
-func MayHaveRunProblem(kind, detail string) *Problem {
-	return &Problem{Type: kind, Status: statusOf[kind], Detail: detail, Outcome: OutcomeMayHaveRun}
+// MayHaveRunProblem returns a problem for a request that may have run.
+func MayHaveRunProblem(problemType, detail string) *Problem {
+	return &Problem{Type: problemType, Status: statusByType[problemType], Detail: detail, Outcome: OutcomeMayHaveRun}
 }
 
-// milliseconds rounds up: a caller who comes back a fraction early is refused
-// a second time.
-func milliseconds(d time.Duration) int64 {
+// ceilMilliseconds converts d to milliseconds and rounds up, because a caller that
+// retries a fraction of a millisecond too early would be rejected again.
+func ceilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Write sends the problem as the answer.
+// Write writes the problem as the response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
