--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// maxProblemBytes bounds a peer's refusal.
+	// maxProblemBytes limits the size of a problem in a peer's response.
 	maxProblemBytes = 16 << 10
-	maxStatus       = 599
+	maxHTTPStatus   = 599
 )
 
 // ErrInvalidResponse reports a response of a peer that has no valid outcome.
 var ErrInvalidResponse = errors.New("relay: answer without outcome")
 
-// Client passes calls to other daemons. It is safe for concurrent use.
+// Client sends calls to other daemons. It is safe for concurrent use.
 type Client struct {
 	client *upstream.Client
 	scheme string
 	self   string
 }
 
-// NewClient returns a relay client that sends as instance self; scheme is
-// http or https.
+// NewClient returns a relay client that identifies itself as the instance self.
+// The scheme is http or https.
 func NewClient(client *upstream.Client, scheme, self string) *Client {
 	return &Client{client: client, scheme: scheme, self: self}
 }
 
-// Send passes a call to the relay listener at address, which acts by role.
-// The problem is the peer's own refusal, or says what may be concluded where
-// the peer did not answer.
+// Send sends a call to the relay listener at address, which handles it according
+// to role. The problem is the one that the peer returned. If the peer did not
+// respond, the problem tells whether the call may have run.
 func (c *Client) Send(ctx context.Context, address, role string, call *wire.Call) (*wire.Response, *wire.Problem) {
-	req, err := c.request(ctx, address, role, call)
+	req, err := c.newRequest(ctx, address, role, call)
 	if err != nil {
 		return nil, wire.NotRunProblem(wire.TypeBadRequest, err.Error(), 0)
 	}
-	resp, sent, err := c.client.Send(req) //nolint:bodyclose // the answer's reader closes it
+	resp, sent, err := c.client.Send(req) //nolint:bodyclose // the reader of the response closes it
 	if err != nil {
-		return nil, lost(ctx, sent, err)
+		return nil, noResponseProblem(ctx, sent, err)
 	}
 	if wire.Outcome(resp.Header.Get(wire.HeaderOutcome)) == wire.OutcomeRan {
 		return &wire.Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
@@ -55,7 +55,7 @@
 	return nil, readProblem(resp)
 }
 
-func (c *Client) request(ctx context.Context, address, role string, call *wire.Call) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, address, role string, call *wire.Call) (*http.Request, error) {
 	req, err := call.NewRequest(ctx, c.scheme+"://"+address+"/relay/"+call.Service)
 	if err != nil {
 		return nil, err
@@ -69,8 +69,8 @@
 	return req, nil
 }
 
-// lost tells what may be concluded from a peer that did not answer.
-func lost(ctx context.Context, sent bool, err error) *wire.Problem {
+// noResponseProblem returns the problem for a call to a peer that did not respond.
+func noResponseProblem(ctx context.Context, sent bool, err error) *wire.Problem {
 	if !sent {
 		p := wire.NotRunProblem(wire.TypeNoRoom, "peer unreachable", time.Second)
 		p.PeerUnreachable = true
@@ -86,17 +86,18 @@
 	defer func() { _ = resp.Body.Close() }()
 	p := &wire.Problem{}
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(p)
-	if err != nil || !believable(p) {
+	if err != nil || !isValidProblem(p) {
 		return wire.MayHaveRunProblem(wire.TypeUpstreamFailed, ErrInvalidResponse.Error())
 	}
 	return p
 }
 
-// believable tells whether a problem is one that a daemon writes. Anything
-// else proves nothing: passing on a not-run that nobody vouched for, or a
-// status that net/http panics on, would be worse than a doubt.
-func believable(p *wire.Problem) bool {
-	if p.Status < http.StatusBadRequest || p.Status > maxStatus || p.RetryAfterMs < 0 {
+// isValidProblem reports whether a daemon could have written the problem. Any
+// other response does not prove that the call did not run, so the client reports
+// may-have-run. Forwarding an unproven not-run, or a status on which net/http
+// panics, would be worse.
+func isValidProblem(p *wire.Problem) bool {
+	if p.Status < http.StatusBadRequest || p.Status > maxHTTPStatus || p.RetryAfterMs < 0 {
 		return false
 	}
 	return p.Outcome == wire.OutcomeNotRun || p.Outcome == wire.OutcomeMayHaveRun
--- a/internal/relay/linksim_test.go
+++ b/internal/relay/linksim_test.go
@@ -12,140 +12,141 @@
 	"balsambarrow/internal/quota"
 )
 
-// transfer is one answer on its way over the link.
-type transfer struct {
-	bits    float64
-	began   time.Duration
-	lookup  bool
-	handler int
+// linkTransfer is one response that is being sent over the link.
+type linkTransfer struct {
+	bits      float64
+	startedAt time.Duration
+	lookup    bool
+	handler   int
 }
 
-// linkSim sends reports and lookups' answers over one link, in steps of 1 ms.
+// linkSim simulates reports and responses to lookups on one link, in steps of 1 ms.
 type linkSim struct {
 	bitsPerSecond float64
 	reportBits    float64
-	// piece is what is taken from the quota at once; scaled with the link, so
-	// that a fast one costs the simulation no more than a slow one.
-	piece   float64
-	rng     *rand.Rand
-	waiting []*transfer
-	// queue is what the paced answers have put on the link and it has not
-	// carried yet, in bits.
-	queue    float64
-	lookups  []time.Duration
-	finished int
+	// chunkBits is the number of bits taken from the quota at once. It scales
+	// with the capacity of the link, so that a simulation of a fast link takes
+	// no longer than one of a slow link.
+	chunkBits float64
+	rng       *rand.Rand
+	pending   []*linkTransfer
+	// queuedBits is the number of bits of paced responses that were sent but
+	// not yet transmitted by the link.
+	queuedBits  float64
+	lookupTimes []time.Duration
+	finished    int
 }
 
 const (
-	linkStep   = time.Millisecond
-	lookupBits = 8 * 700
+	simulationStep = time.Millisecond
+	lookupBits     = 8 * 700
 
-	// reportLoad is the reports' demand over the link's capacity.
-	reportLoad = 1.2
-	// lookupsPerSecond cross the link beside them.
+	// reportLoadRatio is the demand of the reports divided by the link capacity.
+	reportLoadRatio = 1.2
+	// lookupsPerSecond is the rate of lookups on the same link.
 	lookupsPerSecond = 200
 )
 
-// run returns the p99 of the lookups and the most bits that were put on the
-// link in any second. buckets is nil for the baseline: everything is put on
-// the link at once and waits there in order.
-func (s *linkSim) run(length time.Duration, buckets []*quota.Bucket) (p99 time.Duration, most float64) {
+// run returns the 99th percentile of the lookup times and the maximum number of
+// bits sent in any second. For the baseline, buckets is nil: all responses are sent
+// at once and queue in order of arrival.
+func (s *linkSim) run(length time.Duration, buckets []*quota.Bucket) (p99 time.Duration, maxBitsPerSecond float64) {
 	start := time.Unix(0, 0)
-	second := 0.0
-	for now := time.Duration(0); now < length; now += linkStep {
+	bitsThisSecond := 0.0
+	for now := time.Duration(0); now < length; now += simulationStep {
 		if now%time.Second == 0 {
-			most, second = max(most, second), 0
+			maxBitsPerSecond, bitsThisSecond = max(maxBitsPerSecond, bitsThisSecond), 0
 		}
-		s.arrive(now, len(buckets))
+		s.addArrivals(now, len(buckets))
 		if buckets == nil {
-			s.first(now)
+			s.sendInOrder(now)
 			continue
 		}
-		put := s.paced(now, start.Add(now), buckets)
-		second += put
-		s.queue = max(0, s.queue+put-s.bitsPerSecond*linkStep.Seconds())
+		sentBits := s.sendPaced(now, start.Add(now), buckets)
+		bitsThisSecond += sentBits
+		s.queuedBits = max(0, s.queuedBits+sentBits-s.bitsPerSecond*simulationStep.Seconds())
 	}
-	slices.Sort(s.lookups)
-	return s.lookups[len(s.lookups)*99/100], most
+	slices.Sort(s.lookupTimes)
+	return s.lookupTimes[len(s.lookupTimes)*99/100], maxBitsPerSecond
 }
 
-func (s *linkSim) arrive(now time.Duration, handlers int) {
-	reports := reportLoad * s.bitsPerSecond / s.reportBits
+func (s *linkSim) addArrivals(now time.Duration, handlers int) {
+	reports := reportLoadRatio * s.bitsPerSecond / s.reportBits
 	for _, kind := range []struct {
 		perSecond, bits float64
 		lookup          bool
 	}{{reports, s.reportBits, false}, {lookupsPerSecond, lookupBits, true}} {
-		if s.rng.Float64() < kind.perSecond*linkStep.Seconds() {
-			s.waiting = append(s.waiting, &transfer{
-				bits: kind.bits, began: now, lookup: kind.lookup, handler: s.rng.IntN(max(handlers, 1)),
+		if s.rng.Float64() < kind.perSecond*simulationStep.Seconds() {
+			s.pending = append(s.pending, &linkTransfer{
+				bits: kind.bits, startedAt: now, lookup: kind.lookup, handler: s.rng.IntN(max(handlers, 1)),
 			})
 		}
 	}
 }
 
-// first carries in the order of arrival.
-func (s *linkSim) first(now time.Duration) {
-	room := s.bitsPerSecond * linkStep.Seconds()
-	for len(s.waiting) > 0 && room > 0 {
-		t := s.waiting[0]
-		part := min(room, t.bits)
-		t.bits -= part
-		room -= part
+// sendInOrder transmits pending responses in order of arrival.
+func (s *linkSim) sendInOrder(now time.Duration) {
+	capacity := s.bitsPerSecond * simulationStep.Seconds()
+	for len(s.pending) > 0 && capacity > 0 {
+		t := s.pending[0]
+		bits := min(capacity, t.bits)
+		t.bits -= bits
+		capacity -= bits
 		if t.bits <= 0 {
-			s.end(t, now)
-			s.waiting = s.waiting[1:]
+			s.finish(t, now)
+			s.pending = s.pending[1:]
 		}
 	}
 }
 
-// paced lets answers take pieces from their handler's share of the link's
-// quota, in no order, as goroutines that wake from a wait do.
-func (s *linkSim) paced(now time.Duration, at time.Time, buckets []*quota.Bucket) float64 {
-	put := 0.0
-	s.rng.Shuffle(len(s.waiting), func(i, j int) { s.waiting[i], s.waiting[j] = s.waiting[j], s.waiting[i] })
-	for again := true; again; {
-		again = false
-		for _, t := range s.waiting {
-			part := min(t.bits, s.piece)
-			if part <= 0 {
+// sendPaced lets pending responses take tokens for chunks from their handler's
+// share of the link quota. The order is random, like that of goroutines that wake
+// up.
+func (s *linkSim) sendPaced(now time.Duration, at time.Time, buckets []*quota.Bucket) float64 {
+	sentBits := 0.0
+	s.rng.Shuffle(len(s.pending), func(i, j int) { s.pending[i], s.pending[j] = s.pending[j], s.pending[i] })
+	for progress := true; progress; {
+		progress = false
+		for _, t := range s.pending {
+			bits := min(t.bits, s.chunkBits)
+			if bits <= 0 {
 				continue
 			}
-			if ok, _ := buckets[t.handler].Take(part, at); ok {
-				t.bits -= part
-				put += part
-				again = true
+			if ok, _ := buckets[t.handler].Take(bits, at); ok {
+				t.bits -= bits
+				sentBits += bits
+				progress = true
 			}
 		}
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(t *transfer) bool {
+	s.pending = slices.DeleteFunc(s.pending, func(t *linkTransfer) bool {
 		if t.bits <= 0 {
-			s.end(t, now)
+			s.finish(t, now)
 		}
 		return t.bits <= 0
 	})
-	return put
+	return sentBits
 }
 
-// end notes a lookup's time, with what still waits on the link before it.
-func (s *linkSim) end(t *transfer, now time.Duration) {
+// finish records the time of a lookup, including the queueing delay on the link.
+func (s *linkSim) finish(t *linkTransfer, now time.Duration) {
 	s.finished++
 	if t.lookup {
-		behind := time.Duration(s.queue / s.bitsPerSecond * float64(time.Second))
-		s.lookups = append(s.lookups, now-t.began+behind)
+		queueingDelay := time.Duration(s.queuedBits / s.bitsPerSecond * float64(time.Second))
+		s.lookupTimes = append(s.lookupTimes, now-t.startedAt+queueingDelay)
 	}
 }
 
-// Load pattern: reports ask for 1.2 times what the link between two regions
-// carries, the night before a county meeting, and lookups cross it too. What a
-// farmer sees without pacing: lookups that take longer and longer, since each
-// waits behind all the reports' bytes on the link.
-func TestLookupsCrossALinkFullOfReports(t *testing.T) {
+// Reports between two regions need 1.2 times the capacity of the link, and lookups
+// use the same link. Without pacing, lookups take longer and longer, because each
+// lookup is queued behind all bytes of the reports.
+func TestPacingLimitsLookupLatency(t *testing.T) {
 	for name, bits := range map[string]float64{"cooperative": 280e6, "association": 4000e6} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			result := map[string]time.Duration{}
-			for _, policy := range []string{"first come", "paced"} {
-				sim := &linkSim{bitsPerSecond: bits, reportBits: 0.06 * bits, piece: bits / 280e6 * 8 * 1024, rng: rand.New(rand.NewPCG(20261202, 2))}
+			for _, policy := range []string{"unpaced", "paced"} {
+				sim := &linkSim{bitsPerSecond: bits, reportBits: 0.06 * bits, chunkBits: bits / 280e6 * 8 * 1024, rng: rand.New(rand.NewPCG(20261202, 2))}
 				var buckets []*quota.Bucket
 				if policy == "paced" {
 					c := &config.Config{
@@ -157,13 +158,13 @@
 						buckets = append(buckets, quota.NewBucket(q.Rate/2, q.Burst/2, 0, time.Unix(0, 0)))
 					}
 				}
-				p99, most := sim.run(8*time.Second, buckets)
+				p99, maxBitsPerSecond := sim.run(8*time.Second, buckets)
 				result[policy] = p99
-				t.Logf("%-12s %-10s lookup p99 %v, most put on the link in a second %.0f of %.0f Mbit, %d answers",
-					name, policy, p99, most/1e6, bits/1e6, sim.finished)
-				g.Expect(most).To(BeNumerically("<=", bits))
+				t.Logf("%-12s %-10s lookup p99 %v, at most %.0f of %.0f Mbit sent in a second, %d responses",
+					name, policy, p99, maxBitsPerSecond/1e6, bits/1e6, sim.finished)
+				g.Expect(maxBitsPerSecond).To(BeNumerically("<=", bits))
 			}
-			g.Expect(result["paced"]).To(BeNumerically("<", result["first come"]/20))
+			g.Expect(result["paced"]).To(BeNumerically("<", result["unpaced"]/20))
 		})
 	}
 }
--- a/internal/relay/pace_test.go
+++ b/internal/relay/pace_test.go
@@ -13,21 +13,21 @@
 	"balsambarrow/internal/relay"
 )
 
-// fakeLink admits so many bits and then none.
-type fakeLink struct{ left, taken float64 }
+// fakeTokenTaker grants a fixed number of tokens.
+type fakeTokenTaker struct{ remaining, taken float64 }
 
-func (l *fakeLink) Take(_ string, cost float64, _ time.Time) (bool, time.Duration) {
-	if cost > l.left {
+func (l *fakeTokenTaker) Take(_ string, cost float64, _ time.Time) (bool, time.Duration) {
+	if cost > l.remaining {
 		return false, time.Millisecond
 	}
-	l.left -= cost
+	l.remaining -= cost
 	l.taken += cost
 	return true, 0
 }
 
-func TestPaceCountsEveryBit(t *testing.T) {
+func TestPacedBodyTakesTokensForEveryBit(t *testing.T) {
 	g := NewWithT(t)
-	link := &fakeLink{left: 1e9}
+	link := &fakeTokenTaker{remaining: 1e9}
 	body := relay.NewPacedBody(context.Background(), io.NopCloser(bytes.NewReader(make([]byte, 5000))), link, "link/a/b")
 	got, err := io.ReadAll(body)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -35,12 +35,12 @@
 	g.Expect(link.taken).To(Equal(40000.0))
 }
 
-// A report crosses a link that is full until the caller's deadline. The caller
-// must receive a broken answer, and no byte beyond the link's quota may leave.
-func TestPaceBreaksOffAtTheDeadline(t *testing.T) {
+// The link quota has no tokens left until the caller's deadline. The caller must
+// receive a truncated response, and no byte beyond the quota may be sent.
+func TestPacedBodyFailsAtDeadline(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	link := &fakeLink{left: 8 * 1024}
+	link := &fakeTokenTaker{remaining: 8 * 1024}
 	body := relay.NewPacedBody(ctx, io.NopCloser(bytes.NewReader(make([]byte, 5000))), link, "link/a/b")
 	cancel()
 	got, err := io.ReadAll(body)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -19,16 +19,16 @@
 	"balsambarrow/internal/wire"
 )
 
-// runner answers with what it was given, and remembers the call.
-type runner struct {
-	call    *wire.Call
-	answer  *wire.Response
-	problem *wire.Problem
+// fakeRunner records the call and returns a fixed response or problem.
+type fakeRunner struct {
+	call     *wire.Call
+	response *wire.Response
+	problem  *wire.Problem
 }
 
-func (r *runner) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
+func (r *fakeRunner) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	r.call = call
-	return r.answer, r.problem
+	return r.response, r.problem
 }
 
 func serve(t *testing.T, h http.Handler) (address string) {
@@ -49,11 +49,11 @@
 	return relay.NewClient(client, "http", "vt-1").Send(context.Background(), address, wire.RolePosting, call)
 }
 
-// A posting crosses the relay: the receiver must get the same request for the
-// same customer, and the sender the receiver's own refusal word for word.
-func TestCallAndRefusalCrossUnchanged(t *testing.T) {
+// A posting is relayed. The receiver must get the same request with the same
+// customer, and the sender must get the receiver's problem unchanged.
+func TestCallAndRejectionArriveUnchanged(t *testing.T) {
 	g := NewWithT(t)
-	r := &runner{problem: wire.NotRunProblem(wire.TypeOverRate, "later", 1500*time.Millisecond)}
+	r := &fakeRunner{problem: wire.NotRunProblem(wire.TypeOverRate, "later", 1500*time.Millisecond)}
 	address := serve(t, &relay.Server{PostingRunner: r, MaxBodyBytes: 1 << 20})
 	_, problem := sendTo(t, address)
 	g.Expect(problem).To(Equal(r.problem))
@@ -63,18 +63,19 @@
 	g.Expect(r.call.Header).NotTo(HaveKey(wire.HeaderCustomer))
 }
 
-// Something that is not a daemon of this version answers at a peer's address.
-// Whatever it says, the request was sent, so it may have run.
-func TestWhatProvesNothing(t *testing.T) {
+// A server that is not a daemon of this version responds at a peer's address. The
+// request was sent, so the problem must be may-have-run for any response that is
+// not a valid problem.
+func TestInvalidResponsesMayHaveRun(t *testing.T) {
 	for name, body := range map[string]string{
-		"no problem":     `hello`,
-		"no outcome":     `{"type":"no-room","status":503}`,
-		"odd outcome":    `{"type":"no-room","status":503,"outcome":"never"}`,
-		"ran as problem": `{"type":"x","status":503,"outcome":"ran"}`,
-		"odd status":     `{"type":"no-room","status":7,"outcome":"not-run"}`,
-		"unreached":      `{"type":"no-room","status":7,"outcome":"not-run","PeerUnreachable":true}`,
-		"cut":            `{"type":"no-room","status":503,"outcome":"not-r`,
-		"too long":       strings.Repeat(" ", 20<<10) + `{"type":"no-room","status":503,"outcome":"not-run"}`,
+		"no problem":       `hello`,
+		"no outcome":       `{"type":"no-room","status":503}`,
+		"unknown outcome":  `{"type":"no-room","status":503,"outcome":"never"}`,
+		"ran as problem":   `{"type":"x","status":503,"outcome":"ran"}`,
+		"invalid status":   `{"type":"no-room","status":7,"outcome":"not-run"}`,
+		"peer unreachable": `{"type":"no-room","status":7,"outcome":"not-run","PeerUnreachable":true}`,
+		"truncated":        `{"type":"no-room","status":503,"outcome":"not-r`,
+		"too long":         strings.Repeat(" ", 20<<10) + `{"type":"no-room","status":503,"outcome":"not-run"}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -89,11 +90,11 @@
 	}
 }
 
-// A peer is paused in the middle of a body. The receiver must give up at the
-// caller's deadline and not run the part.
-func TestPausedPeerIsGivenUp(t *testing.T) {
+// A peer is paused while it sends a body. The receiver must reject the request at
+// the caller's deadline and must not run it with the incomplete body.
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	g := NewWithT(t)
-	r := &runner{}
+	r := &fakeRunner{}
 	address := serve(t, &relay.Server{HandleRunner: r, MaxBodyBytes: 1 << 20})
 	conn, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -107,11 +108,11 @@
 	g.Expect(r.call).To(BeNil())
 }
 
-// untilDeadline waits until a call's context ends, unless its path is /live:
-// then it answers how the context is.
-type untilDeadline struct{}
+// deadlineRunner waits until the context of a call ends. For the path /live, it
+// responds immediately, with a problem if the context has already ended.
+type deadlineRunner struct{}
 
-func (untilDeadline) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
+func (deadlineRunner) Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	if call.Path != "/live" {
 		<-ctx.Done()
 		return nil, wire.NotRunProblem(wire.TypeDeadline, "no room", 0)
@@ -122,21 +123,21 @@
 	return &wire.Response{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody}, nil
 }
 
-// A call waits at its handler until its deadline and is refused; the next one
-// comes on the same connection. A farmer was told at once that there was no
-// room before the deadline, again and again, though there was room: the first
-// call's bound on reading had ended the connection's context.
-func TestDeadlineDoesNotSpoilTheConnection(t *testing.T) {
-	for name, body := range map[string]string{"no body": "", "body": "whole"} {
+// A call waits at its handler until its deadline and is rejected, and the next call
+// arrives on the same connection. The read deadline of the first call must not
+// cancel the context of the connection. If it does, later calls are immediately
+// rejected for lack of room before the deadline, although there is room.
+func TestConnectionIsReusableAfterDeadline(t *testing.T) {
+	for name, body := range map[string]string{"no body": "", "body": "complete"} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			address := serve(t, &relay.Server{HandleRunner: untilDeadline{}, MaxBodyBytes: 1 << 20})
+			address := serve(t, &relay.Server{HandleRunner: deadlineRunner{}, MaxBodyBytes: 1 << 20})
 			conn, err := net.Dial("tcp", address)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = conn.Close() }()
 			_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 			reader := bufio.NewReader(conn)
-			ask := func(path string, budgetMs int) *http.Response {
+			request := func(path string, budgetMs int) *http.Response {
 				_, err := fmt.Fprintf(conn, "POST /relay/posting/%s HTTP/1.1\r\nHost: x\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
 					path, wire.HeaderBudgetMs, budgetMs, len(body), body)
 				g.Expect(err).NotTo(HaveOccurred())
@@ -147,10 +148,10 @@
 				return resp
 			}
 			for range 20 {
-				late := ask("late", 5)
-				g.Expect(late.StatusCode).To(Equal(http.StatusGatewayTimeout))
-				g.Expect(late.Close).To(BeFalse(), "the connection is to be used again")
-				g.Expect(ask("live", 20_000).StatusCode).To(Equal(http.StatusOK))
+				expired := request("late", 5)
+				g.Expect(expired.StatusCode).To(Equal(http.StatusGatewayTimeout))
+				g.Expect(expired.Close).To(BeFalse(), "the connection must stay reusable")
+				g.Expect(request("live", 20_000).StatusCode).To(Equal(http.StatusOK))
 			}
 		})
 	}
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -12,24 +12,25 @@
 	"balsambarrow/internal/wire"
 )
 
-// maxBudget bounds what a peer may claim to be left of a caller's budget.
+// maxBudget limits the remaining time budget that a peer may send.
 const maxBudget = time.Hour
 
-// Runner runs a call here and now.
+// Runner runs calls on this daemon.
 type Runner interface {
 	Run(ctx context.Context, call *wire.Call) (*wire.Response, *wire.Problem)
 }
 
-// Server answers other daemons' calls.
+// Server serves the calls of other daemons.
 type Server struct {
-	// HandleRunner runs a call on an upstream of this daemon's zone.
+	// HandleRunner runs calls on the upstreams of this daemon's zone.
 	HandleRunner Runner
-	// PostingRunner runs a call whose posting id names this instance.
+	// PostingRunner runs calls whose posting id names this instance.
 	PostingRunner Runner
-	// MaxBodyBytes bounds a body; it is the callers' bound.
+	// MaxBodyBytes limits the size of a request body. It is the same limit as
+	// for callers.
 	MaxBodyBytes int64
-	// PaceResponse bounds an answer's body on its way to the daemon that asked; nil
-	// bounds nothing.
+	// PaceResponse limits the rate of a response body that is sent to the
+	// instance from. There is no limit if it is nil.
 	PaceResponse func(ctx context.Context, from string, body io.ReadCloser) io.ReadCloser
 }
 
@@ -46,31 +47,31 @@
 	if r.Header.Get(wire.HeaderRole) == wire.RolePosting {
 		runner = s.PostingRunner
 	}
-	answer, problem := runner.Run(ctx, call)
+	response, problem := runner.Run(ctx, call)
 	if problem != nil {
 		problem.Write(w)
 		return
 	}
 	if s.PaceResponse != nil {
-		answer.Body = s.PaceResponse(ctx, r.Header.Get(wire.HeaderFrom), answer.Body)
+		response.Body = s.PaceResponse(ctx, r.Header.Get(wire.HeaderFrom), response.Body)
 	}
-	answer.Write(w)
+	response.Write(w)
 }
 
-// boundBody gives a request's body until deadline to arrive.
+// setBodyDeadline sets a read deadline for the body of a request.
 //
-// A peer that is paused in the middle of a body would hold this goroutine for
-// as long as its connection stands; it shows as a growing number of them. Past
-// the deadline nobody waits for the call any more.
+// Without the deadline, a peer that is paused while it sends a body would hold the
+// goroutine of the request as long as the connection is open, and the number of
+// goroutines would grow. After the deadline, no one waits for the call.
 //
-// A request without a body gets no bound: net/http already reads ahead on its
-// connection, to notice that the peer hangs up, and would take the bound's end
-// for that. It shows as calls that are refused at once, not-run, because they
-// came on a connection on which an earlier one had met its deadline: net/http
-// keeps such a connection, with a context that has ended. Where there is a
-// body, it lifts the bound at the body's end, before it reads ahead, and closes
-// a connection whose body did not come in time.
-func boundBody(w http.ResponseWriter, r *http.Request, deadline time.Time) {
+// A request without a body gets no read deadline. In that case net/http already
+// reads from the connection in the background to detect that the peer closes it,
+// and treats an expired read deadline as a closed connection. It then keeps the
+// connection with a canceled context, so later calls on the same connection are
+// immediately rejected as not-run. For a request with a body, net/http clears the
+// deadline at the end of the body, before the background read, and closes a
+// connection whose body did not arrive in time.
+func setBodyDeadline(w http.ResponseWriter, r *http.Request, deadline time.Time) {
 	if r.Body == http.NoBody {
 		return
 	}
@@ -87,7 +88,7 @@
 		return nil, wire.NotRunProblem(wire.TypeDeadline, "budget spent before the handler", 0)
 	}
 	deadline := time.Now().Add(time.Duration(min(budget, maxBudget.Milliseconds())) * time.Millisecond)
-	boundBody(w, r, deadline)
+	setBodyDeadline(w, r, deadline)
 	body, err := wire.ReadBody(http.MaxBytesReader(w, r.Body, s.MaxBodyBytes), r.ContentLength)
 	if err != nil {
 		return nil, wire.NotRunProblem(wire.TypeBadRequest, "relay: body broke off or is too large", 0)
