--- a/internal/entry/posting.go
+++ b/internal/entry/posting.go
@@ -16,8 +16,8 @@
 )
 
 // runPosting runs a call with a posting id. The call runs here if the id names
-// this instance, and otherwise at the named instance. If that instance is gone,
-// the call does not run.
+// this instance, and otherwise at the named instance. If that instance no longer
+// exists, the call does not run.
 func (s *Server) runPosting(ctx context.Context, call *wire.Call, header string) (*wire.Response, *wire.Problem) {
 	id, err := posting.ParseID(header)
 	if err != nil {
@@ -70,7 +70,7 @@
 
 // unknownOutcomeProblem returns a problem with outcome may-have-run. This outcome
 // applies even if the current attempt was not sent, because an earlier attempt
-// with the same id may have run at the instance that is gone.
+// with the same id may have run at the named instance before it stopped.
 func unknownOutcomeProblem(detail string) *wire.Problem {
 	return wire.MayHaveRunProblem(wire.TypeOutcomeUnknown, detail)
 }
--- a/internal/posting/doc.go
+++ b/internal/posting/doc.go
@@ -3,8 +3,8 @@
 // consists of a prefix that one daemon instance issued and a suffix that the
 // caller chose. Only the instance named in the prefix runs the posting, once,
 // and it stores the outcome. All other daemons relay the request to that
-// instance. If the instance is gone, they respond with outcome-unknown; the
-// posting never runs a second time.
+// instance. If the instance no longer exists, they respond with outcome-unknown;
+// the posting never runs a second time.
 //
 // The package solves the problem of callers that retry at any host, at any
 // time, or many times concurrently: without it, a lost response becomes a lost
--- a/internal/posting/records.go
+++ b/internal/posting/records.go
@@ -109,7 +109,8 @@
 // one. This instance never runs a posting of the stopped instance.
 type importedRecords struct {
 	instanceRecords
-	importedAt    time.Time
+	importedAt time.Time
+	// importedEpoch is the epoch of the stopped instance at importedAt.
 	importedEpoch uint64
 }
 
