--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -15,28 +15,30 @@
 	"balsambarrow/internal/view"
 )
 
-// Timing of quotas.
+// Timing and limits of quotas.
 const (
-	// planInterval is the time between plans of every quota in use; a taker that
-	// waits wakes the planner at once.
+	// planInterval is the time between two plans of every quota in use. A
+	// request that waits for tokens of a quota wakes the planner at once.
 	planInterval     = 50 * time.Millisecond
 	dropIdleInterval = 10 * time.Second
-	// loanStreamIdleTimeout closes a stream to a lender that was not asked for so long.
+	// loanStreamIdleTimeout is the idle time after which a stream to a lender
+	// is closed.
 	loanStreamIdleTimeout = 10 * time.Second
-	// maxQueuedRequests bounds the asks that wait for a stream; more are dropped,
-	// as a network would.
+	// maxQueuedRequests limits the loan requests that wait for a stream.
+	// Further requests fail at once, as if the network had lost them.
 	maxQueuedRequests = 256
 )
 
-// quotaState is the control thread's part for quotas.
+// quotaState is the control thread's state for quotas.
 type quotaState struct {
 	partitions quota.SplitVersions
-	// transferredAt are the slots that came with their tokens, by the time since
-	// which they are held.
+	// transferredAt maps each slot that was transferred together with its
+	// tokens to the time since which this daemon holds it.
 	transferredAt map[int]time.Time
 	shape         *quota.HeldSlots
 	demandScores  map[string]float64
-	// partitionByQuota keeps the cuts of partitionVersion.
+	// partitionByQuota caches the partition of each quota over the slots, for
+	// the configuration version partitionVersion.
 	partitionByQuota map[string]quota.Split
 	partitionVersion uint64
 	nextScoreAt      time.Time
@@ -45,26 +47,28 @@
 
 func newQuotaState() quotaState { return quotaState{transferredAt: map[int]time.Time{}} }
 
-// publishShares sets the ledger to the usable slots and the versions in force.
+// publishShares sets the slots that the ledger may use and the configuration
+// versions in force.
 func (c *control) publishShares(snap *view.Snapshot, now time.Time) {
 	members := append([]membership.Member{snap.Self}, snap.Members...)
 	shape := &quota.HeldSlots{
 		Zone:     snap.Self.Zone,
-		Slots:    c.spendableSlots(snap.Self.Held, now),
+		Slots:    c.spendableSlots(snap.Self.HeldSlots, now),
 		Versions: c.quota.partitions.Observe(snap.Config, members, now),
 	}
-	if old := c.quota.shape; old != nil && slices.Equal(old.Slots, shape.Slots) && slices.Equal(old.Versions, shape.Versions) {
+	if previous := c.quota.shape; previous != nil && slices.Equal(previous.Slots, shape.Slots) && slices.Equal(previous.Versions, shape.Versions) {
 		return
 	}
 	c.quota.shape = shape
 	c.d.ledger.SetHeldSlots(shape, now)
 }
 
-// spendableSlots returns the slots that may be spent from. A slot comes with the
-// loans that its earlier holder made of it; while they run, the borrowers and
-// this daemon together would exceed the quota. A slot that came with tokens is
+// spendableSlots returns the slots whose tokens may be spent. The previous
+// holder of a slot may have lent its share. Until those loans have ended, the
+// borrowers and this daemon could together exceed the quota, so a slot stays
+// unused for quota.Quarantine. A slot that was transferred together with its
 // free of loans: see quota.Ledger.ReleaseLevels.
-func (c *control) spendableSlots(held []membership.Holding, now time.Time) []int {
+func (c *control) spendableSlots(held []membership.HeldSlot, now time.Time) []int {
 	var out []int
 	for _, h := range held {
 		if len(c.slots.pendingLevels[h.Slot].levels) > 0 {
@@ -87,7 +91,7 @@
 		c.d.ledger.DropIdle(now)
 	}
 	if !now.Before(c.quota.nextScoreAt) || c.state == membership.StateLeaving {
-		c.quota.nextScoreAt = now.Add(membership.BeatEvery)
+		c.quota.nextScoreAt = now.Add(membership.HeartbeatInterval)
 		c.updateDemandScores(now)
 	}
 	members := c.members.table.Live(now)
@@ -96,9 +100,10 @@
 	}
 }
 
-// updateDemandScores sets what the next heartbeats tell of demand. This daemon's own
-// election uses the same numbers: with fresher ones of its own, every daemon
-// would take itself for the hub as long as demand grows everywhere.
+// updateDemandScores sets the demand that the next heartbeats report. This
+// daemon's own election of the hub uses the same numbers. If it used newer
+// numbers for itself than for the others, every daemon would elect itself while
+// demand grows everywhere.
 func (c *control) updateDemandScores(now time.Time) {
 	scores := map[string]float64{}
 	for _, name := range c.d.ledger.Names() {
@@ -110,13 +115,14 @@
 	c.quota.demandScores = scores
 }
 
-// situation finds the hub, the lenders and the fleet's demand of a quota. A
-// leaving daemon tells no demand (see updateDemandScores), so it is not elected.
+// situation returns the hub, the lenders and the fleet's demand of a quota. A
+// leaving daemon reports no demand (see updateDemandScores), so it is not
+// elected.
 //
-// The failure it guards against: the share of a leaving daemon is lent to the
-// hub until the loan's term has passed, and callers that keep a connection go on
-// asking the leaving daemon. Without a hub to take tokens from, it refused them
-// after MaxWait although they were inside their rate.
+// A leaving daemon still needs a hub to take tokens from. Its share stays lent
+// to the hub until the term of the loan has ended, while callers that keep a
+// connection go on sending to it. Without a hub the leaving daemon would reject
+// their requests after MaxWait, although the callers are within their rate.
 func (c *control) situation(name string, members []membership.Member) quota.FleetState {
 	s := quota.FleetState{Self: c.d.identity.Instance, Leaving: c.state == membership.StateLeaving}
 	partition := c.quota.partition(c.activeConfig(), name)
@@ -125,8 +131,8 @@
 		if partition.HasShare(m.Zone, m.Slots) {
 			s.LoanSources = append(s.LoanSources, m.Instance)
 		}
-		// A leaving daemon gives its loans back: whoever went on asking it
-		// for tokens would wait in vain.
+		// A leaving daemon ends its loans. A daemon that went on requesting
+		// tokens from it would wait for tokens that never arrive.
 		if m.State == membership.StateReady {
 			scores = append(scores, quota.Score{Instance: m.Instance, Value: m.Demand[name]})
 		}
@@ -147,7 +153,8 @@
 	return partition
 }
 
-// runBorrower plans at every tick, and a quota that a taker waits for at once.
+// runBorrower plans every quota at each interval, and plans a quota at once
+// when a request waits for its tokens.
 func (d *Daemon) runBorrower(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -166,14 +173,14 @@
 	}
 }
 
-// lenders are the streams to peers that this daemon borrows from.
+// loanSources manages the streams to the peers that this daemon borrows from.
 type loanSources struct {
 	d       *Daemon
 	mu      sync.Mutex
 	streams map[string]*loanStream
 }
 
-// loanStream is one stream to a lender.
+// loanStream is a stream to one lender.
 type loanStream struct {
 	requests chan quota.OutgoingRequest
 }
@@ -196,7 +203,7 @@
 	if s == nil {
 		s = &loanStream{requests: make(chan quota.OutgoingRequest, maxQueuedRequests)}
 		l.streams[outgoing.To] = s
-		l.d.spawn(func(context.Context) { l.run(ctx, outgoing.To, m.Peers, s) })
+		l.d.spawn(func(context.Context) { l.run(ctx, outgoing.To, m.PeerAddress, s) })
 	}
 	select {
 	case s.requests <- outgoing:
@@ -205,14 +212,14 @@
 	}
 }
 
-// run carries asks over one stream until it breaks or is idle.
+// run forwards loan requests over one stream until the stream fails or is idle.
 func (l *loanSources) run(ctx context.Context, to, address string, s *loanStream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	pending := &pendingRequests{bySequence: map[uint64]quota.OutgoingRequest{}}
 	err := l.forward(ctx, address, s, pending)
 	if err != nil && ctx.Err() == nil {
-		l.d.log.Debug("lend_stream_failed", "peer", to, "err", err)
+		l.d.log.Debug("loan_stream_failed", "peer", to, "err", err)
 	}
 	l.mu.Lock()
 	delete(l.streams, to)
@@ -227,7 +234,7 @@
 }
 
 func (l *loanSources) forward(ctx context.Context, address string, s *loanStream, pending *pendingRequests) error {
-	stream, err := peer.NewDRPCQuotaClient(l.d.conns.To(ctx, address)).Lend(ctx)
+	stream, err := peer.NewDRPCQuotaClient(l.d.conns.Conn(ctx, address)).Lend(ctx)
 	if err != nil {
 		return err
 	}
@@ -265,47 +272,49 @@
 	}
 }
 
-// pendingRequests are the asks of one stream that have not been answered.
+// pendingRequests contains the requests of one stream that have no response
+// yet.
 type pendingRequests struct {
 	mu           sync.Mutex
 	lastSequence uint64
 	bySequence   map[uint64]quota.OutgoingRequest
 }
 
-func (w *pendingRequests) add(outgoing quota.OutgoingRequest) uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastSequence++
-	w.bySequence[w.lastSequence] = outgoing
-	return w.lastSequence
+func (p *pendingRequests) add(outgoing quota.OutgoingRequest) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastSequence++
+	p.bySequence[p.lastSequence] = outgoing
+	return p.lastSequence
 }
 
-func (w *pendingRequests) remove(sequence uint64) (quota.OutgoingRequest, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	outgoing, ok := w.bySequence[sequence]
-	delete(w.bySequence, sequence)
+func (p *pendingRequests) remove(sequence uint64) (quota.OutgoingRequest, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	outgoing, ok := p.bySequence[sequence]
+	delete(p.bySequence, sequence)
 	return outgoing, ok
 }
 
-func (w *pendingRequests) removeAll() []quota.OutgoingRequest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *pendingRequests) removeAll() []quota.OutgoingRequest {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var all []quota.OutgoingRequest
-	for _, outgoing := range w.bySequence {
+	for _, outgoing := range p.bySequence {
 		all = append(all, outgoing)
 	}
-	clear(w.bySequence)
+	clear(p.bySequence)
 	return all
 }
 
-// Lend answers a peer that borrows; it implements peer.DRPCQuotaServer.
+// Lend responds to the loan requests of a peer. It implements
+// peer.DRPCQuotaServer.
 func (d *Daemon) Lend(stream peer.DRPCQuota_LendStream) error {
 	responder := &loanResponder{stream: stream}
 	for {
 		in, err := stream.Recv()
 		if err != nil {
-			return errors.Wrap(err, "lend")
+			return errors.Wrap(err, "daemon: receive a loan request")
 		}
 		request := borrowRequestFromWire(in)
 		grant, ticket := d.ledger.Lend(request, time.Now())
@@ -322,7 +331,7 @@
 	}
 }
 
-// loanResponder sends replies on one stream, one at a time.
+// loanResponder sends the responses on one stream, one at a time.
 type loanResponder struct {
 	mu     sync.Mutex
 	stream peer.DRPCQuota_LendStream
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -12,14 +12,15 @@
 	"balsambarrow/internal/wire"
 )
 
-// tlsRefreshInterval is how often the TLS files are read: a withdrawn authority
-// counts within seconds, for the price of three small reads.
+// tlsRefreshInterval is the time between two reads of the TLS files. A
+// withdrawn certificate authority takes effect within seconds, at the cost of
+// three small reads.
 const tlsRefreshInterval = 2 * time.Second
 
-// fleetTLS protects the peers and relay listeners. The relay listener believes
-// what it is told about customer and key, since the sender has checked it:
-// mutual TLS is what makes sure that the sender is a daemon of the fleet.
-// Without it (settings: tls.plain) whoever reaches the port is believed.
+// fleetTLS protects the peers and relay listeners. The relay listener trusts
+// the customer and key in a request, because the sender has checked them.
+// Mutual TLS ensures that the sender is a daemon of the fleet. Without TLS
+// (settings: tls.plain), every client that can reach the port is trusted.
 type fleetTLS struct {
 	source *tlsfiles.Source
 }
@@ -32,37 +33,39 @@
 	return fleetTLS{source: source}, err
 }
 
-// scheme of URLs of relay listeners.
-func (s fleetTLS) scheme() string {
-	if s.source == nil {
+// scheme returns the URL scheme of relay listeners.
+func (t fleetTLS) scheme() string {
+	if t.source == nil {
 		return "http"
 	}
 	return "https"
 }
 
-// clientConfig returns the configuration of new connections; nil means plain TCP.
-func (s fleetTLS) clientConfig() func() *tls.Config {
-	if s.source == nil {
+// clientConfig returns a function that provides the TLS configuration of new
+// connections, or nil for plain TCP.
+func (t fleetTLS) clientConfig() func() *tls.Config {
+	if t.source == nil {
 		return nil
 	}
-	return s.source.ClientConfig
+	return t.source.ClientConfig
 }
 
-func (s fleetTLS) wrapListener(l net.Listener) net.Listener {
-	if s.source == nil {
+func (t fleetTLS) wrapListener(l net.Listener) net.Listener {
+	if t.source == nil {
 		return l
 	}
-	return tls.NewListener(l, s.source.ServerConfig())
+	return tls.NewListener(l, t.source.ServerConfig())
 }
 
-// requireTrustedClient refuses requests of clients that the authority in force no longer
-// vouches for, on connections made before it changed.
-func (s fleetTLS) requireTrustedClient(next http.Handler) http.Handler {
-	if s.source == nil {
+// requireTrustedClient rejects requests of clients whose certificate fails
+// verification against the certificate authority in force. Such requests arrive
+// on connections that were opened before the authority changed.
+func (t fleetTLS) requireTrustedClient(next http.Handler) http.Handler {
+	if t.source == nil {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := s.source.VerifyClient(r.TLS); err != nil {
+		if err := t.source.VerifyClient(r.TLS); err != nil {
 			w.Header().Set("Connection", "close")
 			wire.NotRunProblem(wire.TypeNoRoom, "relay: "+err.Error(), tlsRefreshInterval).Write(w)
 			return
@@ -71,7 +74,7 @@
 	})
 }
 
-// watchTLSFiles takes over changed files until the daemon ends.
+// watchTLSFiles applies changed TLS files until the daemon ends.
 func (d *Daemon) watchTLSFiles(ctx context.Context) {
 	ticker := time.NewTicker(tlsRefreshInterval)
 	defer ticker.Stop()
@@ -95,7 +98,7 @@
 		return
 	}
 	d.log.Info("tls_files_changed")
-	d.conns.DropIdle()
+	d.conns.CloseIdle()
 	d.peers.CloseConns()
 	d.relayClient.Close()
 }
--- a/internal/entry/posting.go
+++ b/internal/entry/posting.go
@@ -42,7 +42,7 @@
 func (s *Server) relayToOwner(ctx context.Context, call *wire.Call, id posting.ID) (*wire.Response, *wire.Problem) {
 	snap := s.View.Load()
 	for _, m := range postingOwners(snap, id.Instance) {
-		response, problem := s.Relay.Send(ctx, m.Relay, wire.RolePosting, call)
+		response, problem := s.Relay.Send(ctx, m.RelayAddress, wire.RolePosting, call)
 		if problem == nil || !problem.PeerUnreachable {
 			return response, problem
 		}
@@ -59,7 +59,7 @@
 		members = append(members, m)
 	}
 	for _, m := range snap.Members {
-		for _, imported := range m.AnswersFor {
+		for _, imported := range m.PostingsFrom {
 			if imported == instance {
 				members = append(members, m)
 			}
--- a/internal/entry/steer.go
+++ b/internal/entry/steer.go
@@ -70,7 +70,7 @@
 	}
 	ctx, span := s.Tracer.Start(ctx, "relay")
 	defer span.End()
-	return s.Relay.Send(ctx, member.Relay, wire.RoleHandle, call)
+	return s.Relay.Send(ctx, member.RelayAddress, wire.RoleHandle, call)
 }
 
 // mayRetry reports whether a call may be sent to another handler after a problem.
--- a/internal/upstream/takeover_test.go
+++ b/internal/upstream/takeover_test.go
@@ -7,15 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// handlers is an upstream that moves from one handler to another under more
-// load than it has slots. Every request takes service.
-type handlers struct {
-	slots    int
-	service  time.Duration
-	old, now []time.Time // ends of the requests that run
+// handlerMove simulates an upstream that moves from one handler to another
+// while more requests are queued than it has slots. Every request takes
+// serviceTime.
+type handlerMove struct {
+	slots                  int
+	serviceTime            time.Duration
+	oldRunning, newRunning []time.Time // end times of the running requests
 }
 
-func ended(running []time.Time, at time.Time) []time.Time {
+// stillRunning returns the end times that are after at.
+func stillRunning(running []time.Time, at time.Time) []time.Time {
 	var still []time.Time
 	for _, end := range running {
 		if end.After(at) {
@@ -25,65 +27,67 @@
 	return still
 }
 
-// move returns the most that both ran at once, and the new one's work until
-// the bound and a service time have passed.
-func (h *handlers) move(room func(at time.Time) int, report func(running int)) (most, started int) {
+// simulate returns the largest number of requests that both handlers ran at
+// once, and the number that the new handler started within
+// MaxTakeoverDuration plus serviceTime.
+func (h *handlerMove) simulate(slotLimit func(at time.Time) int, report func(running int)) (maxRunning, started int) {
 	start := time.Unix(1e9, 0)
 	for i := range h.slots {
-		h.old = append(h.old, start.Add(h.service*time.Duration(i+1)/time.Duration(h.slots)))
+		h.oldRunning = append(h.oldRunning, start.Add(h.serviceTime*time.Duration(i+1)/time.Duration(h.slots)))
 	}
-	for at := start; at.Before(start.Add(TakeoverBound + h.service)); at = at.Add(10 * time.Millisecond) {
-		h.old, h.now = ended(h.old, at), ended(h.now, at)
-		report(len(h.old))
-		for len(h.now) < room(at) {
-			h.now = append(h.now, at.Add(h.service))
+	for at := start; at.Before(start.Add(MaxTakeoverDuration + h.serviceTime)); at = at.Add(10 * time.Millisecond) {
+		h.oldRunning, h.newRunning = stillRunning(h.oldRunning, at), stillRunning(h.newRunning, at)
+		report(len(h.oldRunning))
+		for len(h.newRunning) < slotLimit(at) {
+			h.newRunning = append(h.newRunning, at.Add(h.serviceTime))
 			started++
 		}
-		most = max(most, len(h.old)+len(h.now))
+		maxRunning = max(maxRunning, len(h.oldRunning)+len(h.newRunning))
 	}
-	return most, started
+	return maxRunning, started
 }
 
-// A daemon joins a full zone and takes over an upstream of 4 slots, all of
-// them busy. The upstream must not be given twice its slots, which it would
-// shed, nor lie idle until the earlier handler is done.
+// A daemon joins a fully loaded zone and takes over an upstream of 4 slots,
+// all of them in use. The upstream must not receive twice its slots, which it
+// would shed, and must not stay idle until the previous handler has finished.
 func TestTakeoverKeepsBothHandlersWithinTheSlots(t *testing.T) {
 	for name, tc := range map[string]struct {
-		reports bool
-		service time.Duration
-		most    int
+		reports    bool
+		service    time.Duration
+		maxRunning int
 	}{
-		"reports, short work":     {reports: true, service: 100 * time.Millisecond, most: 5},
-		"reports, long work":      {reports: true, service: time.Second, most: 5},
-		"no reports, short work":  {service: 100 * time.Millisecond, most: 5},
-		"no reports, longer work": {service: time.Second, most: 5},
+		"reports, short work":     {reports: true, service: 100 * time.Millisecond, maxRunning: 5},
+		"reports, long work":      {reports: true, service: time.Second, maxRunning: 5},
+		"no reports, short work":  {service: 100 * time.Millisecond, maxRunning: 5},
+		"no reports, longer work": {service: time.Second, maxRunning: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			h := &handlers{slots: 4, service: tc.service}
+			h := &handlerMove{slots: 4, serviceTime: tc.service}
 			takeover := NewTakeover(time.Unix(1e9, 0))
-			most, started := h.move(
-				func(at time.Time) int { return takeover.Room(4, at) },
+			maxRunning, started := h.simulate(
+				func(at time.Time) int { return takeover.SlotLimit(4, at) },
 				func(running int) {
 					if tc.reports {
 						takeover.Report(running)
 					}
 				})
-			g.Expect(most).To(BeNumerically("<=", tc.most))
+			g.Expect(maxRunning).To(BeNumerically("<=", tc.maxRunning))
 			g.Expect(started).To(BeNumerically(">", 4))
 		})
 	}
 }
 
-// Without the bound on the takeover an old count would hold back room for ever.
+// Guards against a takeover without an end: an outdated count must not limit
+// the slots permanently.
 func TestTakeoverEnds(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1e9, 0)
 	takeover := NewTakeover(start)
 	takeover.Report(3)
-	g.Expect(takeover.Room(4, start)).To(Equal(1))
-	g.Expect(takeover.Room(4, start.Add(TakeoverBound))).To(Equal(4))
+	g.Expect(takeover.SlotLimit(4, start)).To(Equal(1))
+	g.Expect(takeover.SlotLimit(4, start.Add(MaxTakeoverDuration))).To(Equal(4))
 	takeover = NewTakeover(start)
 	takeover.Report(0)
-	g.Expect(takeover.Room(4, start)).To(Equal(4))
+	g.Expect(takeover.SlotLimit(4, start)).To(Equal(4))
 }
