--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -223,9 +223,9 @@
 
 	g.Consistently(f.version("vt-1")).Should(Equal(version))
 	_, err = ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Patch(version-1, []byte(rate(800)))
-	var refused *ctl.RefusedError
+	var refused *ctl.APIError
 	g.Expect(errors.As(err, &refused)).To(BeTrue())
-	g.Expect(refused.Failure.Type).To(Equal(operator.FailNotApplied))
+	g.Expect(refused.Failure.Type).To(Equal(operator.FailureNotApplied))
 }
 
 // Operators upgrade half of the fleet and use a field that the older daemons
@@ -269,7 +269,7 @@
 			return d
 		}
 	}
-	return operator.DaemonStatus{ConfirmedMs: -1}
+	return operator.DaemonStatus{ConfirmedAgeMs: -1}
 }
 
 // A host that is listed stops without a word before anyone asks for a change,
@@ -283,7 +283,7 @@
 	f.start("me-1", "me-a")
 	f.list(membership.Host{Name: "me-2", Zone: "me-a", Peers: "127.0.0.1:1"})
 	f.awaitReady(f.apply("vt-1", twoRegions()))
-	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedMs }, settle).Should(BeNumerically(">=", 0))
+	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedAgeMs }, settle).Should(BeNumerically(">=", 0))
 	f.kill("me-1")
 	status := func() []operator.DaemonStatus {
 		fleet, err := ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Fleet()
@@ -293,8 +293,8 @@
 	}
 	g.Eventually(status, settle).Should(ConsistOf(
 		And(HaveField("Host", "vt-1"), HaveField("State", membership.StateReady)),
-		And(HaveField("Host", "me-1"), HaveField("State", operator.StateSilent), HaveField("ConfigVersion", uint64(1))),
-		And(HaveField("Host", "me-2"), HaveField("State", operator.StateSilent), HaveField("ConfigVersion", uint64(0)),
+		And(HaveField("Host", "me-1"), HaveField("State", operator.StateUnresponsive), HaveField("ConfigVersion", uint64(1))),
+		And(HaveField("Host", "me-2"), HaveField("State", operator.StateUnresponsive), HaveField("ConfigVersion", uint64(0)),
 			HaveField("Zone", "me-a")),
 	))
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -173,7 +173,7 @@
 	})
 	operators := operator.New(operator.Deps{
 		View: &d.view, Repository: config.NewRepository(d.store, time.Now), Metrics: d.metrics.Set,
-		Adopt: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
+		ApplyRecord: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
 	})
 	relays := &relay.Server{Handle: limiter, Posting: entry.PostingRunner{Server: front}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, Pace: d.paceResponse}
 	var err error
--- a/internal/daemon/path_test.go
+++ b/internal/daemon/path_test.go
@@ -74,10 +74,10 @@
 	g.Expect(err).NotTo(HaveOccurred())
 
 	_, err = client.Patch(1, []byte(`{"customers":{"farm":{"rate":9,"burst":9}}}`))
-	var refused *ctl.RefusedError
+	var refused *ctl.APIError
 	g.Expect(errors.As(err, &refused)).To(BeTrue())
 	g.Expect(refused.Status).To(Equal(http.StatusConflict))
-	g.Expect(refused.Failure.Current).To(Equal(uint64(2)))
+	g.Expect(refused.Failure.CurrentVersion).To(Equal(uint64(2)))
 	g.Expect(refused.Failure.Conflicts).To(Equal([]string{"/customers/farm/rate"}))
 	now, err := client.Config()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -17,25 +17,26 @@
 	"balsambarrow/internal/kv"
 )
 
-// ConfigAnswer is the body of GET and PATCH /v1/config.
-type ConfigAnswer struct {
-	// Version is the store's, or the one that the change made.
+// ConfigResponse is the body of a successful GET or PATCH /v1/config.
+type ConfigResponse struct {
+	// Version is the stored version; for PATCH, the version that the change
+	// created.
 	Version  uint64          `json:"version"`
 	Document json.RawMessage `json:"document"`
 }
 
-// ChangesAnswer is the body of GET /v1/changes.
-type ChangesAnswer struct {
-	// Version is the store's.
+// ChangesResponse is the body of a successful GET /v1/changes.
+type ChangesResponse struct {
+	// Version is the stored version.
 	Version uint64 `json:"version"`
-	// Changes are the recent ones, newest last.
+	// Changes are the recent changes, newest last.
 	Changes []config.Change `json:"changes"`
 }
 
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
 	rec, err := s.load(r.Context())
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailUnavailable, Detail: err.Error()})
+		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
 		return
 	}
 	answerConfig(w, rec.Version, rec.Document)
@@ -51,7 +52,7 @@
 
 func answerConfig(w http.ResponseWriter, version uint64, document json.RawMessage) {
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(version, 10)))
-	answer(w, http.StatusOK, ConfigAnswer{Version: version, Document: document})
+	answer(w, http.StatusOK, ConfigResponse{Version: version, Document: document})
 }
 
 func (s *Server) patchConfig(w http.ResponseWriter, r *http.Request) {
@@ -69,32 +70,32 @@
 		failApply(w, err)
 		return
 	}
-	s.Adopt(applied.Record, asked)
+	s.ApplyRecord(applied.Record, asked)
 	answerConfig(w, applied.Version, applied.Record.Document)
 }
 
 func readPatch(w http.ResponseWriter, r *http.Request) (config.Patch, *Failure) {
 	base, err := strconv.ParseUint(strings.Trim(r.Header.Get(HeaderIfMatch), `"`), 10, 64)
 	if err != nil {
-		return config.Patch{}, &Failure{Type: FailBadRequest, Detail: `If-Match: want the version the change was built on, as "7"`}
+		return config.Patch{}, &Failure{Type: FailureBadRequest, Detail: `If-Match: want the version the change was built on, as "7"`}
 	}
 	id, err := uuid.Parse(r.Header.Get(HeaderChangeID))
 	if err != nil {
-		return config.Patch{}, &Failure{Type: FailBadRequest, Detail: HeaderChangeID + ": want a UUID"}
+		return config.Patch{}, &Failure{Type: FailureBadRequest, Detail: HeaderChangeID + ": want a UUID"}
 	}
 	merge, err := io.ReadAll(http.MaxBytesReader(w, r.Body, kv.MaxValueBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return config.Patch{}, &Failure{Type: FailTooLarge, Detail: "the patch is larger than the store takes"}
+		return config.Patch{}, &Failure{Type: FailureTooLarge, Detail: "the patch is larger than the store takes"}
 	case err != nil:
-		return config.Patch{}, &Failure{Type: FailBadRequest, Detail: "the patch broke off"}
+		return config.Patch{}, &Failure{Type: FailureBadRequest, Detail: "the patch broke off"}
 	}
 	return config.Patch{ChangeID: id.String(), Base: base, Merge: merge}, nil
 }
 
 func badPatchStatus(kind string) int {
-	if kind == FailTooLarge {
+	if kind == FailureTooLarge {
 		return http.StatusRequestEntityTooLarge
 	}
 	return http.StatusBadRequest
@@ -108,29 +109,29 @@
 	switch {
 	case errors.As(err, &stale):
 		fail(w, http.StatusConflict, Failure{
-			Type: FailStale, Detail: err.Error(), Current: stale.Current,
-			Conflicts: stale.Conflicts, Forgotten: stale.Forgotten,
+			Type: FailureStaleVersion, Detail: err.Error(), CurrentVersion: stale.Current,
+			Conflicts: stale.Conflicts, HistoryTruncated: stale.Forgotten,
 		})
 	case errors.As(err, &reused):
-		fail(w, http.StatusConflict, Failure{Type: FailReusedID, Detail: err.Error()})
+		fail(w, http.StatusConflict, Failure{Type: FailureReusedChangeID, Detail: err.Error()})
 	case errors.As(err, &tooLarge):
-		fail(w, http.StatusRequestEntityTooLarge, Failure{Type: FailTooLarge, Detail: err.Error()})
+		fail(w, http.StatusRequestEntityTooLarge, Failure{Type: FailureTooLarge, Detail: err.Error()})
 	case errors.As(err, &faults):
-		fail(w, http.StatusUnprocessableEntity, Failure{Type: FailInvalid, Detail: "nothing was changed", Faults: faults})
+		fail(w, http.StatusUnprocessableEntity, Failure{Type: FailureInvalidConfig, Detail: "nothing was changed", Faults: faults})
 	case errors.Is(err, config.ErrOutcomeUnknown):
-		fail(w, http.StatusGatewayTimeout, Failure{Type: FailUnknown, Detail: "ask GET /v1/changes/<id>"})
+		fail(w, http.StatusGatewayTimeout, Failure{Type: FailureOutcomeUnknown, Detail: "ask GET /v1/changes/<id>"})
 	default:
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailNotApplied, Detail: err.Error()})
+		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureNotApplied, Detail: err.Error()})
 	}
 }
 
 func (s *Server) getChanges(w http.ResponseWriter, r *http.Request) {
 	rec, err := s.load(r.Context())
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailUnavailable, Detail: err.Error()})
+		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
 		return
 	}
-	answer(w, http.StatusOK, ChangesAnswer{Version: rec.Version, Changes: rec.Changes})
+	answer(w, http.StatusOK, ChangesResponse{Version: rec.Version, Changes: rec.Changes})
 }
 
 // getChange answers 404 with the current version where no recent change has
@@ -139,12 +140,12 @@
 func (s *Server) getChange(w http.ResponseWriter, r *http.Request) {
 	rec, err := s.load(r.Context())
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailUnavailable, Detail: err.Error()})
+		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
 		return
 	}
 	change, err := rec.Find(r.PathValue("id"))
 	if err != nil {
-		fail(w, http.StatusNotFound, Failure{Type: FailNoSuch, Detail: err.Error(), Current: rec.Version})
+		fail(w, http.StatusNotFound, Failure{Type: FailureNoSuchChange, Detail: err.Error(), CurrentVersion: rec.Version})
 		return
 	}
 	answer(w, http.StatusOK, change)
--- a/internal/operator/ctl/client.go
+++ b/internal/operator/ctl/client.go
@@ -30,16 +30,16 @@
 // ErrUnreachable says that no daemon answered.
 var ErrUnreachable = errors.New("balsamctl: daemon unreachable")
 
-// RefusedError is an answer of the operators' API other than success.
-type RefusedError struct {
+// APIError is an error response of the operators' API.
+type APIError struct {
 	Status  int
 	Failure operator.Failure
 }
 
-func (e *RefusedError) Error() string {
+func (e *APIError) Error() string {
 	text := fmt.Sprintf("%s: %s", e.Failure.Type, e.Failure.Detail)
-	if e.Failure.Current > 0 {
-		text += fmt.Sprintf("\ncurrent version: %d", e.Failure.Current)
+	if e.Failure.CurrentVersion > 0 {
+		text += fmt.Sprintf("\ncurrent version: %d", e.Failure.CurrentVersion)
 	}
 	for _, path := range e.Failure.Conflicts {
 		text += "\nalso written since: " + path
@@ -50,24 +50,24 @@
 	return text
 }
 
-func (e *RefusedError) exitCode() int {
+func (e *APIError) exitCode() int {
 	switch e.Failure.Type {
-	case operator.FailStale:
+	case operator.FailureStaleVersion:
 		return ExitStale
-	case operator.FailInvalid, operator.FailBadRequest, operator.FailReusedID, operator.FailTooLarge, operator.FailNoSuch:
+	case operator.FailureInvalidConfig, operator.FailureBadRequest, operator.FailureReusedChangeID, operator.FailureTooLarge, operator.FailureNoSuchChange:
 		return ExitRefused
-	case operator.FailNotApplied, operator.FailUnavailable:
+	case operator.FailureNotApplied, operator.FailureUnavailable:
 		return ExitUnavailable
-	case operator.FailUnknown:
+	case operator.FailureOutcomeUnknown:
 		return ExitUnknown
 	}
 	return ExitFailed
 }
 
-// UnknownError says that a change may or may not have taken effect.
-type UnknownError struct{ ChangeID string }
+// OutcomeUnknownError reports that a change may or may not have taken effect.
+type OutcomeUnknownError struct{ ChangeID string }
 
-func (e *UnknownError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return "outcome-unknown: the change may have taken effect\nask:          balsamctl config change " + e.ChangeID +
 		"\nsubmit again: the same command with --change-id " + e.ChangeID + ", which applies it once at most"
 }
@@ -88,14 +88,14 @@
 }
 
 // Config reads the configuration.
-func (c *Client) Config() (operator.ConfigAnswer, error) {
-	var a operator.ConfigAnswer
+func (c *Client) Config() (operator.ConfigResponse, error) {
+	var a operator.ConfigResponse
 	return a, c.get("/v1/config", &a)
 }
 
 // Changes reads the recent changes.
-func (c *Client) Changes() (operator.ChangesAnswer, error) {
-	var a operator.ChangesAnswer
+func (c *Client) Changes() (operator.ChangesResponse, error) {
+	var a operator.ChangesResponse
 	return a, c.get("/v1/changes", &a)
 }
 
@@ -106,8 +106,8 @@
 }
 
 // Fleet reads the fleet's status as the daemon sees it.
-func (c *Client) Fleet() (operator.FleetAnswer, error) {
-	var a operator.FleetAnswer
+func (c *Client) Fleet() (operator.FleetResponse, error) {
+	var a operator.FleetResponse
 	return a, c.get("/v1/fleet", &a)
 }
 
@@ -119,18 +119,18 @@
 }
 
 // Patch submits a merge patch against base under a new change id.
-func (c *Client) Patch(base uint64, merge []byte) (operator.ConfigAnswer, error) {
+func (c *Client) Patch(base uint64, merge []byte) (operator.ConfigResponse, error) {
 	return c.Submit(base, merge, uuid.NewString())
 }
 
 // Submit submits a merge patch against base. Every daemon may be tried in
 // turn, since a change id takes effect once at most. The error is an
-// *UnknownError where the outcome could not be found out.
-func (c *Client) Submit(base uint64, merge []byte, id string) (operator.ConfigAnswer, error) {
+// *OutcomeUnknownError if the outcome could not be determined.
+func (c *Client) Submit(base uint64, merge []byte, id string) (operator.ConfigResponse, error) {
 	doubt := false
 	err := ErrUnreachable
 	for _, daemon := range c.bases {
-		var a operator.ConfigAnswer
+		var a operator.ConfigResponse
 		s := daemon.New().Patch("/v1/config").
 			Set(operator.HeaderIfMatch, strconv.Quote(strconv.FormatUint(base, 10))).
 			Set(operator.HeaderChangeID, id).
@@ -138,7 +138,7 @@
 		if err = receive(s, &a); err == nil {
 			return a, nil
 		}
-		var refused *RefusedError
+		var refused *APIError
 		switch {
 		case !errors.As(err, &refused):
 			doubt = doubt || !neverSent(err)
@@ -149,29 +149,29 @@
 		}
 	}
 	if !doubt {
-		return operator.ConfigAnswer{}, err
+		return operator.ConfigResponse{}, err
 	}
 	return c.settle(base, id)
 }
 
 // settle finds out what has become of a change. A change based on a version
 // that is no longer current and that is not among the recent ones was refused.
-func (c *Client) settle(base uint64, id string) (operator.ConfigAnswer, error) {
+func (c *Client) settle(base uint64, id string) (operator.ConfigResponse, error) {
 	for try := range askTries {
 		if try > 0 {
 			time.Sleep(askPause)
 		}
 		change, err := c.Change(id)
 		if err == nil {
-			return operator.ConfigAnswer{Version: change.Version}, nil
+			return operator.ConfigResponse{Version: change.Version}, nil
 		}
-		var refused *RefusedError
-		if errors.As(err, &refused) && refused.Failure.Type == operator.FailNoSuch && refused.Failure.Current > base {
-			refused.Failure.Type, refused.Failure.Detail = operator.FailStale, "another change was made first"
-			return operator.ConfigAnswer{}, refused
+		var refused *APIError
+		if errors.As(err, &refused) && refused.Failure.Type == operator.FailureNoSuchChange && refused.Failure.CurrentVersion > base {
+			refused.Failure.Type, refused.Failure.Detail = operator.FailureStaleVersion, "another change was made first"
+			return operator.ConfigResponse{}, refused
 		}
 	}
-	return operator.ConfigAnswer{}, &UnknownError{ChangeID: id}
+	return operator.ConfigResponse{}, &OutcomeUnknownError{ChangeID: id}
 }
 
 // get asks the daemons in turn until one can answer.
@@ -179,7 +179,7 @@
 	err := ErrUnreachable
 	for _, daemon := range c.bases {
 		err = receive(daemon.New().Get(path), into)
-		var refused *RefusedError
+		var refused *APIError
 		if err == nil || (errors.As(err, &refused) && refused.exitCode() != ExitUnavailable) {
 			return err
 		}
@@ -204,7 +204,7 @@
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	refused := &RefusedError{Status: resp.StatusCode}
+	refused := &APIError{Status: resp.StatusCode}
 	_ = json.Unmarshal(failure, &refused.Failure)
 	return refused
 }
--- a/internal/operator/ctl/ctl.go
+++ b/internal/operator/ctl/ctl.go
@@ -27,9 +27,9 @@
 	ExitUnavailable = 4
 	// ExitUnknown: the change may or may not have taken effect.
 	ExitUnknown = 5
-	// ExitNotEverywhere: accepted, but --wait ended before it was in force
-	// everywhere.
-	ExitNotEverywhere = 6
+	// ExitNotConfirmed means that the change was accepted, but --wait ended
+	// before every host had confirmed it.
+	ExitNotConfirmed = 6
 )
 
 const rootHelp = `balsamctl talks to the operators' listener of any daemon.
@@ -59,9 +59,9 @@
 
 func exitCode(err error) int {
 	var faults jsonc.Faults
-	var refused *RefusedError
-	var unknown *UnknownError
-	var missing *NotEverywhereError
+	var refused *APIError
+	var unknown *OutcomeUnknownError
+	var missing *NotConfirmedError
 	switch {
 	case errors.As(err, &faults), errors.Is(err, ErrBadUsage):
 		return ExitRefused
@@ -70,7 +70,7 @@
 	case errors.As(err, &unknown):
 		return ExitUnknown
 	case errors.As(err, &missing):
-		return ExitNotEverywhere
+		return ExitNotConfirmed
 	case errors.Is(err, ErrUnreachable):
 		return ExitUnavailable
 	}
--- a/internal/operator/ctl/ctl_test.go
+++ b/internal/operator/ctl/ctl_test.go
@@ -84,7 +84,7 @@
 	client := platform.NewStore(storeServer.URL, (&net.Dialer{}).DialContext, func(string, error) {})
 	b.store = &lossyStore{Store: kv.WithTimeout(client, time.Second)}
 	server := httptest.NewServer(operator.New(operator.Deps{
-		View: &b.published, Repository: config.NewRepository(b.store, time.Now), Metrics: metrics.NewSet(), Adopt: b.adopt,
+		View: &b.published, Repository: config.NewRepository(b.store, time.Now), Metrics: metrics.NewSet(), ApplyRecord: b.adopt,
 	}))
 	b.address = strings.TrimPrefix(server.URL, "http://")
 	t.Cleanup(func() {
@@ -180,7 +180,7 @@
 				big := `{"customers":{"x":{"rate":1,"burst":1,"services":["` + strings.Repeat("a", kv.MaxValueBytes) + `"]}}}`
 				return []string{"config", "patch", b.file(big), "--base", "9"}
 			},
-			code: ctl.ExitRefused, says: []string{operator.FailTooLarge},
+			code: ctl.ExitRefused, says: []string{operator.FailureTooLarge},
 		},
 		"stale": {
 			prepare: func(b *bench) { b.ok("config", "patch", b.file(rate(20)), "--base", "1") },
@@ -277,10 +277,10 @@
 		says  string
 	}{
 		"all have it":              {view.Fleet{ListedAt: now, Hosts: []view.Host{heard(2)}}, ctl.ExitOK, ""},
-		"host list not read yet":   {view.Fleet{}, ctl.ExitNotEverywhere, "host list cannot be read"},
-		"a host is behind":         {view.Fleet{ListedAt: now, Hosts: []view.Host{heard(1)}}, ctl.ExitNotEverywhere, "have not confirmed: me-a"},
-		"a host was only listed":   {view.Fleet{ListedAt: now, Hosts: []view.Host{{Name: "me-2", Zone: "me-b", Listed: true, KnownSince: now}}}, ctl.ExitNotEverywhere, "me-2 (me-b): silent"},
-		"a host has fallen silent": {view.Fleet{ListedAt: now, Hosts: []view.Host{silent(heard(1))}}, ctl.ExitNotEverywhere, "have not confirmed: me-a"},
+		"host list not read yet":   {view.Fleet{}, ctl.ExitNotConfirmed, "host list cannot be read"},
+		"a host is behind":         {view.Fleet{ListedAt: now, Hosts: []view.Host{heard(1)}}, ctl.ExitNotConfirmed, "have not confirmed: me-a"},
+		"a host was only listed":   {view.Fleet{ListedAt: now, Hosts: []view.Host{{Name: "me-2", Zone: "me-b", Listed: true, KnownSince: now}}}, ctl.ExitNotConfirmed, "me-2 (me-b): silent"},
+		"a host has fallen silent": {view.Fleet{ListedAt: now, Hosts: []view.Host{silent(heard(1))}}, ctl.ExitNotConfirmed, "have not confirmed: me-a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/operator/ctl/explain.go
+++ b/internal/operator/ctl/explain.go
@@ -34,8 +34,8 @@
 }
 
 func printExplanation(out io.Writer, x operator.Explanation) error {
-	if x.Refused != "" {
-		_, _ = fmt.Fprintf(out, "refused with %s: %s\n", x.Refused, x.Reason)
+	if x.ProblemType != "" {
+		_, _ = fmt.Fprintf(out, "refused with %s: %s\n", x.ProblemType, x.Reason)
 	} else {
 		_, _ = fmt.Fprintf(out, "%s\n", x.Reason)
 	}
--- a/internal/operator/ctl/fleet.go
+++ b/internal/operator/ctl/fleet.go
@@ -31,16 +31,16 @@
 	return cmd
 }
 
-func printFleet(out io.Writer, fleet operator.FleetAnswer) error {
+func printFleet(out io.Writer, fleet operator.FleetResponse) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "HOST\tZONE\tSTATE\tVERSION\tSLOTS\tWATCHES\tCONFIRMED\tHEARD")
 	for _, d := range fleet.Daemons {
 		confirmed := "never"
-		if d.ConfirmedMs >= 0 {
-			confirmed = milliseconds(d.ConfirmedMs).String()
+		if d.ConfirmedAgeMs >= 0 {
+			confirmed = milliseconds(d.ConfirmedAgeMs).String()
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\t%s\t%s\n", d.Host, d.Zone, d.State, d.ConfigVersion, len(d.Slots), d.Watches,
-			confirmed, milliseconds(d.HeardMs))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\t%s\t%s\n", d.Host, d.Zone, d.State, d.ConfigVersion, len(d.Slots), d.WatchesStore,
+			confirmed, milliseconds(d.HeartbeatAgeMs))
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/operator/ctl/shift.go
+++ b/internal/operator/ctl/shift.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func newPlan(current operator.ConfigAnswer, s shifts) (*plan, error) {
+func newPlan(current operator.ConfigResponse, s shifts) (*plan, error) {
 	merge, err := json.Marshal(s)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode patch")
--- a/internal/operator/ctl/submit.go
+++ b/internal/operator/ctl/submit.go
@@ -21,35 +21,35 @@
 	waitEvery   = 200 * time.Millisecond
 )
 
-// NotEverywhereError says that --wait ended before a version was known to be
-// in force everywhere.
-type NotEverywhereError struct {
+// NotConfirmedError reports that --wait ended before every host had confirmed
+// that a version is in force.
+type NotConfirmedError struct {
 	Version uint64
-	// Missing are the hosts that have not confirmed it.
-	Missing []operator.DaemonStatus
-	// ListUnknown says that the daemon could not read the host list, so that
-	// there may be hosts it does not know of.
-	ListUnknown bool
+	// Unconfirmed are the hosts that have not confirmed the version.
+	Unconfirmed []operator.DaemonStatus
+	// HostListIncomplete reports that the daemon could not read the host list,
+	// so that hosts may exist that the daemon does not know.
+	HostListIncomplete bool
 }
 
-func (e *NotEverywhereError) Error() string {
+func (e *NotConfirmedError) Error() string {
 	text := fmt.Sprintf("version %d is accepted, but not confirmed everywhere", e.Version)
-	if len(e.Missing) > 0 {
+	if len(e.Unconfirmed) > 0 {
 		text += "\nzones that have not confirmed: " + strings.Join(e.Zones(), ", ")
 	}
-	for _, d := range e.Missing {
-		text += fmt.Sprintf("\n  %s (%s): %s, version %d, heard %s ago", d.Host, d.Zone, d.State, d.ConfigVersion, milliseconds(d.HeardMs))
+	for _, d := range e.Unconfirmed {
+		text += fmt.Sprintf("\n  %s (%s): %s, version %d, heard %s ago", d.Host, d.Zone, d.State, d.ConfigVersion, milliseconds(d.HeartbeatAgeMs))
 	}
-	if e.ListUnknown {
+	if e.HostListIncomplete {
 		text += "\nthe platform's host list cannot be read: there may be hosts that are not known"
 	}
 	return text
 }
 
-// Zones names the zones of the missing hosts, in order.
-func (e *NotEverywhereError) Zones() []string {
+// Zones returns the sorted names of the zones of the unconfirmed hosts.
+func (e *NotConfirmedError) Zones() []string {
 	var zones []string
-	for _, d := range e.Missing {
+	for _, d := range e.Unconfirmed {
 		zones = append(zones, d.Zone)
 	}
 	slices.Sort(zones)
@@ -122,14 +122,14 @@
 	}
 }
 
-func missing(fleet operator.FleetAnswer, version uint64) error {
-	e := &NotEverywhereError{Version: version, ListUnknown: !fleet.Complete}
+func missing(fleet operator.FleetResponse, version uint64) error {
+	e := &NotConfirmedError{Version: version, HostListIncomplete: !fleet.Complete}
 	for _, d := range fleet.Daemons {
 		if d.ConfigVersion < version {
-			e.Missing = append(e.Missing, d)
+			e.Unconfirmed = append(e.Unconfirmed, d)
 		}
 	}
-	if len(e.Missing) == 0 && !e.ListUnknown {
+	if len(e.Unconfirmed) == 0 && !e.HostListIncomplete {
 		return nil
 	}
 	return e
@@ -137,7 +137,7 @@
 
 // check tries a patch on the current document, so that its faults come with
 // the places in the operator's file.
-func check(current operator.ConfigAnswer, file *jsonc.Document) error {
+func check(current operator.ConfigResponse, file *jsonc.Document) error {
 	_, err := tryMerge(current, file.StandardJSON())
 	var faults jsonc.Faults
 	if !errors.As(err, &faults) {
@@ -150,7 +150,7 @@
 	return placed
 }
 
-func tryMerge(current operator.ConfigAnswer, merge []byte) (*config.Config, error) {
+func tryMerge(current operator.ConfigResponse, merge []byte) (*config.Config, error) {
 	merged, err := config.Merge(current.Document, merge)
 	if err != nil {
 		return nil, err
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -14,40 +14,41 @@
 	"balsambarrow/internal/wire"
 )
 
-// Explanation is the body of GET /v1/explain: what this daemon would do now
-// with a request that enters in a zone.
+// Explanation is the body of GET /v1/explain. It describes how this daemon would
+// route a request that enters in a zone at this moment.
 type Explanation struct {
-	Service  string `json:"service"`
-	Customer string `json:"customer"`
-	From     string `json:"from"`
-	// Version of the configuration in force.
+	Service   string `json:"service"`
+	Customer  string `json:"customer"`
+	EntryZone string `json:"from"`
+	// Version is the version of the configuration in force.
 	Version uint64 `json:"version"`
-	// Refused is the problem type that the caller would get; "" if none is
-	// foreseen. The customer's rate is not looked at.
-	Refused string `json:"refused,omitempty"`
-	Reason  string `json:"reason"`
-	// Targets are the daemons that would be asked, in order. Among equal ones
-	// the order is drawn anew for each request.
+	// ProblemType is the problem type that the caller would receive, or empty if
+	// the request is expected to be served. The customer's rate limit is not
+	// evaluated.
+	ProblemType string `json:"refused,omitempty"`
+	Reason      string `json:"reason"`
+	// Targets are the daemons that the request would be sent to, in order. The
+	// order among equally ranked daemons is random and differs per request.
 	Targets []ExplainedTarget `json:"targets"`
-	// Upstreams of the service, by name.
+	// Upstreams are the upstreams of the service, sorted by name.
 	Upstreams []ExplainedUpstream `json:"upstreams"`
 }
 
-// ExplainedTarget is a daemon that would be asked to run the request.
+// ExplainedTarget is a daemon that the request may be sent to.
 type ExplainedTarget struct {
 	Host   string `json:"host"`
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// Free and Limit are the room it advertises for the service.
+	// Free and Limit are the headroom that the daemon advertises for the service.
 	Free  int `json:"free"`
 	Limit int `json:"limit"`
-	// Shift and Link name the caps that a request to another region takes
-	// from; "" in the home region.
-	Shift string `json:"shift,omitempty"`
-	Link  string `json:"link,omitempty"`
+	// ShiftQuota and LinkQuota name the quotas that a request to another region
+	// is charged to. Both are empty in the home region.
+	ShiftQuota string `json:"shift,omitempty"`
+	LinkQuota  string `json:"link,omitempty"`
 }
 
-// ExplainedUpstream tells whether an upstream can get the request.
+// ExplainedUpstream reports whether an upstream can receive the request.
 type ExplainedUpstream struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -59,12 +60,12 @@
 func (s *Server) getExplanation(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	snap := s.View.Load()
-	e := Explanation{Service: q.Get("service"), Customer: q.Get("customer"), From: q.Get("from"), Version: snap.Self.ConfigVersion}
-	if e.From == "" {
-		e.From = snap.Self.Zone
+	e := Explanation{Service: q.Get("service"), Customer: q.Get("customer"), EntryZone: q.Get("from"), Version: snap.Self.ConfigVersion}
+	if e.EntryZone == "" {
+		e.EntryZone = snap.Self.Zone
 	}
 	if problem := explainFault(e, snap); problem != "" {
-		fail(w, http.StatusBadRequest, Failure{Type: FailBadRequest, Detail: problem})
+		fail(w, http.StatusBadRequest, Failure{Type: FailureBadRequest, Detail: problem})
 		return
 	}
 	e.fill(snap, time.Now())
@@ -82,7 +83,7 @@
 	if _, ok := c.Customers[e.Customer]; !ok {
 		return "there is no customer of this name"
 	}
-	if _, ok := c.Zones[e.From]; !ok {
+	if _, ok := c.Zones[e.EntryZone]; !ok {
 		return "there is no zone of this name"
 	}
 	return ""
@@ -96,13 +97,13 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(0, 0))
-	table := steer.NewBuilder(e.From).Build(snap.Config, snap.Ready, upstream.Assign(c, snap.Ready), now)
+	table := steer.NewBuilder(e.EntryZone).Build(snap.Config, snap.Ready, upstream.Assign(c, snap.Ready), now)
 	for _, t := range table.Choose(steer.Request{Service: e.Service, Customer: e.Customer}, now, rng) {
 		m := t.Handler.Member
 		room := m.Headroom[e.Service]
 		e.Targets = append(e.Targets, ExplainedTarget{
 			Host: m.Host, Zone: m.Zone, Region: snap.Config.Region(m.Zone),
-			Free: room.Free, Limit: room.Limit, Shift: t.ShiftQuota, Link: t.LinkQuota,
+			Free: room.Free, Limit: room.Limit, ShiftQuota: t.ShiftQuota, LinkQuota: t.LinkQuota,
 		})
 	}
 	e.conclude(snap, now)
@@ -112,14 +113,14 @@
 	limit := time.Duration(snap.Config.Config.Customers[e.Customer].MaxStalenessMs) * time.Millisecond
 	switch {
 	case !snap.Config.Allows(e.Customer, e.Service):
-		e.Refused, e.Reason = wire.TypeForbidden, "the customer may not call this service"
+		e.ProblemType, e.Reason = wire.TypeForbidden, "the customer may not call this service"
 	case limit > 0 && now.Sub(snap.ConfirmedAt) > limit:
-		e.Refused, e.Reason = wire.TypeNoConfiguration, "the configuration here has not been confirmed for longer than the customer allows"
+		e.ProblemType, e.Reason = wire.TypeNoConfiguration, "the configuration here has not been confirmed for longer than the customer allows"
 	case len(e.Targets) == 0:
-		e.Refused, e.Reason = wire.TypeNoRoom, "no zone that may serve this has a ready handler"
-	case e.Targets[0].Zone == e.From:
+		e.ProblemType, e.Reason = wire.TypeNoRoom, "no zone that may serve this has a ready handler"
+	case e.Targets[0].Zone == e.EntryZone:
 		e.Reason = "served in the zone where it enters"
-	case e.Targets[0].Region == snap.Config.Region(e.From):
+	case e.Targets[0].Region == snap.Config.Region(e.EntryZone):
 		e.Reason = "no handler in the zone where it enters; served in the same region"
 	default:
 		e.Reason = "no handler in the region where it enters; served in another region"
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,40 +12,42 @@
 // daemon's readings, one of which may be slow and one lost.
 const listFresh = 10 * time.Second
 
-// StateSilent is the state of a host that is listed but has not been heard of
-// lately.
-const StateSilent membership.State = "silent"
+// StateUnresponsive is the reported state of a known host whose last heartbeat
+// is older than the member timeout, or that has sent none.
+const StateUnresponsive membership.State = "silent"
 
-// DaemonStatus is one host in GET /v1/fleet.
+// DaemonStatus is the state of one host in GET /v1/fleet.
 type DaemonStatus struct {
-	// Instance is "" where the host was never heard.
+	// Instance is empty if no heartbeat was received from the host.
 	Instance string           `json:"instance,omitempty"`
 	Host     string           `json:"host"`
 	Zone     string           `json:"zone"`
 	State    membership.State `json:"state"`
-	// ConfigVersion is the version in force when the host was last heard.
+	// ConfigVersion is the configuration version that the host's last
+	// heartbeat reported as in force.
 	ConfigVersion uint64 `json:"config_version"`
-	// ConfigRejected is a higher version that the daemon cannot read.
+	// ConfigRejected is a higher version that the host's daemon cannot read.
 	ConfigRejected uint64 `json:"config_rejected,omitempty"`
 	Slots          []int  `json:"slots"`
-	Watches        bool   `json:"watches"`
-	// ConfirmedMs is how long ago its version was known to be the store's;
-	// -1: not known.
-	ConfirmedMs int64 `json:"confirmed_ms"`
-	// HeardMs is how long ago the host was heard; where it never was, how
-	// long it has been listed.
-	HeardMs int64 `json:"heard_ms"`
-	// Listed says that the platform's host list has the host.
+	WatchesStore   bool   `json:"watches"`
+	// ConfirmedAgeMs is the time since the host last confirmed that its
+	// version was the stored one, or -1 if unknown.
+	ConfirmedAgeMs int64 `json:"confirmed_ms"`
+	// HeartbeatAgeMs is the time since the host's last heartbeat. For a host
+	// that has sent none, it is the time since the host was first known.
+	HeartbeatAgeMs int64 `json:"heard_ms"`
+	// Listed reports whether the platform's host list contains the host.
 	Listed bool `json:"listed"`
 }
 
-// FleetAnswer is the body of GET /v1/fleet.
-type FleetAnswer struct {
-	// Seen is the daemon that answers; the rest is what it has heard.
-	Seen    string `json:"seen_by"`
+// FleetResponse is the body of GET /v1/fleet.
+type FleetResponse struct {
+	// SeenBy is the instance of the daemon that sends the response. The other
+	// fields are this daemon's view of the fleet.
+	SeenBy  string `json:"seen_by"`
 	Version uint64 `json:"version"`
-	// Complete says that the host list was read lately, so that no host of it
-	// can be missing from Daemons.
+	// Complete reports whether the host list was read recently, so that
+	// Daemons includes every listed host.
 	Complete bool           `json:"complete"`
 	Daemons  []DaemonStatus `json:"daemons"`
 }
@@ -54,9 +56,9 @@
 	answer(w, http.StatusOK, fleetOf(s.View.Load(), time.Now()))
 }
 
-func fleetOf(snap *view.Snapshot, now time.Time) FleetAnswer {
-	out := FleetAnswer{
-		Seen: snap.Self.Instance, Version: snap.Self.ConfigVersion,
+func fleetOf(snap *view.Snapshot, now time.Time) FleetResponse {
+	out := FleetResponse{
+		SeenBy: snap.Self.Instance, Version: snap.Self.ConfigVersion,
 		Complete: !snap.Fleet.ListedAt.IsZero() && now.Sub(snap.Fleet.ListedAt) <= listFresh,
 		Daemons:  []DaemonStatus{statusOf(snap.Self, now)},
 	}
@@ -71,19 +73,19 @@
 	return DaemonStatus{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: m.State,
 		ConfigVersion: m.ConfigVersion, ConfigRejected: m.ConfigRejected,
-		Slots: m.Slots, Watches: m.Watches, ConfirmedMs: age(m.ConfirmedAt, now),
+		Slots: m.Slots, WatchesStore: m.Watches, ConfirmedAgeMs: age(m.ConfirmedAt, now),
 	}
 }
 
 func hostStatus(h view.Host, now time.Time) DaemonStatus {
 	d := statusOf(h.LastReport, now)
 	d.Host, d.Zone, d.Listed = h.Name, h.Zone, h.Listed
-	d.HeardMs = age(h.LastReport.HeardAt, now)
-	if d.HeardMs < 0 {
-		d.HeardMs = age(h.KnownSince, now)
+	d.HeartbeatAgeMs = age(h.LastReport.HeardAt, now)
+	if d.HeartbeatAgeMs < 0 {
+		d.HeartbeatAgeMs = age(h.KnownSince, now)
 	}
 	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeardAt) > membership.GoneAfter {
-		d.State, d.Slots, d.Watches = StateSilent, nil, false
+		d.State, d.Slots, d.WatchesStore = StateUnresponsive, nil, false
 	}
 	return d
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -19,14 +19,14 @@
 	HeaderIfMatch  = "If-Match"
 )
 
-// Deps is what the operators' API works with.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	View       *view.Publisher
 	Repository *config.Repository
-	// Adopt hands a record to the control thread that a call begun at asked
-	// wrote to the store, or found there.
-	Adopt func(record *config.Record, asked time.Time)
-	// Metrics is this daemon's set.
+	// ApplyRecord passes a record to the daemon's control loop. The record was
+	// written to the store, or read from it, by a call that started at sentAt.
+	ApplyRecord func(record *config.Record, sentAt time.Time)
+	// Metrics is the metrics set of this daemon.
 	Metrics *metrics.Set
 }
 
@@ -57,29 +57,29 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Failure is the body of every refusal of the operators' API.
+// Failure is the body of every error response of the operators' API.
 type Failure struct {
 	Type   string `json:"type"`
 	Detail string `json:"detail"`
-	// Current is the store's version, where it is known.
-	Current   uint64        `json:"current_version,omitempty"`
-	Conflicts []string      `json:"conflicts,omitempty"`
-	Faults    []jsonc.Fault `json:"faults,omitempty"`
-	// Forgotten: see config.StaleError.
-	Forgotten bool `json:"forgotten,omitempty"`
+	// CurrentVersion is the stored version, or 0 if unknown.
+	CurrentVersion uint64        `json:"current_version,omitempty"`
+	Conflicts      []string      `json:"conflicts,omitempty"`
+	Faults         []jsonc.Fault `json:"faults,omitempty"`
+	// HistoryTruncated is explained at config.StaleError.
+	HistoryTruncated bool `json:"forgotten,omitempty"`
 }
 
-// Types of Failure.
+// Values of Failure.Type.
 const (
-	FailStale       = "stale-version"
-	FailReusedID    = "reused-change-id"
-	FailInvalid     = "invalid-configuration"
-	FailTooLarge    = "too-large"
-	FailNotApplied  = "not-applied"
-	FailUnknown     = "outcome-unknown"
-	FailBadRequest  = "bad-request"
-	FailNoSuch      = "no-such-change"
-	FailUnavailable = "unavailable"
+	FailureStaleVersion   = "stale-version"
+	FailureReusedChangeID = "reused-change-id"
+	FailureInvalidConfig  = "invalid-configuration"
+	FailureTooLarge       = "too-large"
+	FailureNotApplied     = "not-applied"
+	FailureOutcomeUnknown = "outcome-unknown"
+	FailureBadRequest     = "bad-request"
+	FailureNoSuchChange   = "no-such-change"
+	FailureUnavailable    = "unavailable"
 )
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
