--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -34,15 +34,15 @@
 }
 
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
-	rec, err := s.load(r.Context())
+	rec, err := s.loadRecord(r.Context())
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
+		writeFailure(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
 		return
 	}
-	answerConfig(w, rec.Version, rec.Document)
+	writeConfig(w, rec.Version, rec.Document)
 }
 
-func (s *Server) load(ctx context.Context) (*config.Record, error) {
+func (s *Server) loadRecord(ctx context.Context) (*config.Record, error) {
 	rec, _, err := s.Repository.Load(ctx)
 	if err == nil && rec == nil {
 		rec = &config.Record{Document: json.RawMessage(`{}`)}
@@ -50,28 +50,28 @@
 	return rec, err
 }
 
-func answerConfig(w http.ResponseWriter, version uint64, document json.RawMessage) {
+func writeConfig(w http.ResponseWriter, version uint64, document json.RawMessage) {
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(version, 10)))
-	answer(w, http.StatusOK, ConfigResponse{Version: version, Document: document})
+	writeJSON(w, http.StatusOK, ConfigResponse{Version: version, Document: document})
 }
 
 func (s *Server) patchConfig(w http.ResponseWriter, r *http.Request) {
-	asked := time.Now()
+	sentAt := time.Now()
 	patch, failure := readPatch(w, r)
 	if failure != nil {
-		fail(w, badPatchStatus(failure.Type), *failure)
+		writeFailure(w, patchErrorStatus(failure.Type), *failure)
 		return
 	}
 	patch.Floor = s.View.Load().Self.ConfigVersion
-	// The write goes on if the operator's connection breaks: it is settled
-	// by its change id either way.
+	// The write continues if the operator's connection breaks. In either case
+	// the operator can query its outcome by the change id.
 	applied, err := s.Repository.Apply(context.WithoutCancel(r.Context()), patch)
 	if err != nil {
-		failApply(w, err)
+		writeApplyError(w, err)
 		return
 	}
-	s.ApplyRecord(applied.Record, asked)
-	answerConfig(w, applied.Version, applied.Record.Document)
+	s.ApplyRecord(applied.Record, sentAt)
+	writeConfig(w, applied.Version, applied.Record.Document)
 }
 
 func readPatch(w http.ResponseWriter, r *http.Request) (config.Patch, *Failure) {
@@ -94,59 +94,60 @@
 	return config.Patch{ChangeID: id.String(), Base: base, Merge: merge}, nil
 }
 
-func badPatchStatus(kind string) int {
-	if kind == FailureTooLarge {
+func patchErrorStatus(failureType string) int {
+	if failureType == FailureTooLarge {
 		return http.StatusRequestEntityTooLarge
 	}
 	return http.StatusBadRequest
 }
 
-func failApply(w http.ResponseWriter, err error) {
+func writeApplyError(w http.ResponseWriter, err error) {
 	var stale *config.StaleError
 	var reused *config.ReusedIDError
 	var tooLarge *config.TooLargeError
 	var faults jsonc.Faults
 	switch {
 	case errors.As(err, &stale):
-		fail(w, http.StatusConflict, Failure{
+		writeFailure(w, http.StatusConflict, Failure{
 			Type: FailureStaleVersion, Detail: err.Error(), CurrentVersion: stale.Current,
 			Conflicts: stale.Conflicts, HistoryTruncated: stale.Forgotten,
 		})
 	case errors.As(err, &reused):
-		fail(w, http.StatusConflict, Failure{Type: FailureReusedChangeID, Detail: err.Error()})
+		writeFailure(w, http.StatusConflict, Failure{Type: FailureReusedChangeID, Detail: err.Error()})
 	case errors.As(err, &tooLarge):
-		fail(w, http.StatusRequestEntityTooLarge, Failure{Type: FailureTooLarge, Detail: err.Error()})
+		writeFailure(w, http.StatusRequestEntityTooLarge, Failure{Type: FailureTooLarge, Detail: err.Error()})
 	case errors.As(err, &faults):
-		fail(w, http.StatusUnprocessableEntity, Failure{Type: FailureInvalidConfig, Detail: "nothing was changed", Faults: faults})
+		writeFailure(w, http.StatusUnprocessableEntity, Failure{Type: FailureInvalidConfig, Detail: "nothing was changed", Faults: faults})
 	case errors.Is(err, config.ErrOutcomeUnknown):
-		fail(w, http.StatusGatewayTimeout, Failure{Type: FailureOutcomeUnknown, Detail: "ask GET /v1/changes/<id>"})
+		writeFailure(w, http.StatusGatewayTimeout, Failure{Type: FailureOutcomeUnknown, Detail: "ask GET /v1/changes/<id>"})
 	default:
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureNotApplied, Detail: err.Error()})
+		writeFailure(w, http.StatusServiceUnavailable, Failure{Type: FailureNotApplied, Detail: err.Error()})
 	}
 }
 
 func (s *Server) getChanges(w http.ResponseWriter, r *http.Request) {
-	rec, err := s.load(r.Context())
+	rec, err := s.loadRecord(r.Context())
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
+		writeFailure(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
 		return
 	}
-	answer(w, http.StatusOK, ChangesResponse{Version: rec.Version, Changes: rec.Changes})
+	writeJSON(w, http.StatusOK, ChangesResponse{Version: rec.Version, Changes: rec.Changes})
 }
 
-// getChange answers 404 with the current version where no recent change has
-// the id. A change based on that version may still take effect; one based on
-// a lower version did not, or is forgotten.
+// getChange responds with 404 and the stored version if no recent change has
+// the id. A change that is based on that version may still take effect. A change
+// that is based on a lower version was not applied, or is no longer in the
+// recent history.
 func (s *Server) getChange(w http.ResponseWriter, r *http.Request) {
-	rec, err := s.load(r.Context())
+	rec, err := s.loadRecord(r.Context())
 	if err != nil {
-		fail(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
+		writeFailure(w, http.StatusServiceUnavailable, Failure{Type: FailureUnavailable, Detail: err.Error()})
 		return
 	}
 	change, err := rec.Find(r.PathValue("id"))
 	if err != nil {
-		fail(w, http.StatusNotFound, Failure{Type: FailureNoSuchChange, Detail: err.Error(), CurrentVersion: rec.Version})
+		writeFailure(w, http.StatusNotFound, Failure{Type: FailureNoSuchChange, Detail: err.Error(), CurrentVersion: rec.Version})
 		return
 	}
-	answer(w, http.StatusOK, change)
+	writeJSON(w, http.StatusOK, change)
 }
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -64,15 +64,15 @@
 	if e.EntryZone == "" {
 		e.EntryZone = snap.Self.Zone
 	}
-	if problem := explainFault(e, snap); problem != "" {
-		fail(w, http.StatusBadRequest, Failure{Type: FailureBadRequest, Detail: problem})
+	if problem := explanationProblem(e, snap); problem != "" {
+		writeFailure(w, http.StatusBadRequest, Failure{Type: FailureBadRequest, Detail: problem})
 		return
 	}
-	e.fill(snap, time.Now())
-	answer(w, http.StatusOK, e)
+	e.addTargetsAndUpstreams(snap, time.Now())
+	writeJSON(w, http.StatusOK, e)
 }
 
-func explainFault(e Explanation, snap *view.Snapshot) string {
+func explanationProblem(e Explanation, snap *view.Snapshot) string {
 	if snap.Config == nil {
 		return "this daemon has no configuration yet"
 	}
@@ -89,7 +89,7 @@
 	return ""
 }
 
-func (e *Explanation) fill(snap *view.Snapshot, now time.Time) {
+func (e *Explanation) addTargetsAndUpstreams(snap *view.Snapshot, now time.Time) {
 	c := snap.Config.Config
 	for _, name := range slices.Sorted(maps.Keys(c.Upstreams)) {
 		if c.Upstreams[name].Service == e.Service {
@@ -100,21 +100,21 @@
 	table := steer.NewBuilder(e.EntryZone).Build(snap.Config, snap.Ready, upstream.Assign(c, snap.Ready), now)
 	for _, t := range table.Choose(steer.Request{Service: e.Service, Customer: e.Customer}, now, rng) {
 		m := t.Handler.Member
-		room := m.Headroom[e.Service]
+		headroom := m.Headroom[e.Service]
 		e.Targets = append(e.Targets, ExplainedTarget{
 			Host: m.Host, Zone: m.Zone, Region: snap.Config.Region(m.Zone),
-			Free: room.Free, Limit: room.Limit, ShiftQuota: t.ShiftQuota, LinkQuota: t.LinkQuota,
+			Free: headroom.Free, Limit: headroom.Limit, ShiftQuota: t.ShiftQuota, LinkQuota: t.LinkQuota,
 		})
 	}
-	e.conclude(snap, now)
+	e.setReason(snap, now)
 }
 
-func (e *Explanation) conclude(snap *view.Snapshot, now time.Time) {
-	limit := time.Duration(snap.Config.Config.Customers[e.Customer].MaxStalenessMs) * time.Millisecond
+func (e *Explanation) setReason(snap *view.Snapshot, now time.Time) {
+	maxStaleness := time.Duration(snap.Config.Config.Customers[e.Customer].MaxStalenessMs) * time.Millisecond
 	switch {
 	case !snap.Config.Allows(e.Customer, e.Service):
 		e.ProblemType, e.Reason = wire.TypeForbidden, "the customer may not call this service"
-	case limit > 0 && now.Sub(snap.ConfirmedAt) > limit:
+	case maxStaleness > 0 && now.Sub(snap.ConfirmedAt) > maxStaleness:
 		e.ProblemType, e.Reason = wire.TypeNoConfiguration, "the configuration here has not been confirmed for longer than the customer allows"
 	case len(e.Targets) == 0:
 		e.ProblemType, e.Reason = wire.TypeNoRoom, "no zone that may serve this has a ready handler"
@@ -130,34 +130,35 @@
 func explainUpstream(snap *view.Snapshot, customer, name string) ExplainedUpstream {
 	c := snap.Config.Config
 	u := c.Upstreams[name]
-	out := ExplainedUpstream{Name: name, Zone: u.Zone}
+	explained := ExplainedUpstream{Name: name, Zone: u.Zone}
 	if handler, ok := snap.Find(upstream.HandlerOf(c, name, snap.Ready)); ok {
-		out.Handler = handler.Host
+		explained.Handler = handler.Host
 	}
 	region := snap.Config.Region(u.Zone)
 	switch {
 	case !allowsRegion(c.Services[u.Service].Regions, region):
-		out.Reason = "the service may not be served in region " + region
+		explained.Reason = "the service may not be served in region " + region
 	case !allowsRegion(c.Customers[customer].Regions, region):
-		out.Reason = "the customer may not be served in region " + region
+		explained.Reason = "the customer may not be served in region " + region
 	case u.Leaving:
-		out.Reason = "leaving"
-	case draining(c, name, u) != "":
-		out.Reason = "drain " + draining(c, name, u)
-	case out.Handler == "":
-		out.Reason = "no ready daemon in its zone or the zone's sibling"
+		explained.Reason = "leaving"
+	case findDrain(c, name, u) != "":
+		explained.Reason = "drain " + findDrain(c, name, u)
+	case explained.Handler == "":
+		explained.Reason = "no ready daemon in its zone or the zone's sibling"
 	default:
-		out.Usable, out.Reason = true, "in use"
+		explained.Usable, explained.Reason = true, "in use"
 	}
-	return out
+	return explained
 }
 
 func allowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// draining names the drain that empties an upstream, "" if there is none.
-func draining(c *config.Config, name string, u config.Upstream) string {
+// findDrain returns the id of a drain that affects an upstream, or "" if there
+// is none.
+func findDrain(c *config.Config, name string, u config.Upstream) string {
 	for _, id := range slices.Sorted(maps.Keys(c.Drains)) {
 		d := c.Drains[id]
 		switch {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -8,9 +8,10 @@
 	"balsambarrow/internal/view"
 )
 
-// listFresh is the age up to which the host list counts as read: three of the
-// daemon's readings, one of which may be slow and one lost.
-const listFresh = 10 * time.Second
+// hostListMaxAge is the age up to which the host list counts as current. It
+// covers three reads by the daemon, so that one read may be slow and one may
+// fail.
+const hostListMaxAge = 10 * time.Second
 
 // StateUnresponsive is the reported state of a known host whose last heartbeat
 // is older than the member timeout, or that has sent none.
@@ -53,36 +54,36 @@
 }
 
 func (s *Server) getFleet(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, fleetOf(s.View.Load(), time.Now()))
+	writeJSON(w, http.StatusOK, newFleetResponse(s.View.Load(), time.Now()))
 }
 
-func fleetOf(snap *view.Snapshot, now time.Time) FleetResponse {
-	out := FleetResponse{
+func newFleetResponse(snap *view.Snapshot, now time.Time) FleetResponse {
+	response := FleetResponse{
 		SeenBy: snap.Self.Instance, Version: snap.Self.ConfigVersion,
-		Complete: !snap.Fleet.ListedAt.IsZero() && now.Sub(snap.Fleet.ListedAt) <= listFresh,
-		Daemons:  []DaemonStatus{statusOf(snap.Self, now)},
+		Complete: !snap.Fleet.ListedAt.IsZero() && now.Sub(snap.Fleet.ListedAt) <= hostListMaxAge,
+		Daemons:  []DaemonStatus{memberStatus(snap.Self, now)},
 	}
-	out.Daemons[0].Listed = true
+	response.Daemons[0].Listed = true
 	for _, h := range snap.Fleet.Hosts {
-		out.Daemons = append(out.Daemons, hostStatus(h, now))
+		response.Daemons = append(response.Daemons, hostStatus(h, now))
 	}
-	return out
+	return response
 }
 
-func statusOf(m membership.Member, now time.Time) DaemonStatus {
+func memberStatus(m membership.Member, now time.Time) DaemonStatus {
 	return DaemonStatus{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: m.State,
 		ConfigVersion: m.ConfigVersion, ConfigRejected: m.ConfigRejected,
-		Slots: m.Slots, WatchesStore: m.Watches, ConfirmedAgeMs: age(m.ConfirmedAt, now),
+		Slots: m.Slots, WatchesStore: m.Watches, ConfirmedAgeMs: ageMillis(m.ConfirmedAt, now),
 	}
 }
 
 func hostStatus(h view.Host, now time.Time) DaemonStatus {
-	d := statusOf(h.LastReport, now)
+	d := memberStatus(h.LastReport, now)
 	d.Host, d.Zone, d.Listed = h.Name, h.Zone, h.Listed
-	d.HeartbeatAgeMs = age(h.LastReport.HeardAt, now)
+	d.HeartbeatAgeMs = ageMillis(h.LastReport.HeardAt, now)
 	if d.HeartbeatAgeMs < 0 {
-		d.HeartbeatAgeMs = age(h.KnownSince, now)
+		d.HeartbeatAgeMs = ageMillis(h.KnownSince, now)
 	}
 	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeardAt) > membership.GoneAfter {
 		d.State, d.Slots, d.WatchesStore = StateUnresponsive, nil, false
@@ -90,8 +91,9 @@
 	return d
 }
 
-// age in milliseconds; -1 where the time is not known.
-func age(t, now time.Time) int64 {
+// ageMillis returns the time from t to now in milliseconds, or -1 if t is zero
+// (unknown).
+func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
 		return -1
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -46,7 +46,7 @@
 	s.mux.HandleFunc("GET /v1/fleet", s.getFleet)
 	s.mux.HandleFunc("GET /v1/explain", s.getExplanation)
 	s.mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	s.mux.HandleFunc("GET /readyz", s.ready)
+	s.mux.HandleFunc("GET /readyz", s.getReadiness)
 	s.mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		s.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
@@ -82,7 +82,7 @@
 	FailureUnavailable    = "unavailable"
 )
 
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) getReadiness(w http.ResponseWriter, _ *http.Request) {
 	if s.View.Load().Self.State != membership.StateReady {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -90,10 +90,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func fail(w http.ResponseWriter, status int, f Failure) { answer(w, status, f) }
+func writeFailure(w http.ResponseWriter, status int, f Failure) { writeJSON(w, status, f) }
