--- a/internal/operator/ctl/client.go
+++ b/internal/operator/ctl/client.go
@@ -17,17 +17,18 @@
 	"balsambarrow/internal/operator"
 )
 
-// Timing of calls.
+// Timeouts and retries of requests.
 const (
-	// requestTimeout is above what a daemon takes to settle a write with a
-	// slow store: two reads and three writes of 2 s.
+	// requestTimeout exceeds the longest time that a daemon needs to complete a
+	// write to a slow store: two reads and three writes of 2 s each.
 	requestTimeout = 15 * time.Second
-	// askTries and askPause: how a change of unknown outcome is asked for.
-	askTries = 5
-	askPause = 400 * time.Millisecond
+	// A change of unknown outcome is looked up by its id up to
+	// outcomeQueryAttempts times, outcomeQueryInterval apart.
+	outcomeQueryAttempts = 5
+	outcomeQueryInterval = 400 * time.Millisecond
 )
 
-// ErrUnreachable says that no daemon answered.
+// ErrUnreachable reports that no daemon responded.
 var ErrUnreachable = errors.New("balsamctl: daemon unreachable")
 
 // APIError is an error response of the operators' API.
@@ -68,143 +69,149 @@
 type OutcomeUnknownError struct{ ChangeID string }
 
 func (e *OutcomeUnknownError) Error() string {
-	return "outcome-unknown: the change may have taken effect\nask:          balsamctl config change " + e.ChangeID +
-		"\nsubmit again: the same command with --change-id " + e.ChangeID + ", which applies it once at most"
+	return "outcome-unknown: the change may have taken effect\ncheck:        balsamctl config change " + e.ChangeID +
+		"\nsubmit again: the same command with --change-id " + e.ChangeID + ", which applies the change at most once"
 }
 
-// Client talks to the operators' API of the first daemon that answers.
+// Client is a client of the operators' API. It sends a request to its daemons in
+// turn until one responds.
 type Client struct {
-	bases []*sling.Sling
+	daemons []*sling.Sling
 }
 
-// NewClient returns a client of the operators' listeners at addresses.
+// NewClient returns a client of the daemons whose operators' listeners are at
+// addresses.
 func NewClient(addresses ...string) *Client {
 	client := &http.Client{Timeout: requestTimeout}
 	c := &Client{}
 	for _, address := range addresses {
-		c.bases = append(c.bases, sling.New().Client(client).Base("http://"+address))
+		c.daemons = append(c.daemons, sling.New().Client(client).Base("http://"+address))
 	}
 	return c
 }
 
-// Config reads the configuration.
+// Config returns the stored configuration.
 func (c *Client) Config() (operator.ConfigResponse, error) {
-	var a operator.ConfigResponse
-	return a, c.get("/v1/config", &a)
+	var response operator.ConfigResponse
+	return response, c.get("/v1/config", &response)
 }
 
-// Changes reads the recent changes.
+// Changes returns the recent changes.
 func (c *Client) Changes() (operator.ChangesResponse, error) {
-	var a operator.ChangesResponse
-	return a, c.get("/v1/changes", &a)
+	var response operator.ChangesResponse
+	return response, c.get("/v1/changes", &response)
 }
 
-// Change looks a recent change up.
+// Change returns the recent change with an id.
 func (c *Client) Change(id string) (config.Change, error) {
-	var a config.Change
-	return a, c.get("/v1/changes/"+url.PathEscape(id), &a)
+	var response config.Change
+	return response, c.get("/v1/changes/"+url.PathEscape(id), &response)
 }
 
-// Fleet reads the fleet's status as the daemon sees it.
+// Fleet returns the status of the fleet as seen by the responding daemon.
 func (c *Client) Fleet() (operator.FleetResponse, error) {
-	var a operator.FleetResponse
-	return a, c.get("/v1/fleet", &a)
+	var response operator.FleetResponse
+	return response, c.get("/v1/fleet", &response)
 }
 
-// Explain asks where a customer's request goes.
+// Explain returns how a customer's request that enters in the zone from would be
+// routed.
 func (c *Client) Explain(service, customer, from string) (operator.Explanation, error) {
-	var a operator.Explanation
+	var response operator.Explanation
 	query := url.Values{"service": {service}, "customer": {customer}, "from": {from}}
-	return a, c.get("/v1/explain?"+query.Encode(), &a)
+	return response, c.get("/v1/explain?"+query.Encode(), &response)
 }
 
-// Patch submits a merge patch against base under a new change id.
+// Patch submits a merge patch that is based on version base, under a new change
+// id.
 func (c *Client) Patch(base uint64, merge []byte) (operator.ConfigResponse, error) {
 	return c.Submit(base, merge, uuid.NewString())
 }
 
-// Submit submits a merge patch against base. Every daemon may be tried in
-// turn, since a change id takes effect once at most. The error is an
-// *OutcomeUnknownError if the outcome could not be determined.
+// Submit submits a merge patch that is based on version base, under the change id
+// id. The patch may safely be sent to several daemons in turn, since a change id
+// is applied at most once.
+// The error is an *OutcomeUnknownError if the outcome could not be determined.
 func (c *Client) Submit(base uint64, merge []byte, id string) (operator.ConfigResponse, error) {
-	doubt := false
+	mayBeApplied := false
 	err := ErrUnreachable
-	for _, daemon := range c.bases {
-		var a operator.ConfigResponse
+	for _, daemon := range c.daemons {
+		var response operator.ConfigResponse
 		s := daemon.New().Patch("/v1/config").
 			Set(operator.HeaderIfMatch, strconv.Quote(strconv.FormatUint(base, 10))).
 			Set(operator.HeaderChangeID, id).
 			Body(bytes.NewReader(merge))
-		if err = receive(s, &a); err == nil {
-			return a, nil
+		if err = doRequest(s, &response); err == nil {
+			return response, nil
 		}
-		var refused *APIError
+		var apiErr *APIError
 		switch {
-		case !errors.As(err, &refused):
-			doubt = doubt || !neverSent(err)
-		case refused.exitCode() == ExitUnknown:
-			doubt = true
-		case refused.exitCode() != ExitUnavailable:
-			return a, err
+		case !errors.As(err, &apiErr):
+			mayBeApplied = mayBeApplied || !isDialError(err)
+		case apiErr.exitCode() == ExitUnknown:
+			mayBeApplied = true
+		case apiErr.exitCode() != ExitUnavailable:
+			return response, err
 		}
 	}
-	if !doubt {
+	if !mayBeApplied {
 		return operator.ConfigResponse{}, err
 	}
-	return c.settle(base, id)
+	return c.resolveOutcome(base, id)
 }
 
-// settle finds out what has become of a change. A change based on a version
-// that is no longer current and that is not among the recent ones was refused.
-func (c *Client) settle(base uint64, id string) (operator.ConfigResponse, error) {
-	for try := range askTries {
-		if try > 0 {
-			time.Sleep(askPause)
+// resolveOutcome looks up whether a change was applied. If the stored version is
+// above the change's base and the change is not among the recent changes, the
+// change was rejected as stale.
+func (c *Client) resolveOutcome(base uint64, id string) (operator.ConfigResponse, error) {
+	for attempt := range outcomeQueryAttempts {
+		if attempt > 0 {
+			time.Sleep(outcomeQueryInterval)
 		}
 		change, err := c.Change(id)
 		if err == nil {
 			return operator.ConfigResponse{Version: change.Version}, nil
 		}
-		var refused *APIError
-		if errors.As(err, &refused) && refused.Failure.Type == operator.FailureNoSuchChange && refused.Failure.CurrentVersion > base {
-			refused.Failure.Type, refused.Failure.Detail = operator.FailureStaleVersion, "another change was made first"
-			return operator.ConfigResponse{}, refused
+		var apiErr *APIError
+		if errors.As(err, &apiErr) && apiErr.Failure.Type == operator.FailureNoSuchChange && apiErr.Failure.CurrentVersion > base {
+			apiErr.Failure.Type, apiErr.Failure.Detail = operator.FailureStaleVersion, "another change was made first"
+			return operator.ConfigResponse{}, apiErr
 		}
 	}
 	return operator.ConfigResponse{}, &OutcomeUnknownError{ChangeID: id}
 }
 
-// get asks the daemons in turn until one can answer.
-func (c *Client) get(path string, into any) error {
+// get sends a GET request to the daemons in turn until one of them can serve it.
+func (c *Client) get(path string, result any) error {
 	err := ErrUnreachable
-	for _, daemon := range c.bases {
-		err = receive(daemon.New().Get(path), into)
-		var refused *APIError
-		if err == nil || (errors.As(err, &refused) && refused.exitCode() != ExitUnavailable) {
+	for _, daemon := range c.daemons {
+		err = doRequest(daemon.New().Get(path), result)
+		var apiErr *APIError
+		if err == nil || (errors.As(err, &apiErr) && apiErr.exitCode() != ExitUnavailable) {
 			return err
 		}
 	}
 	return err
 }
 
-// callError is a call that got no answer.
-type callError struct{ cause error }
+// transportError reports a request that received no valid HTTP response.
+type transportError struct{ cause error }
 
-func (e *callError) Error() string { return ErrUnreachable.Error() + ": " + e.cause.Error() }
+func (e *transportError) Error() string { return ErrUnreachable.Error() + ": " + e.cause.Error() }
 
-// Is makes a callError an ErrUnreachable.
-func (e *callError) Is(target error) bool { return target == ErrUnreachable }
+// Is makes errors.Is(err, ErrUnreachable) true for a transportError.
+func (e *transportError) Is(target error) bool { return target == ErrUnreachable }
 
-func receive(s *sling.Sling, into any) error {
+func doRequest(s *sling.Sling, result any) error {
 	var failure json.RawMessage
-	resp, err := s.Receive(into, &failure) //nolint:bodyclose // sling closes it
+	resp, err := s.Receive(result, &failure) //nolint:bodyclose // sling closes it
 	if err != nil {
-		return &callError{err}
+		return &transportError{err}
 	}
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	refused := &APIError{Status: resp.StatusCode}
-	_ = json.Unmarshal(failure, &refused.Failure)
-	return refused
+	apiErr := &APIError{Status: resp.StatusCode}
+	_ = json.Unmarshal(failure, &apiErr.Failure)
+	return apiErr
 }
--- a/internal/operator/ctl/config.go
+++ b/internal/operator/ctl/config.go
@@ -17,47 +17,47 @@
 	"balsambarrow/internal/jsonc"
 )
 
-func configCommand(e *env) *cobra.Command {
+func configCommand(e *commandEnv) *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Read and change the configuration"}
-	cmd.AddCommand(configGet(e), configApply(e), configPatch(e), configDiff(e), configValidate(e), configHistory(e), configChange(e))
+	cmd.AddCommand(configGetCommand(e), configApplyCommand(e), configPatchCommand(e), configDiffCommand(e), configValidateCommand(e), configHistoryCommand(e), configChangeCommand(e))
 	return cmd
 }
 
-func configGet(e *env) *cobra.Command {
+func configGetCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:     "get",
 		Short:   "Print the configuration and its version",
 		Example: "  balsamctl config get > current.jsonc",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			a, err := e.client().Config()
+			response, err := e.client().Config()
 			if err != nil {
 				return err
 			}
-			return e.show(a, func(w io.Writer) error {
-				pretty, err := json.MarshalIndent(a.Document, "", "  ")
+			return e.printOutput(response, func(w io.Writer) error {
+				pretty, err := json.MarshalIndent(response.Document, "", "  ")
 				if err != nil {
 					return errors.Wrap(err, "print")
 				}
-				_, err = fmt.Fprintf(w, "// version %d\n%s\n", a.Version, pretty)
+				_, err = fmt.Fprintf(w, "// version %d\n%s\n", response.Version, pretty)
 				return err
 			})
 		},
 	}
 }
 
-func configApply(e *env) *cobra.Command {
+func configApplyCommand(e *commandEnv) *cobra.Command {
 	var merges []string
-	var c change
+	var change submission
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Make the configuration equal to a file",
-		Long: "Make the configuration equal to a file. It is compared with the current version,\n" +
-			"and only the difference is submitted; a change made meanwhile is not overwritten.",
+		Long: "Make the configuration equal to a file. Only the difference from the current version\n" +
+			"is submitted, and a change made in the meantime is not overwritten.",
 		Example: "  balsamctl config apply fleet.jsonc --wait",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			wanted, err := readWanted(args[0], merges)
+			desired, err := readDesiredConfig(args[0], merges)
 			if err != nil {
 				return err
 			}
@@ -65,22 +65,23 @@
 			if err != nil {
 				return err
 			}
-			c.base = current.Version
-			if c.merge, err = jsonpatch.CreateMergePatch(current.Document, wanted); err != nil {
-				return errors.Wrap(err, "compare")
+			change.base = current.Version
+			if change.merge, err = jsonpatch.CreateMergePatch(current.Document, desired); err != nil {
+				return errors.Wrap(err, "compute difference")
 			}
-			return e.submitAndShow(c)
+			return e.submitAndPrint(change)
 		},
 	}
-	cmd.Flags().StringSliceVar(&merges, "merge", nil, "merge patches to lay over the file first")
-	cmd.Flags().StringVar(&c.id, "change-id", "", "UUID of an earlier submission of the same change")
-	c.wait.add(cmd)
+	cmd.Flags().StringSliceVar(&merges, "merge", nil, "merge patches to apply to the file first")
+	cmd.Flags().StringVar(&change.id, "change-id", "", "UUID of an earlier submission of the same change")
+	change.wait.add(cmd)
 	return cmd
 }
 
-// readWanted reads a whole configuration. Its faults come with the file's
-// lines.
-func readWanted(file string, merges []string) ([]byte, error) {
+// readDesiredConfig reads a complete configuration from a file, applies the merge
+// patches and validates the result. Without merge patches, the reported faults
+// name lines of the file.
+func readDesiredConfig(file string, merges []string) ([]byte, error) {
 	doc, err := readDocument(file)
 	if err != nil {
 		return nil, err
@@ -120,8 +121,8 @@
 	return err
 }
 
-func configPatch(e *env) *cobra.Command {
-	var c change
+func configPatchCommand(e *commandEnv) *cobra.Command {
+	var change submission
 	cmd := &cobra.Command{
 		Use:     "patch FILE",
 		Short:   "Submit a JSON Merge Patch against a numbered version",
@@ -136,37 +137,37 @@
 			if err != nil {
 				return err
 			}
-			if current.Version == c.base {
-				if err := check(current, doc); err != nil {
+			if current.Version == change.base {
+				if err := checkPatch(current, doc); err != nil {
 					return err
 				}
 			}
-			c.merge = doc.StandardJSON()
-			return e.submitAndShow(c)
+			change.merge = doc.StandardJSON()
+			return e.submitAndPrint(change)
 		},
 	}
-	cmd.Flags().Uint64Var(&c.base, "base", 0, "version that the patch was built on")
-	cmd.Flags().StringVar(&c.id, "change-id", "", "UUID of an earlier submission of the same change")
-	c.wait.add(cmd)
+	cmd.Flags().Uint64Var(&change.base, "base", 0, "version that the patch was built on")
+	cmd.Flags().StringVar(&change.id, "change-id", "", "UUID of an earlier submission of the same change")
+	change.wait.add(cmd)
 	_ = cmd.MarkFlagRequired("base")
 	return cmd
 }
 
-// difference is one path that differs.
+// difference is one path at which two documents differ.
 type difference struct {
 	Path string          `json:"path"`
 	Old  json.RawMessage `json:"old,omitempty"`
 	New  json.RawMessage `json:"new,omitempty"`
 }
 
-func configDiff(e *env) *cobra.Command {
+func configDiffCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:     "diff FILE",
 		Short:   "Show what apply would change",
 		Example: "  balsamctl config diff fleet.jsonc",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			wanted, err := readWanted(args[0], nil)
+			desired, err := readDesiredConfig(args[0], nil)
 			if err != nil {
 				return err
 			}
@@ -174,8 +175,8 @@
 			if err != nil {
 				return err
 			}
-			differences := compare(current.Document, wanted, "")
-			return e.show(differences, func(w io.Writer) error { return printDifferences(w, current.Version, differences) })
+			differences := diffDocuments(current.Document, desired, "")
+			return e.printOutput(differences, func(w io.Writer) error { return printDifferences(w, current.Version, differences) })
 		},
 	}
 }
@@ -196,34 +197,34 @@
 	return nil
 }
 
-// compare lists the paths at which two documents differ, in order. Objects
-// are compared by member, everything else as a whole.
-func compare(old, wanted json.RawMessage, at string) []difference {
-	var a, b map[string]json.RawMessage
-	if json.Unmarshal(old, &a) != nil || json.Unmarshal(wanted, &b) != nil || a == nil || b == nil {
-		if string(old) != "" && string(wanted) != "" && jsonpatch.Equal(old, wanted) {
+// diffDocuments returns the paths at which two documents differ, sorted. Objects
+// are compared member by member; all other values are compared as units.
+func diffDocuments(current, desired json.RawMessage, path string) []difference {
+	var currentMembers, desiredMembers map[string]json.RawMessage
+	if json.Unmarshal(current, &currentMembers) != nil || json.Unmarshal(desired, &desiredMembers) != nil || currentMembers == nil || desiredMembers == nil {
+		if string(current) != "" && string(desired) != "" && jsonpatch.Equal(current, desired) {
 			return nil
 		}
-		return []difference{{Path: at, Old: old, New: wanted}}
+		return []difference{{Path: path, Old: current, New: desired}}
 	}
 	names := map[string]bool{}
-	for name := range a {
+	for name := range currentMembers {
 		names[name] = true
 	}
-	for name := range b {
+	for name := range desiredMembers {
 		names[name] = true
 	}
-	var out []difference
+	var differences []difference
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		out = append(out, compare(a[name], b[name], at+"/"+jsonc.EscapeToken(name))...)
+		differences = append(differences, diffDocuments(currentMembers[name], desiredMembers[name], path+"/"+jsonc.EscapeToken(name))...)
 	}
-	return out
+	return differences
 }
 
-func configValidate(e *env) *cobra.Command {
+func configValidateCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:     "validate FILE",
-		Short:   "Check a configuration file without a fleet",
+		Short:   "Validate a configuration file without contacting a daemon",
 		Example: "  balsamctl config validate fleet.jsonc",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -236,19 +237,19 @@
 	}
 }
 
-func configHistory(e *env) *cobra.Command {
+func configHistoryCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:     "history",
 		Short:   "Show the recent changes, newest last",
 		Example: "  balsamctl config history -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			a, err := e.client().Changes()
+			response, err := e.client().Changes()
 			if err != nil {
 				return err
 			}
-			return e.show(a, func(w io.Writer) error {
-				for _, c := range a.Changes {
+			return e.printOutput(response, func(w io.Writer) error {
+				for _, c := range response.Changes {
 					if err := printChange(w, c); err != nil {
 						return err
 					}
@@ -260,18 +261,18 @@
 }
 
 func printChange(w io.Writer, c config.Change) error {
-	what := string(c.Patch)
-	if what == "" {
-		what = fmt.Sprint(c.Paths)
+	content := string(c.Patch)
+	if content == "" {
+		content = fmt.Sprint(c.Paths)
 	}
-	_, err := fmt.Fprintf(w, "%d  %s  %s  %s\n", c.Version, time.UnixMilli(c.AtUnixMs).UTC().Format(time.RFC3339), c.ID, what)
+	_, err := fmt.Fprintf(w, "%d  %s  %s  %s\n", c.Version, time.UnixMilli(c.AtUnixMs).UTC().Format(time.RFC3339), c.ID, content)
 	return err
 }
 
-func configChange(e *env) *cobra.Command {
+func configChangeCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:     "change ID",
-		Short:   "Show what has become of a change",
+		Short:   "Show the outcome of a change",
 		Example: "  balsamctl config change 3f0c1a52-63d5-4a5e-9a57-0c7f0b6f4a11",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -279,7 +280,7 @@
 			if err != nil {
 				return err
 			}
-			return e.show(c, func(w io.Writer) error { return printChange(w, c) })
+			return e.printOutput(c, func(w io.Writer) error { return printChange(w, c) })
 		},
 	}
 }
--- a/internal/operator/ctl/dial.go
+++ b/internal/operator/ctl/dial.go
@@ -6,10 +6,10 @@
 	"github.com/pkg/errors"
 )
 
-// neverSent tells whether a call certainly had no effect: no connection was
-// made for it.
-func neverSent(err error) bool {
-	var call *callError
+// isDialError reports whether a request failed before its connection was
+// established. Such a request certainly had no effect.
+func isDialError(err error) bool {
+	var transport *transportError
 	var op *net.OpError
-	return errors.As(err, &call) && errors.As(call.cause, &op) && op.Op == "dial"
+	return errors.As(err, &transport) && errors.As(transport.cause, &op) && op.Op == "dial"
 }
--- a/internal/operator/ctl/drain.go
+++ b/internal/operator/ctl/drain.go
@@ -9,27 +9,27 @@
 	"balsambarrow/internal/config"
 )
 
-func drainCommand(e *env) *cobra.Command {
+func drainCommand(e *commandEnv) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "drain",
 		Short: "Empty an upstream, zone, region or entry host",
-		Long: "Empty an upstream, zone, region or entry host. The plan is shown first and\n" +
-			"submitted with --yes. A drain stays in the configuration until it is undone.",
+		Long: "Empty an upstream, zone, region or entry host. The command shows the plan, and\n" +
+			"submits it only with --yes. A drain stays in the configuration until it is undone.",
 		Example: "  balsamctl drain zone vt-a --cap 200 --ramp 5m\n" +
 			"  balsamctl drain zone vt-a --cap 200 --ramp 5m --yes --wait\n" +
 			"  balsamctl drain undo zone-vt-a --yes",
 	}
 	for _, kind := range []config.DrainKind{config.DrainUpstream, config.DrainZone, config.DrainRegion, config.DrainHost} {
-		cmd.AddCommand(drainKind(e, kind))
+		cmd.AddCommand(drainKindCommand(e, kind))
 	}
-	cmd.AddCommand(undo(e, "drain", "zone-vt-a", func(c *config.Config, name string) (shifts, bool) {
+	cmd.AddCommand(undoCommand(e, "drain", "zone-vt-a", func(c *config.Config, name string) (shiftPatch, bool) {
 		_, ok := c.Drains[name]
-		return shifts{Drains: map[string]*config.Drain{name: nil}}, ok
-	}), drainList(e))
+		return shiftPatch{Drains: map[string]*config.Drain{name: nil}}, ok
+	}), drainListCommand(e))
 	return cmd
 }
 
-func drainKind(e *env, kind config.DrainKind) *cobra.Command {
+func drainKindCommand(e *commandEnv, kind config.DrainKind) *cobra.Command {
 	f := &shiftFlags{}
 	cmd := &cobra.Command{
 		Use:     string(kind) + " NAME",
@@ -40,32 +40,34 @@
 			if f.name == "" {
 				f.name = string(kind) + "-" + args[0]
 			}
-			return e.carryOut(f, shifts{Drains: map[string]*config.Drain{f.name: {
+			return e.planAndSubmit(f, shiftPatch{Drains: map[string]*config.Drain{f.name: {
 				Kind: kind, Target: args[0], CapPerSecond: f.cap,
 				RampSeconds: f.ramp.Seconds(), StartUnixMs: time.Now().UnixMilli(),
 			}}})
 		},
 	}
-	f.add(cmd, rampOf(kind))
+	f.add(cmd, defaultRampFor(kind))
 	return cmd
 }
 
-// defaultRamp gives caches elsewhere time to warm.
+// defaultRamp gives the caches of the upstreams that receive the traffic time to
+// warm up.
 const defaultRamp = time.Minute
 
-// rampOf is a drain's ramp unless the operator names one: a leaving upstream
-// gets nothing new as soon as the version is in force.
-func rampOf(kind config.DrainKind) time.Duration {
+// defaultRampFor returns the default of --ramp for a kind of drain. Drains of an
+// upstream or a host have no ramp: a leaving upstream receives no new requests as
+// soon as the version is in force.
+func defaultRampFor(kind config.DrainKind) time.Duration {
 	if kind == config.DrainUpstream || kind == config.DrainHost {
 		return 0
 	}
 	return defaultRamp
 }
 
-func drainList(e *env) *cobra.Command {
-	return list(e, "drain", "NAME\tKIND\tTARGET\tCAP/S\tRAMP",
+func drainListCommand(e *commandEnv) *cobra.Command {
+	return listCommand(e, "drain", "NAME\tKIND\tTARGET\tCAP/S\tRAMP",
 		func(c *config.Config) map[string]config.Drain { return c.Drains },
 		func(d config.Drain) string {
-			return fmt.Sprintf("%s\t%s\t%g\t%s", d.Kind, d.Target, d.CapPerSecond, progress(d.StartUnixMs, d.RampSeconds, time.Now()))
+			return fmt.Sprintf("%s\t%s\t%g\t%s", d.Kind, d.Target, d.CapPerSecond, rampProgress(d.StartUnixMs, d.RampSeconds, time.Now()))
 		})
 }
--- a/internal/operator/ctl/explain.go
+++ b/internal/operator/ctl/explain.go
@@ -10,13 +10,13 @@
 	"balsambarrow/internal/operator"
 )
 
-func explainCommand(e *env) *cobra.Command {
+func explainCommand(e *commandEnv) *cobra.Command {
 	var customer, from string
 	cmd := &cobra.Command{
 		Use:   "explain SERVICE",
-		Short: "Show where a customer's request goes, or why it is refused",
-		Long: "Show what the asked daemon would do now with a request that enters in a zone.\n" +
-			"The customer's rate is not looked at.",
+		Short: "Show where a customer's request is routed, or why it is refused",
+		Long: "Show how the responding daemon would now route a request that enters in a zone.\n" +
+			"The customer's rate limit is not evaluated.",
 		Example: "  balsamctl explain lookup --customer addison-farms --from vt-a",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -24,11 +24,11 @@
 			if err != nil {
 				return err
 			}
-			return e.show(x, func(w io.Writer) error { return printExplanation(w, x) })
+			return e.printOutput(x, func(w io.Writer) error { return printExplanation(w, x) })
 		},
 	}
-	cmd.Flags().StringVar(&customer, "customer", "", "customer whose request it is")
-	cmd.Flags().StringVar(&from, "from", "", "zone where it enters (default: the asked daemon's)")
+	cmd.Flags().StringVar(&customer, "customer", "", "customer that sends the request")
+	cmd.Flags().StringVar(&from, "from", "", "zone where the request enters (default: the responding daemon's zone)")
 	_ = cmd.MarkFlagRequired("customer")
 	return cmd
 }
--- a/internal/operator/ctl/key.go
+++ b/internal/operator/ctl/key.go
@@ -13,31 +13,31 @@
 	"balsambarrow/internal/config"
 )
 
-// keyBytes is the entropy of a granted key.
+// keyBytes is the number of random bytes in a granted key.
 const keyBytes = 32
 
-func keyCommand(e *env) *cobra.Command {
-	cmd := &cobra.Command{Use: "key", Short: "Grant and withdraw customers' keys"}
-	cmd.AddCommand(keyGrant(e), keyWithdraw(e))
+func keyCommand(e *commandEnv) *cobra.Command {
+	cmd := &cobra.Command{Use: "key", Short: "Grant and withdraw keys of customers"}
+	cmd.AddCommand(keyGrantCommand(e), keyWithdrawCommand(e))
 	return cmd
 }
 
-// granted is what key grant prints: the only time that the key is shown.
-type granted struct {
+// grantedKey is the output of key grant. No other command shows the key.
+type grantedKey struct {
 	Customer string `json:"customer"`
 	ID       string `json:"id"`
 	Key      string `json:"key"`
-	accepted
+	submitResult
 }
 
-func keyGrant(e *env) *cobra.Command {
+func keyGrantCommand(e *commandEnv) *cobra.Command {
 	var id string
-	var c change
+	var change submission
 	cmd := &cobra.Command{
 		Use:   "grant CUSTOMER",
-		Short: "Make a new key; it is printed once, only its hash is kept",
-		Long: "Make a new key for a customer. The key is printed once; only its hash is kept.\n" +
-			"Where the outcome is unknown it is not printed: withdraw its id and grant another.",
+		Short: "Create a key; it is printed once, and only its hash is stored",
+		Long: "Create a key for a customer. The key is printed once; only its hash is stored.\n" +
+			"If the outcome is unknown, no key is printed: withdraw the id and grant another key.",
 		Example: "  balsamctl key grant addison-farms --id barn-3 --wait",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -48,76 +48,77 @@
 			if id == "" {
 				id = "k-" + config.DigestOf(key).String()[:8]
 			}
-			keys, err := e.customerKeys(args[0], &c)
+			keys, err := e.customerKeys(args[0], &change)
 			if err != nil {
 				return err
 			}
 			if _, taken := keys[id]; taken {
-				return errors.Wrapf(ErrBadUsage, "customer %s has a key %s already", args[0], id)
+				return errors.Wrapf(ErrBadUsage, "customer %s already has a key %s", args[0], id)
 			}
-			c.merge, err = keyPatch(args[0], id, &config.Key{SHA256: config.DigestOf(key).String()})
+			change.merge, err = keyPatch(args[0], id, &config.Key{SHA256: config.DigestOf(key).String()})
 			if err != nil {
 				return err
 			}
-			return e.grant(c, granted{Customer: args[0], ID: id, Key: key})
+			return e.submitGrant(change, grantedKey{Customer: args[0], ID: id, Key: key})
 		},
 	}
-	cmd.Flags().StringVar(&id, "id", "", "name of the key, for its withdrawal (default: made from its hash)")
-	c.wait.add(cmd)
+	cmd.Flags().StringVar(&id, "id", "", "id of the key, used to withdraw it (default: derived from its hash)")
+	change.wait.add(cmd)
 	return cmd
 }
 
-func (e *env) grant(c change, g granted) error {
+func (e *commandEnv) submitGrant(change submission, g grantedKey) error {
 	var err error
-	g.accepted, err = e.submit(c)
+	g.submitResult, err = e.submit(change)
 	if g.Version == 0 {
 		return err
 	}
-	shown := e.show(g, func(w io.Writer) error {
-		_, err := fmt.Fprintf(w, "key %s of %s: %s\nit is not shown again\n", g.ID, g.Customer, g.Key)
+	printErr := e.printOutput(g, func(w io.Writer) error {
+		_, err := fmt.Fprintf(w, "key %s of %s: %s\nthe key is not shown again\n", g.ID, g.Customer, g.Key)
 		if err != nil {
 			return err
 		}
-		return g.text(w)
+		return g.writeText(w)
 	})
 	if err != nil {
 		return err
 	}
-	return shown
+	return printErr
 }
 
-func keyWithdraw(e *env) *cobra.Command {
-	var c change
+func keyWithdrawCommand(e *commandEnv) *cobra.Command {
+	var change submission
 	cmd := &cobra.Command{
 		Use:     "withdraw CUSTOMER ID",
 		Short:   "Withdraw a key by its id",
 		Example: "  balsamctl key withdraw addison-farms barn-3 --wait",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			keys, err := e.customerKeys(args[0], &c)
+			keys, err := e.customerKeys(args[0], &change)
 			if err != nil {
 				return err
 			}
 			if _, ok := keys[args[1]]; !ok {
 				return errors.Wrapf(ErrBadUsage, "customer %s has no key %s", args[0], args[1])
 			}
-			if c.merge, err = keyPatch(args[0], args[1], nil); err != nil {
+			if change.merge, err = keyPatch(args[0], args[1], nil); err != nil {
 				return err
 			}
-			return e.submitAndShow(c)
+			return e.submitAndPrint(change)
 		},
 	}
-	c.wait.add(cmd)
+	change.wait.add(cmd)
 	return cmd
 }
 
-// customerKeys reads a customer's keys and sets the change's base.
-func (e *env) customerKeys(customer string, c *change) (map[string]config.Key, error) {
+// customerKeys returns a customer's keys, and sets change.base to the version that
+// they were read from.
+func (e *commandEnv) customerKeys(customer string, change *submission) (map[string]config.Key, error) {
 	current, err := e.client().Config()
 	if err != nil {
 		return nil, err
 	}
-	c.base = current.Version
+	change.base = current.Version
 	parsed, err := config.Parse("current", current.Document)
 	if err != nil {
 		return nil, err
@@ -129,7 +130,7 @@
 	return found.Keys, nil
 }
 
-// keyPatch sets one key, or removes it where key is nil.
+// keyPatch returns a merge patch that sets one key, or removes it if key is nil.
 func keyPatch(customer, id string, key *config.Key) ([]byte, error) {
 	type keys struct {
 		Keys map[string]*config.Key `json:"keys"`
@@ -143,7 +144,7 @@
 func newSecret() (string, error) {
 	raw := make([]byte, keyBytes)
 	if _, err := rand.Read(raw); err != nil {
-		return "", errors.Wrap(err, "random key")
+		return "", errors.Wrap(err, "generate random key")
 	}
 	return base64.RawURLEncoding.EncodeToString(raw), nil
 }
--- a/internal/operator/ctl/submit.go
+++ b/internal/operator/ctl/submit.go
@@ -15,10 +15,10 @@
 	"balsambarrow/internal/operator"
 )
 
-// Timing of --wait.
+// Default timeout and polling interval of --wait.
 const (
-	defaultWait = 30 * time.Second
-	waitEvery   = 200 * time.Millisecond
+	defaultWaitTimeout = 30 * time.Second
+	fleetPollInterval  = 200 * time.Millisecond
 )
 
 // NotConfirmedError reports that --wait ended before every host had confirmed
@@ -38,10 +38,10 @@
 		text += "\nzones that have not confirmed: " + strings.Join(e.Zones(), ", ")
 	}
 	for _, d := range e.Unconfirmed {
-		text += fmt.Sprintf("\n  %s (%s): %s, version %d, heard %s ago", d.Host, d.Zone, d.State, d.ConfigVersion, milliseconds(d.HeartbeatAgeMs))
+		text += fmt.Sprintf("\n  %s (%s): %s, version %d, no heartbeat for %s", d.Host, d.Zone, d.State, d.ConfigVersion, fromMillis(d.HeartbeatAgeMs))
 	}
 	if e.HostListIncomplete {
-		text += "\nthe platform's host list cannot be read: there may be hosts that are not known"
+		text += "\nthe platform's host list cannot be read: some hosts may be missing here"
 	}
 	return text
 }
@@ -56,73 +56,75 @@
 	return slices.Compact(zones)
 }
 
-// change is one change on its way from a command to the fleet.
-type change struct {
+// submission is a configuration change that a command submits.
+type submission struct {
 	base  uint64
 	merge []byte
-	// id is the change's id; "" stands for a new one.
+	// id is the change id. If it is empty, a new id is generated.
 	id   string
 	wait waitFlags
 }
 
-// accepted is what a command prints of a change.
-type accepted struct {
+// submitResult is the printed result of a submitted change.
+type submitResult struct {
 	Version    uint64 `json:"version"`
 	Everywhere bool   `json:"everywhere,omitempty"`
 }
 
-// submit submits a change and waits for it, without printing.
-func (e *env) submit(c change) (accepted, error) {
-	if c.id == "" {
-		c.id = uuid.NewString()
+// submit submits a change and, with --wait, waits until every host has confirmed
+// it. It prints nothing.
+func (e *commandEnv) submit(change submission) (submitResult, error) {
+	if change.id == "" {
+		change.id = uuid.NewString()
 	}
-	a, err := e.client().Submit(c.base, c.merge, c.id)
+	response, err := e.client().Submit(change.base, change.merge, change.id)
 	if err != nil {
-		return accepted{}, err
+		return submitResult{}, err
 	}
-	result := accepted{Version: a.Version}
-	if c.wait.wait {
-		err = e.waitFor(a.Version, c.wait.timeout)
+	result := submitResult{Version: response.Version}
+	if change.wait.wait {
+		err = e.waitUntilConfirmed(response.Version, change.wait.timeout)
 		result.Everywhere = err == nil
 	}
 	return result, err
 }
 
-// submitAndShow submits a change and prints what became of it.
-func (e *env) submitAndShow(c change) error {
-	result, err := e.submit(c)
+// submitAndPrint submits a change and prints its result.
+func (e *commandEnv) submitAndPrint(change submission) error {
+	result, err := e.submit(change)
 	if result.Version == 0 {
 		return err
 	}
-	shown := e.show(result, result.text)
+	printErr := e.printOutput(result, result.writeText)
 	if err != nil {
 		return err
 	}
-	return shown
+	return printErr
 }
 
-func (a accepted) text(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "version %d accepted\n", a.Version)
-	if err == nil && a.Everywhere {
-		_, err = fmt.Fprintf(w, "version %d in force everywhere\n", a.Version)
+func (r submitResult) writeText(w io.Writer) error {
+	_, err := fmt.Fprintf(w, "version %d accepted\n", r.Version)
+	if err == nil && r.Everywhere {
+		_, err = fmt.Fprintf(w, "version %d in force everywhere\n", r.Version)
 	}
 	return err
 }
 
-// waitFor waits until every host that is listed or was heard has a version.
-func (e *env) waitFor(version uint64, timeout time.Duration) error {
-	for end := time.Now().Add(timeout); ; time.Sleep(waitEvery) {
+// waitUntilConfirmed waits until every host that is in the host list or known from
+// heartbeats has reported at least a version.
+func (e *commandEnv) waitUntilConfirmed(version uint64, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(fleetPollInterval) {
 		fleet, err := e.client().Fleet()
 		if err == nil {
-			err = missing(fleet, version)
+			err = checkConfirmed(fleet, version)
 		}
-		if err == nil || time.Now().After(end) {
+		if err == nil || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-func missing(fleet operator.FleetResponse, version uint64) error {
+func checkConfirmed(fleet operator.FleetResponse, version uint64) error {
 	e := &NotConfirmedError{Version: version, HostListIncomplete: !fleet.Complete}
 	for _, d := range fleet.Daemons {
 		if d.ConfigVersion < version {
@@ -135,22 +137,22 @@
 	return e
 }
 
-// check tries a patch on the current document, so that its faults come with
-// the places in the operator's file.
-func check(current operator.ConfigResponse, file *jsonc.Document) error {
-	_, err := tryMerge(current, file.StandardJSON())
+// checkPatch validates the result of a patch on the current document. The returned
+// faults name lines of the operator's file.
+func checkPatch(current operator.ConfigResponse, file *jsonc.Document) error {
+	_, err := mergeConfig(current, file.StandardJSON())
 	var faults jsonc.Faults
 	if !errors.As(err, &faults) {
 		return err
 	}
-	placed := make(jsonc.Faults, len(faults))
+	located := make(jsonc.Faults, len(faults))
 	for i, f := range faults {
-		placed[i] = file.FaultAt(f.Path, f.Problem)
+		located[i] = file.FaultAt(f.Path, f.Problem)
 	}
-	return placed
+	return located
 }
 
-func tryMerge(current operator.ConfigResponse, merge []byte) (*config.Config, error) {
+func mergeConfig(current operator.ConfigResponse, merge []byte) (*config.Config, error) {
 	merged, err := config.Merge(current.Document, merge)
 	if err != nil {
 		return nil, err
@@ -158,4 +160,4 @@
 	return config.Parse("patched", merged)
 }
 
-func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func fromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/operator/ctl/trace.go
+++ b/internal/operator/ctl/trace.go
@@ -13,83 +13,84 @@
 	"github.com/spf13/cobra"
 )
 
-// hop is one span of a daemon's trace file.
-type hop struct {
+// span is one span in a daemon's trace file. It is encoded and decoded under the
+// names of its fields.
+type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
 	StartTime   time.Time
 	EndTime     time.Time
-	Attributes  []hopAttribute
-	// File is the trace file that holds it.
+	Attributes  []spanAttribute
+	// File is the trace file that contains the span.
 	File string
 }
 
-type hopAttribute struct {
+type spanAttribute struct {
 	Key   string
 	Value struct{ Value any }
 }
 
-func traceCommand(e *env) *cobra.Command {
+func traceCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:     "trace ID FILE...",
-		Short:   "Show the hops of one request from daemons' trace files",
-		Long:    "Shows the hops of one request, by the trace id of its traceparent, from the trace files\nof the daemons that it crossed.",
+		Short:   "Show the spans of one request from the trace files of daemons",
+		Long:    "Show the spans of one request, selected by the trace id of its traceparent header,\nfrom the trace files of the daemons that handled the request.",
 		Example: "  balsamctl trace 0af7651916cd43dd8448eb211c80319c entry-vt-a.spans entry-me-a.spans",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var hops []hop
+			var spans []span
 			for _, file := range args[1:] {
-				found, err := readHops(file, args[0])
+				found, err := readSpans(file, args[0])
 				if err != nil {
 					return err
 				}
-				hops = append(hops, found...)
+				spans = append(spans, found...)
 			}
-			if len(hops) == 0 {
-				return errors.Wrapf(ErrBadUsage, "no file holds a span of trace %s", args[0])
+			if len(spans) == 0 {
+				return errors.Wrapf(ErrBadUsage, "no file contains a span of trace %s", args[0])
 			}
-			slices.SortFunc(hops, func(x, y hop) int { return x.StartTime.Compare(y.StartTime) })
-			return e.show(hops, func(out io.Writer) error { return printHops(out, hops) })
+			slices.SortFunc(spans, func(x, y span) int { return x.StartTime.Compare(y.StartTime) })
+			return e.printOutput(spans, func(out io.Writer) error { return printSpans(out, spans) })
 		},
 	}
 }
 
-func readHops(file, trace string) ([]hop, error) {
+func readSpans(file, traceID string) ([]span, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, errors.Wrap(ErrBadUsage, err.Error())
 	}
 	defer func() { _ = f.Close() }()
-	var hops []hop
+	var spans []span
 	for decoder := json.NewDecoder(f); ; {
-		h := hop{File: file}
-		err := decoder.Decode(&h)
+		s := span{File: file}
+		err := decoder.Decode(&s)
 		if errors.Is(err, io.EOF) {
-			return hops, nil
+			return spans, nil
 		}
 		if err != nil {
 			return nil, errors.Wrapf(ErrBadUsage, "%s: %v", file, err)
 		}
-		if h.SpanContext.TraceID == trace {
-			hops = append(hops, h)
+		if s.SpanContext.TraceID == traceID {
+			spans = append(spans, s)
 		}
 	}
 }
 
-// printHops prints the hops as a tree, in the order of their start.
-func printHops(out io.Writer, hops []hop) error {
-	begin := hops[0].StartTime
-	depth := map[string]int{}
-	for _, h := range hops {
-		level, nested := depth[h.Parent.SpanID]
-		if nested {
-			level++
+// printSpans prints the spans as a tree, ordered by start time.
+func printSpans(out io.Writer, spans []span) error {
+	start := spans[0].StartTime
+	depths := map[string]int{}
+	for _, s := range spans {
+		depth, hasParent := depths[s.Parent.SpanID]
+		if hasParent {
+			depth++
 		}
-		depth[h.SpanContext.SpanID] = level
-		_, err := fmt.Fprintf(out, "%s%s  +%v  %v  %s  %s\n", strings.Repeat("  ", level), h.Name,
-			h.StartTime.Sub(begin).Round(time.Microsecond), h.EndTime.Sub(h.StartTime).Round(time.Microsecond),
-			attributes(h), h.File)
+		depths[s.SpanContext.SpanID] = depth
+		_, err := fmt.Fprintf(out, "%s%s  +%v  %v  %s  %s\n", strings.Repeat("  ", depth), s.Name,
+			s.StartTime.Sub(start).Round(time.Microsecond), s.EndTime.Sub(s.StartTime).Round(time.Microsecond),
+			formatAttributes(s), s.File)
 		if err != nil {
 			return errors.Wrap(err, "print")
 		}
@@ -97,9 +98,9 @@
 	return nil
 }
 
-func attributes(h hop) string {
+func formatAttributes(s span) string {
 	var parts []string
-	for _, a := range h.Attributes {
+	for _, a := range s.Attributes {
 		parts = append(parts, fmt.Sprintf("%s=%v", a.Key, a.Value.Value))
 	}
 	return strings.Join(parts, " ")
--- a/internal/operator/ctl/why.go
+++ b/internal/operator/ctl/why.go
@@ -13,18 +13,19 @@
 	"github.com/spf13/cobra"
 )
 
-// field is one key=value pair of a log line, in the order of the line.
+// field is one key=value pair of a log line. It is encoded under the names of its
+// fields.
 type field struct{ Key, Value string }
 
-// event is one line of an entry host's log.
+// event is one line in the log of an entry host.
 type event struct {
 	At     time.Time `json:"at"`
 	Host   string    `json:"host"`
 	Kind   string    `json:"kind"`
 	Fields []field   `json:"fields"`
-	// Belief holds, for a line about the request, the latest lines before it
-	// that say what its host believed.
-	Belief []event `json:"belief,omitempty"`
+	// KnownState holds, for a line about the request, the latest earlier lines
+	// of the same host that report a change of the host's state.
+	KnownState []event `json:"belief,omitempty"`
 }
 
 func (e *event) value(key string) string {
@@ -36,20 +37,21 @@
 	return ""
 }
 
-// beliefs are the kinds of line that say what a host believes. Of each kind, and
-// of each pair that excludes the other, the latest counts.
-var beliefs = map[string]string{
+// stateTopics maps the log messages that report a change of a host's state to the
+// topic of that state. Only the latest line of each topic applies: messages that
+// exclude each other have the same topic.
+var stateTopics = map[string]string{
 	"configuration in force": "configuration", "store lost": "store", "store regained": "store", "ready": "ready",
 	"zone evacuated": "evacuation", "zone taken back": "evacuation", "registration lapsed": "registration",
 	"registered": "registration", "stopping": "stop", "started": "start", "settings reloaded": "settings",
 }
 
-func whyCommand(e *env) *cobra.Command {
+func whyCommand(e *commandEnv) *cobra.Command {
 	return &cobra.Command{
 		Use:   "why ID [FILE...]",
-		Short: "Show what entry hosts decided about one request, and what they believed",
-		Long: "Shows every line about one request, by its id, from the logs of entry hosts in order of\n" +
-			"time, and under each line what its host believed then. Reads standard input without FILE.",
+		Short: "Show how entry hosts handled one request, and their known state at that time",
+		Long: "Show every log line about one request, by its id, from the logs of entry hosts in order of\n" +
+			"time, each with the state that its host knew then. Without FILE, reads standard input.",
 		Example: "  balsamctl why 9c41d07be2a35f68 entry-1.log entry-2.log\n  journal | balsamctl why 9c41d07be2a35f68",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -57,11 +59,11 @@
 			if err != nil {
 				return err
 			}
-			found := about(events, args[0])
+			found := requestEvents(events, args[0])
 			if len(found) == 0 {
-				return errors.Wrapf(ErrBadUsage, "no line about request %s", args[0])
+				return errors.Wrapf(ErrBadUsage, "no log line about request %s", args[0])
 			}
-			return e.show(found, func(out io.Writer) error { return printWhy(out, found) })
+			return e.printOutput(found, func(out io.Writer) error { return printEvents(out, found) })
 		},
 	}
 }
@@ -86,8 +88,8 @@
 	return all, nil
 }
 
-// readEvents reads key=value lines. Lines of another form are passed over: a log
-// may hold a stack trace or another program's output.
+// readEvents reads the key=value lines of a log. It skips all other lines, since a
+// log may contain stack traces or the output of another program.
 func readEvents(r io.Reader) ([]event, error) {
 	var events []event
 	d := logfmt.NewDecoder(r)
@@ -118,37 +120,38 @@
 	return events, nil
 }
 
-// about picks the lines about a request and adds what their hosts believed.
-func about(events []event, id string) []event {
+// requestEvents returns the events of a request in order of time, each with the
+// state that its host knew at that time.
+func requestEvents(events []event, requestID string) []event {
 	slices.SortStableFunc(events, func(x, y event) int { return x.At.Compare(y.At) })
 	latest := map[string]map[string]event{}
 	var found []event
 	for _, e := range events {
-		if topic, ok := beliefs[e.Kind]; ok {
+		if topic, ok := stateTopics[e.Kind]; ok {
 			if latest[e.Host] == nil {
 				latest[e.Host] = map[string]event{}
 			}
 			latest[e.Host][topic] = e
 		}
-		if e.value("id") != id {
+		if e.value("id") != requestID {
 			continue
 		}
-		for _, b := range latest[e.Host] {
-			e.Belief = append(e.Belief, b)
+		for _, state := range latest[e.Host] {
+			e.KnownState = append(e.KnownState, state)
 		}
-		slices.SortFunc(e.Belief, func(x, y event) int { return x.At.Compare(y.At) })
+		slices.SortFunc(e.KnownState, func(x, y event) int { return x.At.Compare(y.At) })
 		found = append(found, e)
 	}
 	return found
 }
 
-func printWhy(out io.Writer, events []event) error {
+func printEvents(out io.Writer, events []event) error {
 	for _, e := range events {
-		if _, err := fmt.Fprintf(out, "%s  %s  %s  %s\n", e.At.Format("15:04:05.000"), e.Host, e.Kind, fields(e)); err != nil {
+		if _, err := fmt.Fprintf(out, "%s  %s  %s  %s\n", e.At.Format("15:04:05.000"), e.Host, e.Kind, formatFields(e)); err != nil {
 			return errors.Wrap(err, "print")
 		}
-		for _, b := range e.Belief {
-			if _, err := fmt.Fprintf(out, "    %v before: %s  %s\n", e.At.Sub(b.At), b.Kind, fields(b)); err != nil {
+		for _, state := range e.KnownState {
+			if _, err := fmt.Fprintf(out, "    %v before: %s  %s\n", e.At.Sub(state.At), state.Kind, formatFields(state)); err != nil {
 				return errors.Wrap(err, "print")
 			}
 		}
@@ -156,7 +159,7 @@
 	return nil
 }
 
-func fields(e event) string {
+func formatFields(e event) string {
 	var parts []string
 	for _, f := range e.Fields {
 		if f.Key != "id" {
