--- a/cmd/balsamctl/main.go
+++ b/cmd/balsamctl/main.go
@@ -1,4 +1,4 @@
-// Command balsamctl is the operators' tool.
+// Command balsamctl is the operators' command-line tool. Package ctl implements it.
 package main
 
 import (
