--- a/internal/operator/ctl/client.go
+++ b/internal/operator/ctl/client.go
@@ -130,8 +130,8 @@
 
 // Submit submits a merge patch that is based on version base, under the change id
 // id. The patch may safely be sent to several daemons in turn, since a change id
-// is applied at most once.
-// The error is an *OutcomeUnknownError if the outcome could not be determined.
+// is applied at most once. The error is an *OutcomeUnknownError if the outcome
+// could not be determined.
 func (c *Client) Submit(base uint64, merge []byte, id string) (operator.ConfigResponse, error) {
 	mayBeApplied := false
 	err := ErrUnreachable
