--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -62,7 +62,7 @@
 		writeFailure(w, patchErrorStatus(failure.Type), *failure)
 		return
 	}
-	patch.Floor = s.View.Load().Self.ConfigVersion
+	patch.ActiveVersion = s.View.Load().Self.ConfigVersion
 	// The write continues if the operator's connection breaks. In either case
 	// the operator can query its outcome by the change id.
 	applied, err := s.Repository.Apply(context.WithoutCancel(r.Context()), patch)
@@ -110,7 +110,7 @@
 	case errors.As(err, &stale):
 		writeFailure(w, http.StatusConflict, Failure{
 			Type: FailureStaleVersion, Detail: err.Error(), CurrentVersion: stale.Current,
-			Conflicts: stale.Conflicts, HistoryTruncated: stale.Forgotten,
+			Conflicts: stale.Conflicts, HistoryTruncated: stale.HistoryTruncated,
 		})
 	case errors.As(err, &reused):
 		writeFailure(w, http.StatusConflict, Failure{Type: FailureReusedChangeID, Detail: err.Error()})
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -74,18 +74,18 @@
 	return DaemonStatus{
 		Instance: m.Instance, Host: m.Host, Zone: m.Zone, State: m.State,
 		ConfigVersion: m.ConfigVersion, ConfigRejected: m.ConfigRejected,
-		Slots: m.Slots, WatchesStore: m.Watches, ConfirmedAgeMs: ageMillis(m.ConfirmedAt, now),
+		Slots: m.Slots, WatchesStore: m.WatchesStore, ConfirmedAgeMs: ageMillis(m.ConfirmedAt, now),
 	}
 }
 
 func hostStatus(h view.Host, now time.Time) DaemonStatus {
 	d := memberStatus(h.LastReport, now)
 	d.Host, d.Zone, d.Listed = h.Name, h.Zone, h.Listed
-	d.HeartbeatAgeMs = ageMillis(h.LastReport.HeardAt, now)
+	d.HeartbeatAgeMs = ageMillis(h.LastReport.HeartbeatAt, now)
 	if d.HeartbeatAgeMs < 0 {
 		d.HeartbeatAgeMs = ageMillis(h.KnownSince, now)
 	}
-	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeardAt) > membership.GoneAfter {
+	if h.LastReport.Instance == "" || now.Sub(h.LastReport.HeartbeatAt) > membership.MemberTimeout {
 		d.State, d.Slots, d.WatchesStore = StateUnresponsive, nil, false
 	}
 	return d
