--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -223,9 +223,9 @@
 
 	g.Consistently(f.configVersion("vt-1")).Should(Equal(version))
 	_, err = ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Patch(version-1, []byte(ratePatch(800)))
-	var rejected *ctl.RefusedError
+	var rejected *ctl.APIError
 	g.Expect(errors.As(err, &rejected)).To(BeTrue())
-	g.Expect(rejected.Failure.Type).To(Equal(operator.FailNotApplied))
+	g.Expect(rejected.Failure.Type).To(Equal(operator.FailureNotApplied))
 }
 
 // Guards against an outage in a partial upgrade. Half of the fleet is upgraded, and
@@ -270,7 +270,7 @@
 			return d
 		}
 	}
-	return operator.DaemonStatus{ConfirmedMs: -1}
+	return operator.DaemonStatus{ConfirmedAgeMs: -1}
 }
 
 // Guards against a fleet status that omits hosts whose version is unknown. One
@@ -284,7 +284,7 @@
 	f.start("me-1", "me-a")
 	f.listHost(membership.Host{Name: "me-2", Zone: "me-a", PeerAddress: "127.0.0.1:1"})
 	f.awaitReady(f.apply("vt-1", twoRegionConfig()))
-	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedMs }, settleTimeout).Should(BeNumerically(">=", 0))
+	g.Eventually(func() int64 { return f.status("vt-1", "me-1").ConfirmedAgeMs }, settleTimeout).Should(BeNumerically(">=", 0))
 	f.kill("me-1")
 	status := func() []operator.DaemonStatus {
 		fleet, err := ctl.NewClient(f.daemons["vt-1"].OperatorsAddress()).Fleet()
@@ -294,8 +294,8 @@
 	}
 	g.Eventually(status, settleTimeout).Should(ConsistOf(
 		And(HaveField("Host", "vt-1"), HaveField("State", membership.StateReady)),
-		And(HaveField("Host", "me-1"), HaveField("State", operator.StateSilent), HaveField("ConfigVersion", uint64(1))),
-		And(HaveField("Host", "me-2"), HaveField("State", operator.StateSilent), HaveField("ConfigVersion", uint64(0)),
+		And(HaveField("Host", "me-1"), HaveField("State", operator.StateUnresponsive), HaveField("ConfigVersion", uint64(1))),
+		And(HaveField("Host", "me-2"), HaveField("State", operator.StateUnresponsive), HaveField("ConfigVersion", uint64(0)),
 			HaveField("Zone", "me-a")),
 	))
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -175,7 +175,7 @@
 	})
 	operators := operator.New(operator.Deps{
 		View: &d.view, Repository: config.NewRepository(d.store, time.Now), Metrics: d.metrics.Set,
-		Adopt: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
+		ApplyRecord: func(r *config.Record, sentAt time.Time) { d.control.send(recordWritten{activateRecord(r), sentAt}) },
 	})
 	relayServer := &relay.Server{HandleRunner: limiter, PostingRunner: entry.PostingRunner{Server: entryServer}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, PaceResponse: d.paceResponse}
 	var err error
--- a/internal/daemon/request_test.go
+++ b/internal/daemon/request_test.go
@@ -77,10 +77,10 @@
 	g.Expect(err).NotTo(HaveOccurred())
 
 	_, err = client.Patch(1, []byte(`{"customers":{"farm":{"rate":9,"burst":9}}}`))
-	var rejected *ctl.RefusedError
+	var rejected *ctl.APIError
 	g.Expect(errors.As(err, &rejected)).To(BeTrue())
 	g.Expect(rejected.Status).To(Equal(http.StatusConflict))
-	g.Expect(rejected.Failure.Current).To(Equal(uint64(2)))
+	g.Expect(rejected.Failure.CurrentVersion).To(Equal(uint64(2)))
 	g.Expect(rejected.Failure.Conflicts).To(Equal([]string{"/customers/farm/rate"}))
 	now, err := client.Config()
 	g.Expect(err).NotTo(HaveOccurred())
