--- a/internal/standby/active.go
+++ b/internal/standby/active.go
@@ -86,8 +86,8 @@
 	return out
 }
 
-// remaining returns the load that is left after a host has taken its part. A host whose
-// capacity is not known is assumed to be able to carry the full load.
+// remaining returns the load that exceeds a host's capacity, and is left to further hosts. A
+// host whose capacity is not known is assumed to be able to carry the full load.
 func remaining(load, hostCapacity float64) float64 {
 	if hostCapacity <= 0 {
 		return 0
@@ -106,12 +106,12 @@
 }
 
 func strongestOf(hosts []Host) Capacity {
-	var most Capacity
+	var strongest Capacity
 	for _, h := range hosts {
-		most.Cores = max(most.Cores, h.Cores)
-		most.LinkMbps = max(most.LinkMbps, h.LinkMbps)
+		strongest.Cores = max(strongest.Cores, h.Cores)
+		strongest.LinkMbps = max(strongest.LinkMbps, h.LinkMbps)
 	}
-	return most
+	return strongest
 }
 
 // strength returns the capacity of a host as a fraction of the strongest, for the
--- a/internal/standby/active_test.go
+++ b/internal/standby/active_test.go
@@ -60,8 +60,8 @@
 }
 
 // Guards against hosts that compute different sets of active hosts, so that callers are
-// sent to standby hosts. Each host computes the set alone, from heartbeats that arrive in
-// any order, also from hosts of other regions.
+// sent to standby hosts. Each host computes the set independently, from heartbeats that
+// arrive in any order, including those of hosts of other regions.
 func TestAllHostsComputeTheSameSet(t *testing.T) {
 	g := NewWithT(t)
 	list := concat(hosts("s", 1, "a", strong, standby.Load{}), hosts("w", 20, "a", weak, standby.Load{RequestsPerSecond: 30}))
