--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -53,7 +53,7 @@
 	cases := []struct {
 		name    string
 		data    []byte
-		at      time.Time
+		readAt  time.Time
 		matches func(error) bool
 	}{
 		{"empty", nil, written, func(err error) bool { return errors.Is(err, ErrCorrupt) }},
@@ -68,7 +68,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := Decode(c.at, c.data)
+			_, err := Decode(c.readAt, c.data)
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(c.matches(err)).To(BeTrue(), "%v", err)
 		})
