--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -13,8 +13,8 @@
 	"balsambarrow/internal/kv"
 )
 
-func upstreamEntry(id string, born int64, sequence uint64) catalog.Upstream {
-	return catalog.Upstream{ID: id, StartedMs: born, Sequence: sequence}
+func upstreamEntry(id string, startedMs int64, sequence uint64) catalog.Upstream {
+	return catalog.Upstream{ID: id, StartedMs: startedMs, Sequence: sequence}
 }
 
 var start = time.Unix(1000, 0)
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -13,7 +13,7 @@
 const (
 	// responseTimeout bounds a call, in addition to the time that a watch waits in
 	// the store. A slow store responds within a third of a second. A connection
-	// that has gone silent is detected only by this timeout.
+	// that fails without a notification is detected only by this timeout.
 	responseTimeout = 1200 * time.Millisecond
 	// minBackoff and maxBackoff bound the pause after a failed call, before jitter;
 	// Timing.MaxBackoff may raise the upper bound. A pause is needed because the
@@ -27,7 +27,7 @@
 
 // Sink receives the contents of the store. Its methods are called by one goroutine.
 type Sink interface {
-	// OnList replaces the whole known state. The listing shows the store at some
+	// OnList replaces the entire known state. The listing shows the store at some
 	// time after asOf. The first listing may be arbitrarily old; its asOf is zero.
 	OnList(l kv.Listing, asOf time.Time)
 	// OnChanges adds events, possibly none. They cover the store up to some time
@@ -51,7 +51,7 @@
 	// Bootstrap is called before the initial listing. If the host has received the
 	// store's contents from a peer by then, it returns their revision and true. The
 	// follower then skips the listing, and sends the first watch after the usual
-	// interval. Optional.
+	// interval or when Wake receives. Optional.
 	Bootstrap func(ctx context.Context) (revision uint64, ok bool)
 	// AfterInitialList is called between the initial listing and the first watch.
 	// Optional.
--- a/internal/follow/journal.go
+++ b/internal/follow/journal.go
@@ -42,6 +42,7 @@
 }
 
 type step struct {
+	// before and after are the digests before and after the event.
 	before, after uint64
 	event         kv.Event
 	// base is the value that the event replaced. A patch is computed against it.
