--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -189,7 +189,7 @@
 
 func (c *control) logMemberChanges(changes []fleet.MemberChange) {
 	for _, change := range changes {
-		c.d.events.Info("peer "+change.What, "peer", change.Member.Host, "instance", change.Member.Instance,
+		c.d.events.Info("peer "+change.Event, "peer", change.Member.Host, "instance", change.Member.Instance,
 			"zone", change.Member.Zone)
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against a restarted host that counts twice. Its earlier instance is removed as
-// soon as a heartbeat of the new one arrives, and does not come back while its registration
+// soon as a heartbeat of the new one arrives, and is not added again while its registration
 // is still in the store.
 func TestRestartedHostCountsOnce(t *testing.T) {
 	g := NewWithT(t)
@@ -109,8 +109,8 @@
 	g.Expect(m.Demand()).To(HaveKeyWithValue("x", 5.0))
 }
 
-// Guards against state of the full fleet that is rebuilt with each heartbeat: with
-// hundreds of hosts, that alone uses up a host's processor.
+// Guards against state of the entire fleet that is rebuilt with each heartbeat: with
+// hundreds of hosts, rebuilding alone would use up a host's processor.
 func TestUnchangedHeartbeatsKeepTheGeneration(t *testing.T) {
 	g := NewWithT(t)
 	m := fleet.NewMembers("me", "host-me", "r")
--- a/internal/fleet/fragment.go
+++ b/internal/fleet/fragment.go
@@ -39,8 +39,8 @@
 }
 
 // reassembler restores packets from fragments. If too many packets are incomplete, the
-// oldest is dropped, and the host that needs it sends its request again. The zero value
-// is empty. It is not safe for concurrent use.
+// oldest is dropped, and this host sends the request for it again. The zero value is
+// empty. It is not safe for concurrent use.
 type reassembler struct {
 	incomplete []*incompletePacket
 }
--- a/internal/fleet/interval.go
+++ b/internal/fleet/interval.go
@@ -17,8 +17,8 @@
 	// cache a response of the directory for longer than that.
 	standbyInterval = time.Second
 	// RemoteRegionRounds is the number of heartbeats that an active host sends to the
-	// standby hosts of its region for each one to those of other regions. The latter need
-	// it only if their own region has no active host.
+	// standby hosts of its region for each one to those of other regions. Standby hosts
+	// need the heartbeats from other regions only if their region has no active host.
 	RemoteRegionRounds = 4
 	// missedIntervals is the number of intervals without a heartbeat after which a
 	// host counts as unresponsive.
@@ -34,7 +34,7 @@
 // sooner than the heartbeats of standby hosts.
 func (m *Members) Interval(ready bool) time.Duration {
 	if ready {
-		return Interval(m.ready + 1)
+		return Interval(m.readyCount + 1)
 	}
 	return Interval(len(m.byInstance) + 1)
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -27,8 +27,8 @@
 	Leaving bool
 	// Version of the configuration in force at the host.
 	Version uint64
-	// Registered reports whether the host's registration was valid when it sent its last
-	// heartbeat.
+	// Registered reports whether the host had a valid registration as a host that holds
+	// rate shares when it sent its last heartbeat.
 	Registered bool
 	// StoreReachable reports whether the host's last call to the store had succeeded.
 	StoreReachable bool
@@ -41,8 +41,9 @@
 
 	sequence      uint64
 	lastHeartbeat time.Time
-	registered    bool
-	// holdsShares reports whether its registration is that of a host that holds rate shares.
+	// registered reports whether the host's registration is in the store.
+	registered bool
+	// holdsShares reports whether that registration is of a host that holds rate shares.
 	holdsShares bool
 	// alive reports whether its heartbeats had not timed out at the last check.
 	alive bool
@@ -54,14 +55,14 @@
 type Members struct {
 	// self is the instance of this daemon.
 	self string
-	// host of this daemon; its earlier instances have ended.
+	// host is the host of this daemon. Earlier instances on this host have ended.
 	host       string
 	region     string
 	byInstance map[string]*Member
 	// ready is the number of other hosts that are active, and selfReady reports whether
 	// this host is active.
-	ready     int
-	selfReady bool
+	readyCount int
+	selfReady  bool
 	// generation grows with each change of the set of hosts and of their state other
 	// than load and demand.
 	generation uint64
@@ -78,8 +79,8 @@
 // MemberChange reports that a host appeared, disappeared or began to leave, for the log.
 type MemberChange struct {
 	Member Member
-	// What happened: heard, leaving, replaced or forgotten.
-	What string
+	// Event is what happened: heard, leaving, replaced or forgotten.
+	Event string
 }
 
 // ApplyHeartbeat updates the member that sent a heartbeat, and returns the changes for
@@ -119,10 +120,10 @@
 // to be active.
 func (m *Members) updateReadyCount(ready bool) {
 	if ready {
-		m.ready++
+		m.readyCount++
 		return
 	}
-	m.ready--
+	m.readyCount--
 }
 
 // differs reports whether a heartbeat changes any state of its host that other hosts
--- a/internal/fleet/packer.go
+++ b/internal/fleet/packer.go
@@ -17,8 +17,8 @@
 	maxPacketBytes = 8 << 20
 )
 
-// packer compresses large packets; the store's entries of many upstreams are much
-// alike. It is safe for concurrent use.
+// packer compresses large packets; the store's entries of different upstreams are
+// similar. It is safe for concurrent use.
 type packer struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
