--- a/internal/entryhost/activation.go
+++ b/internal/entryhost/activation.go
@@ -12,9 +12,9 @@
 	// is ready. It allows for one watch and one slow response of the store, and is below the
 	// age up to which API keys are accepted.
 	maxConfigurationAge = 3300 * time.Millisecond
-	// deactivateAfter is how long this host must not have been selected as an active host
-	// before it becomes a standby. After a start or a network partition, the heartbeats of all
-	// hosts arrive within one or two seconds.
+	// deactivateAfter is how long this host stays active after it was last selected as an
+	// active host. After a start or a network partition, the heartbeats of all hosts arrive
+	// within one or two seconds.
 	deactivateAfter = 4 * time.Second
 	// activationInterval is the least time between two activation decisions. Each decision goes
 	// through all hosts of the region.
@@ -36,7 +36,7 @@
 
 type activationInputs struct {
 	membersGeneration uint64
-	able, leaving     bool
+	canServe, leaving bool
 }
 
 // canServe reports whether the host could serve callers now.
@@ -45,13 +45,14 @@
 	return loaded && !c.leaving && now.Sub(c.confirmedAt) < maxConfigurationAge
 }
 
-// updateReady decides whether callers may be directed to this host.
+// updateReady updates the result of the readiness check, and decides whether callers may be
+// directed to this host.
 func (c *control) updateReady(now time.Time, peers []fleet.Member) {
 	c.decideActivation(now, peers)
-	able := c.canServe(now)
+	canServe := c.canServe(now)
 	// A standby reports itself ready too, because it serves callers that connect to it anyway.
-	c.d.ready.Store(able)
-	ready := c.activation.active && able
+	c.d.ready.Store(canServe)
+	ready := c.activation.active && canServe
 	if ready == c.ready {
 		return
 	}
@@ -74,8 +75,8 @@
 	d := &c.activation
 	next := activationInputs{c.members.Generation(), c.canServe(now), c.leaving}
 	since := now.Sub(d.decidedAt)
-	// A change of this host's own ability is applied without delay.
-	ownChanged := next.able != d.inputs.able || next.leaving != d.inputs.leaving
+	// A change of whether this host can serve or is leaving is applied without delay.
+	ownChanged := next.canServe != d.inputs.canServe || next.leaving != d.inputs.leaving
 	if !ownChanged && (since < activationInterval || next == d.inputs && since < reviewInterval) {
 		return
 	}
@@ -94,21 +95,21 @@
 // Right after its start a host knows only itself, so without this check every host would become
 // active.
 func (c *control) knowsPeers(now time.Time) bool {
-	return c.listed && (c.registration.lease > 0 || now.Sub(c.d.startedAt) >= registrationTimeout)
+	return c.listed && (c.ownRegistration.lease > 0 || now.Sub(c.d.startedAt) >= registrationTimeout)
 }
 
-// shouldBeActive reports whether this host is one of the active hosts, judged by everything
-// known about the region. If no host can serve, as during a store outage, it selects among all
-// hosts as if all could serve, because the selected hosts would be the first to be able to
-// serve again.
+// shouldBeActive reports whether this host is one of the hosts that should be active, and
+// updates wantsShares. If no host of the region can serve, as during a store outage, the active
+// hosts are selected as if all could serve, because the selected hosts would be the first to be
+// able to serve again.
 func (c *control) shouldBeActive(now time.Time, peers []fleet.Member) bool {
 	self := standby.Host{
 		Instance: c.d.self.Instance, Zone: c.d.self.Zone, Region: c.d.self.Region,
 		Capacity: c.d.capacity(), Load: c.d.meter.latest(),
 	}
-	var able, all []standby.Host
+	var eligible, all []standby.Host
 	if c.canServe(now) {
-		able = append(able, self)
+		eligible = append(eligible, self)
 	}
 	if !c.leaving {
 		all = append(all, self)
@@ -120,13 +121,13 @@
 		h := standby.Host{Instance: m.Instance, Zone: m.Zone, Region: m.Region, Capacity: m.Capacity, Load: m.Load}
 		all = append(all, h)
 		if m.Eligible {
-			able = append(able, h)
+			eligible = append(eligible, h)
 		}
 	}
 	// A host that would be active if all hosts could serve may hold rate shares, so it
 	// registers as a host that holds them.
 	c.d.wantsShares.Store(c.activation.active || standby.Active(all, self.Region)[self.Instance])
-	active := standby.Active(able, self.Region)
+	active := standby.Active(eligible, self.Region)
 	if len(active) == 0 {
 		active = standby.Active(all, self.Region)
 	}
--- a/internal/entryhost/activehosts.go
+++ b/internal/entryhost/activehosts.go
@@ -26,15 +26,15 @@
 const (
 	// maxHintHosts is the number of hosts of each region in the hint.
 	maxHintHosts = 16
-	// minStrongerHosts is the number of stronger hosts in its region that must exist before a
-	// host leaves the first listing to them.
+	// minStrongerHosts is the least number of stronger hosts in its region with which a host
+	// requests the state of the store from them instead of listing the store.
 	minStrongerHosts = 3
 	// weakFraction is the fraction of another host's capacity below which a host is weak
 	// compared with it. A host that is weak compared with enough hosts expects to be a standby.
 	weakFraction = 0.5
 	// peerStateDelay is how long after its start a host that expects to be a standby requests
-	// the state of the store from peers. It lists the store itself if no peer has sent the
-	// state by peerStateWindow later.
+	// the state of the store from peers. The host lists the store itself if no peer has sent
+	// the state within peerStateWindow after that.
 	peerStateDelay  = 700 * time.Millisecond
 	peerStateWindow = 1500 * time.Millisecond
 	// hintDelay is how long a host with one core waits for a hint if the store has none. A host
@@ -61,7 +61,7 @@
 	return standby.Capacity{Cores: h.Cores, LinkMbps: h.LinkMbps}
 }
 
-// newActiveHostsHint lists the active hosts of a directory.
+// newActiveHostsHint returns the hint that lists the active hosts of a directory.
 func newActiveHostsHint(d *directory, own standby.Capacity) activeHostsHint {
 	hint := activeHostsHint{}
 	if d.ready {
@@ -79,8 +79,9 @@
 	return hint
 }
 
-// strongerPeers returns the addresses of the hosts of a region compared with which a host is
-// weak. It returns none if there are too few of them to serve the callers.
+// strongerPeers returns the peer addresses of the hosts of a region compared with which a host
+// of the given capacity is weak. It returns none if that capacity is unknown, or if there are
+// too few such hosts to serve the callers.
 func (hint activeHostsHint) strongerPeers(region string, own standby.Capacity) []string {
 	if own == (standby.Capacity{}) {
 		return nil
@@ -143,8 +144,8 @@
 	return hint, true
 }
 
-// loadFromPeers requests the full state of the store from peers in turn, until one has sent it
-// or it is time to list the store. It returns the revision of the state.
+// loadFromPeers requests the full state of the store from peers in turn. It returns the revision
+// of the state, or false if no peer has sent the state in time.
 func (d *Daemon) loadFromPeers(ctx context.Context, peers []string) (revision uint64, ok bool) {
 	deadline := d.now().Add(peerStateDelay + peerStateWindow)
 	sleep(ctx, peerStateDelay+rand.N(peerRequestSpread))
--- a/internal/entryhost/activehosts_test.go
+++ b/internal/entryhost/activehosts_test.go
@@ -26,9 +26,9 @@
 	}
 	hint := newActiveHostsHint(d, strong)
 	for name, c := range map[string]struct {
-		region string
-		own    standby.Capacity
-		want   []string
+		region   string
+		capacity standby.Capacity
+		want     []string
 	}{
 		"weak":                   {"a", weak, []string{"p1", "p2", "p3"}},
 		"as strong":              {"a", strong, nil},
@@ -37,6 +37,6 @@
 		"capacity not known":     {"a", standby.Capacity{}, nil},
 		"a slow link is enough":  {"a", standby.Capacity{Cores: 0.8, LinkMbps: 20}, []string{"p1", "p2", "p3"}},
 	} {
-		NewWithT(t).Expect(hint.strongerPeers(c.region, c.own)).To(Equal(c.want), name)
+		NewWithT(t).Expect(hint.strongerPeers(c.region, c.capacity)).To(Equal(c.want), name)
 	}
 }
--- a/internal/entryhost/callerconns.go
+++ b/internal/entryhost/callerconns.go
@@ -16,7 +16,8 @@
 // customer that sends seven times its rate can thus exhaust the file descriptors of a host,
 // which can then neither accept callers nor connect to upstreams. Three rules prevent this: a
 // refusal closes its connection (see package front), connections that exceed the configured
-// idle timeout are closed, and when many connections are open every response closes its own.
+// idle timeout are closed, and when many connections are open every response closes its
+// connection.
 const (
 	// callerDescriptorFraction is the fraction of the file descriptors that callers'
 	// connections may use before responses close their connections. The rest is for connections
@@ -89,8 +90,8 @@
 	}
 }
 
-// nearDescriptorLimit reports whether callers have so many connections open that responses
-// should close theirs.
+// nearDescriptorLimit reports whether callers have so many connections open that each response
+// should close its connection.
 func (d *Daemon) nearDescriptorLimit() bool {
 	descriptors := d.settings.Load().Capacity.Descriptors
 	return descriptors > 0 && float64(d.callerConns.count()) > callerDescriptorFraction*float64(descriptors)
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -18,7 +18,7 @@
 // state and the age of that state. If the digests are equal, the requesting host's state is
 // confirmed as of the time of its request minus that age. If they differ, the response carries
 // the missing changes, and the requesting host reads the store only if the changes cannot be
-// sent. A host that the store rejects therefore stays confirmed.
+// sent. The state of a host that the store rejects therefore stays confirmed.
 const (
 	// confirmInterval is the time between two confirmation requests.
 	confirmInterval = 500 * time.Millisecond
@@ -183,9 +183,9 @@
 	id := requests.nextID()
 	requests.pending[id] = request
 	p := &fleet.Packet{Content: &fleet.Packet_ConfirmRequest{ConfirmRequest: &fleet.ConfirmRequest{
-		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Whole: request.full,
+		Id: id, Digest: c.digest.Sum(), Hosts: c.hostRegistrationState.digest.Sum(), Whole: request.full,
 	}}}
-	if err := c.d.wire.SendPacket(p, address); err != nil {
+	if err := c.d.transport.SendPacket(p, address); err != nil {
 		c.d.events.Debug("confirmation request not sent", "peer", address, "error", err)
 	}
 }
@@ -205,8 +205,8 @@
 		return
 	}
 	c.applyPeerChanges(now, a.HostChanges)
-	if c.hostRegistrations.digest.Sum() == a.Hosts {
-		c.hostRegistrations.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
+	if c.hostRegistrationState.digest.Sum() == a.Hosts {
+		c.hostRegistrationState.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
 	}
 	before := c.digest.Sum()
 	c.applyPeerChanges(now, a.Changes)
@@ -268,12 +268,12 @@
 	c.revision = a.Revision
 	// This host is weak compared with the peer, and registers as a standby.
 	close(c.d.listed)
-	if c.digest.Sum() != a.Digest || c.hostRegistrations.digest.Sum() != a.Hosts {
+	if c.digest.Sum() != a.Digest || c.hostRegistrationState.digest.Sum() != a.Hosts {
 		c.d.readStoreNow("peer's items differ from its digest")
 		return
 	}
 	c.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.AgeUs) * time.Microsecond))
-	c.hostRegistrations.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
+	c.hostRegistrationState.advanceConfirmedAt(request.sentAt.Add(-time.Duration(a.HostsAgeUs) * time.Microsecond))
 	c.d.events.Info("store taken over from a peer", "items", len(items), "revision", a.Revision, "version", c.version(),
 		"age_us", a.AgeUs)
 }
@@ -313,7 +313,7 @@
 // refreshHostRegistrations triggers a read of the store if the registrations of entry hosts
 // have not been confirmed for a long time.
 func (c *control) refreshHostRegistrations(now time.Time) {
-	h := &c.hostRegistrations
+	h := &c.hostRegistrationState
 	if h.confirmedAt.IsZero() || now.Sub(h.confirmedAt) < hostsReadStoreAge || now.Before(h.readDue) {
 		return
 	}
--- a/internal/entryhost/confirmserver.go
+++ b/internal/entryhost/confirmserver.go
@@ -34,10 +34,11 @@
 	revision uint64
 }
 
-// hostState is the state of the entry hosts' registrations. It is confirmed separately: two
-// hosts that were partitioned from the store at different times may never agree on the
-// registrations, and must still be able to confirm each other's API keys.
-type hostState struct {
+// hostRegistrationState is the state of the entry hosts' registrations. They are confirmed
+// separately from the rest of the store's state: two hosts that were partitioned from the store
+// at different times may never agree on the registrations, and must still be able to confirm
+// each other's API keys.
+type hostRegistrationState struct {
 	digest      follow.Digest
 	journal     follow.Journal
 	confirmedAt time.Time
@@ -46,7 +47,7 @@
 }
 
 // advanceConfirmedAt records that the registrations matched the store at a time.
-func (h *hostState) advanceConfirmedAt(asOf time.Time) {
+func (h *hostRegistrationState) advanceConfirmedAt(asOf time.Time) {
 	if asOf.After(h.confirmedAt) {
 		h.confirmedAt = asOf
 	}
@@ -61,11 +62,12 @@
 	return c.digest.Sum()
 }
 
-// publishSummary publishes the summary that answers confirmation requests. If the watcher's
-// digest has changed, it sends a heartbeat at once so that its peers request the change.
+// publishSummary publishes the summary from which confirmation requests are answered. If this
+// host is the watcher and its digest has changed, heartbeats become due at once so that its
+// peers request the change.
 func (c *control) publishSummary(now time.Time, watches bool) {
 	before := c.d.summary.Load()
-	next := storeSummary{c.digest.Sum(), c.confirmedAt, c.hostRegistrations.digest.Sum(), c.hostRegistrations.confirmedAt, c.revision}
+	next := storeSummary{c.digest.Sum(), c.confirmedAt, c.hostRegistrationState.digest.Sum(), c.hostRegistrationState.confirmedAt, c.revision}
 	if before != nil && *before == next {
 		return
 	}
@@ -89,21 +91,21 @@
 }
 
 // respondWithChanges responds to a peer whose state differs from this host's. The response
-// carries the changes that the peer lacks, if they are known and fit into it, or the patch
-// sources, if this host has used up its link's send allowance.
+// carries the changes that the peer lacks, if they are known and fit into it, or the addresses
+// of patch sources, if this host has used up its link's send allowance.
 func (c *control) respondWithChanges(q *fleet.ConfirmRequest, from string) {
 	a := &fleet.ConfirmAnswer{
-		Id: q.Id, Digest: c.digest.Sum(), Hosts: c.hostRegistrations.digest.Sum(), Revision: c.revision,
+		Id: q.Id, Digest: c.digest.Sum(), Hosts: c.hostRegistrationState.digest.Sum(), Revision: c.revision,
 	}
 	if q.Whole {
 		c.respondWithFullState(a, from)
 		return
 	}
-	a.HostChanges = changesSince(&c.hostRegistrations.journal, q.Hosts, maxHostChangeBytes)
+	a.HostChanges = changesSince(&c.hostRegistrationState.journal, q.Hosts, maxHostChangeBytes)
 	if changes := changesSince(&c.journal, q.Digest, maxChangeBytes); len(changes) > 0 {
 		c.addChanges(a, changes, from)
 	}
-	c.d.sendConfirmAnswer(a, c.confirmedAt, c.hostRegistrations.confirmedAt, from)
+	c.d.sendConfirmAnswer(a, c.confirmedAt, c.hostRegistrationState.confirmedAt, from)
 }
 
 // respondWithFullState responds to a host that has just started. The response carries the full
@@ -118,11 +120,11 @@
 		all = append(all, &fleet.Change{Key: item.Key, Value: item.Value, Revision: item.Revision})
 	}
 	c.addChanges(a, all, from)
-	c.d.sendConfirmAnswer(a, c.confirmedAt, c.hostRegistrations.confirmedAt, from)
+	c.d.sendConfirmAnswer(a, c.confirmedAt, c.hostRegistrationState.confirmedAt, from)
 }
 
-// addChanges adds changes to a response if the link's send allowance permits it, and the patch
-// sources otherwise.
+// addChanges adds changes to a response if the link's send allowance permits it. Otherwise it
+// adds the addresses of patch sources, that is, of peers that are likely to have the changes.
 func (c *control) addChanges(a *fleet.ConfirmAnswer, changes []*fleet.Change, from string) {
 	size := proto.Size(&fleet.ConfirmAnswer{Changes: changes})
 	ok, sources := c.fanout.Allow(c.d.now(), a.Digest, from, size, c.d.capacity().LinkMbps)
@@ -156,7 +158,7 @@
 	var out []kv.Event
 	configuration := c.configuration
 	for _, x := range changes {
-		if !c.seen.IsNewer(x.Key, x.Revision) {
+		if !c.keyRevisions.IsNewer(x.Key, x.Revision) {
 			// The change was already applied, for example because the same request was sent
 			// twice.
 			continue
@@ -175,13 +177,13 @@
 	return out, nil
 }
 
-// sendConfirmAnswer sends a response. at is the time as of which the state is confirmed, and
-// hostsAt the same for the entry hosts' registrations.
-func (d *Daemon) sendConfirmAnswer(a *fleet.ConfirmAnswer, at, hostsAt time.Time, from string) {
+// sendConfirmAnswer sends a response with the ages of the state and of the entry hosts'
+// registrations. confirmedAt and hostsConfirmedAt are the times as of which these are confirmed.
+func (d *Daemon) sendConfirmAnswer(a *fleet.ConfirmAnswer, confirmedAt, hostsConfirmedAt time.Time, to string) {
 	now := d.now()
-	a.AgeUs = uint64(now.Sub(at).Microseconds()) + 1
-	a.HostsAgeUs = uint64(now.Sub(hostsAt).Microseconds()) + 1
-	if err := d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_ConfirmAnswer{ConfirmAnswer: a}}, from); err != nil {
+	a.AgeUs = uint64(now.Sub(confirmedAt).Microseconds()) + 1
+	a.HostsAgeUs = uint64(now.Sub(hostsConfirmedAt).Microseconds()) + 1
+	if err := d.transport.SendPacket(&fleet.Packet{Content: &fleet.Packet_ConfirmAnswer{ConfirmAnswer: a}}, to); err != nil {
 		d.events.Debug("confirmation response not sent", "error", err)
 	}
 }
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -44,21 +44,24 @@
 	inbox   chan message
 	members *fleet.Members
 	// registrations holds the entry hosts' registrations in the store, by key.
-	registrations map[string]fleet.Registration
-	roster        *follow.UpstreamRegistry
-	catalog       *catalog.Catalog
+	registrations    map[string]fleet.Registration
+	upstreamRegistry *follow.UpstreamRegistry
+	catalog          *catalog.Catalog
 	// items holds the items of the store except snapshots. revision is the store's revision at
 	// the latest read, made by this host or by the peer that confirmed the same state.
 	items    map[string]kv.Item
 	revision uint64
 	// configuration is the encoded value of catalog.
-	configuration    []byte
-	evacuatedZones   map[string]bool
-	confirmedAt      time.Time
+	configuration  []byte
+	evacuatedZones map[string]bool
+	// confirmedAt is the latest time as of which the state is known to have matched the store.
+	confirmedAt time.Time
+	// listed is set once the host has received the state of the store, from the store or from a
+	// peer.
 	listed           bool
 	leaving          bool
 	storeUnreachable bool
-	registration     registration
+	ownRegistration  registration
 	// hostsApplied is set once registrations have been passed on to members, and hostsChanged
 	// if some have changed since.
 	hostsApplied, hostsChanged bool
@@ -72,33 +75,33 @@
 	// host is active or not.
 	heartbeatToAll bool
 	// compactRounds counts the rounds of compact heartbeats to standbys.
-	compactRounds     int
-	ready             bool
-	activation        activation
-	published         published
-	digest            follow.Digest
-	journal           follow.Journal
-	fanout            fanout.Limiter
-	seen              follow.KeyRevisions
-	hostRegistrations hostState
-	confirmRequests   confirmRequests
-	watcherCache      watcherCache
+	compactRounds int
+	// ready is set while this host is active and can serve callers.
+	ready                 bool
+	activation            activation
+	published             published
+	digest                follow.Digest
+	journal               follow.Journal
+	fanout                fanout.Limiter
+	keyRevisions          follow.KeyRevisions
+	hostRegistrationState hostRegistrationState
+	confirmRequests       confirmRequests
+	watcherCache          watcherCache
 	// snapshotReadAt is when the snapshot of the fleet's learned state was last read.
 	snapshotReadAt time.Time
 	// storedHint is the active-hosts hint in the store, as far as this host knows. hintedPeers
-	// are the addresses to which it sends heartbeats until it receives a heartbeat from an
-	// active host.
+	// are the addresses to which this host sends heartbeats until it knows an active host.
 	storedHint  []byte
 	hintedPeers []string
-	// snapshotWriter paces the snapshots that this host writes.
-	snapshotWriter snapshot.Pacer
+	// snapshotPacer paces the snapshots that this host writes.
+	snapshotPacer snapshot.Pacer
 }
 
 func newControl(d *Daemon) *control {
 	return &control{
 		d: d, inbox: make(chan message, 256), evacuatedZones: map[string]bool{}, items: map[string]kv.Item{},
 		registrations: map[string]fleet.Registration{}, confirmRequests: newConfirmRequests(),
-		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), roster: follow.NewUpstreamRegistry(),
+		members: fleet.NewMembers(d.self.Instance, d.self.Name, d.self.Region), upstreamRegistry: follow.NewUpstreamRegistry(),
 	}
 }
 
@@ -141,7 +144,8 @@
 	return standbyTickInterval
 }
 
-// handleQueued runs the messages that are already queued, so that a burst is published once.
+// handleQueued runs the messages that are already queued, so that the changes of a burst are
+// published together.
 func (c *control) handleQueued() {
 	for {
 		select {
@@ -154,7 +158,7 @@
 }
 
 func (c *control) tick(now time.Time) {
-	for _, id := range c.roster.RemoveExpired(now) {
+	for _, id := range c.upstreamRegistry.RemoveExpired(now) {
 		c.removeUpstream(id, "missing since the store is back")
 	}
 	if holds := c.mayHoldShares(now); holds != c.holdsShares {
--- a/internal/entryhost/daemon.go
+++ b/internal/entryhost/daemon.go
@@ -41,24 +41,25 @@
 
 // Daemon is a running entry host.
 type Daemon struct {
-	settings atomic.Pointer[Settings]
-	self     Self
-	events   *telemetry.Events
-	metrics  *telemetry.Metrics
-	tracing  *telemetry.Tracing
-	store    kv.Store
-	wire     *fleet.Transport
-	conns    *h1.Pool
-	table    *place.Table
-	shares   *share.Limiter
-	tokens   *tokens
-	retries  *retry.WindowBudget
-	control  *control
+	settings      atomic.Pointer[Settings]
+	self          Self
+	events        *telemetry.Events
+	metrics       *telemetry.Metrics
+	tracing       *telemetry.Tracing
+	store         kv.Store
+	transport     *fleet.Transport
+	upstreamConns *h1.Pool
+	table         *place.Table
+	shares        *share.Limiter
+	tokens        *tokens
+	retries       *retry.WindowBudget
+	control       *control
 
 	state       atomic.Pointer[front.State]
 	directory   atomic.Pointer[directory]
 	bucketHosts atomic.Pointer[bucketHosts]
-	ready       atomic.Bool
+	// ready is the result of the readiness check. A standby that can serve is ready too.
+	ready atomic.Bool
 	// fallbackAllowed is set once this host has held rate shares, or is a standby and will not
 	// hold any. Only then does it use its fallback bucket when no owner of a bucket responds.
 	fallbackAllowed atomic.Bool
@@ -68,8 +69,8 @@
 	hasPeers atomic.Bool
 	// willBeActive is closed if the host knows before its first listing that it will be active.
 	willBeActive chan struct{}
-	// readWhenRegistered is set if no read of the store follows the first registration by
-	// itself.
+	// readWhenRegistered is set if the first registration must trigger a read of the store,
+	// because the first watch does not follow it.
 	readWhenRegistered atomic.Bool
 	// wantsShares is set if this host should hold rate shares.
 	wantsShares atomic.Bool
@@ -111,25 +112,25 @@
 	if err != nil {
 		return nil, err
 	}
-	wire, err := fleet.Listen(s.Listen.Peers)
+	transport, err := fleet.Listen(s.Listen.Peers)
 	if err != nil {
 		return nil, err
 	}
-	addresses.Peers = wire.Address()
+	addresses.Peers = transport.Address()
 	region := s.Zones[s.Zone]
 	d := &Daemon{
 		self: Self{
 			Host: place.Host{Instance: s.Host + "-" + uuid.NewString()[:8], Zone: s.Zone, Region: region},
 			Name: s.Host, Callers: addresses.Callers, Peers: addresses.Peers,
 		},
-		events: events, metrics: metrics, tracing: tracing, wire: wire, addresses: addresses, listeners: listeners,
-		conns:        h1.NewPool(h1.Dialer(upstreamDialTimeout), clock.Now),
-		shares:       share.New(),
-		retries:      retry.NewWindowBudget(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
-		errs:         make(chan error, 4),
-		wakeReader:   make(chan struct{}, 1),
-		listed:       make(chan struct{}),
-		willBeActive: make(chan struct{}),
+		events: events, metrics: metrics, tracing: tracing, transport: transport, addresses: addresses, listeners: listeners,
+		upstreamConns: h1.NewPool(h1.Dialer(upstreamDialTimeout), clock.Now),
+		shares:        share.New(),
+		retries:       retry.NewWindowBudget(s.Bounds.RetryWindow.Value(), s.Bounds.RetryRatio),
+		errs:          make(chan error, 4),
+		wakeReader:    make(chan struct{}, 1),
+		listed:        make(chan struct{}),
+		willBeActive:  make(chan struct{}),
 
 		startupWait: defaultStartupWait,
 
@@ -154,7 +155,7 @@
 func (d *Daemon) Start() {
 	d.startedAt, d.startedWall = d.now(), time.Now()
 	deps := front.Deps{
-		State: d.state.Load, Codec: platform.Headers{}, Pool: d.conns, Table: d.table, RateLimiter: d.tokens,
+		State: d.state.Load, Codec: platform.Headers{}, Pool: d.upstreamConns, Table: d.table, RateLimiter: d.tokens,
 		RetryBudget: d.retries, Bounds: d.bounds, Log: d.events, Observe: d.observe, Now: d.now,
 		Refresh: d.refresh, Updates: d.stateUpdated.next, StartupTimeLeft: d.remainingStartupWait, DisableKeepAlive: d.nearDescriptorLimit,
 	}
@@ -174,7 +175,7 @@
 	}
 	d.spawn(d.control.run)
 	d.spawn(func(ctx context.Context) {
-		d.wire.Receive(ctx, d.handlePacket, func(err error) { d.events.Debug("packet not readable", "error", err) })
+		d.transport.Receive(ctx, d.handlePacket, func(err error) { d.events.Debug("packet not readable", "error", err) })
 	})
 	registrar := newRegistrar(d)
 	follower := &follow.Follower{
@@ -187,7 +188,7 @@
 	}
 	d.spawn(follower.Run)
 	d.spawn(registrar.run)
-	d.spawn(d.conns.Run)
+	d.spawn(d.upstreamConns.Run)
 	d.spawn(d.closeIdleCallers)
 	d.events.Info("started", "instance", d.self.Instance, "zone", d.self.Zone, "region", d.self.Region,
 		"callers", d.self.Callers, "peers", d.self.Peers, "store", d.settings.Load().Store)
--- a/internal/entryhost/directory.go
+++ b/internal/entryhost/directory.go
@@ -30,7 +30,8 @@
 
 // resolve returns the addresses of the ready hosts of a region, or of all regions if the region
 // has none. Request bodies must stay within the caller's region and the regions that may serve
-// it, so hosts elsewhere are the last choice.
+// it, so ready hosts of other regions are returned only if the region has none. If no host is
+// ready, resolve returns hosts that are not, in the same order of preference.
 func (d *directory) resolve(region string) []string {
 	type filter func(region string, ready bool) bool
 	for _, accept := range []filter{
@@ -46,7 +47,8 @@
 	return nil
 }
 
-// storeReaders lists the active instances of some regions that reach the store.
+// storeReaders returns the active instances that reach the store, in the regions for which in
+// returns true.
 func (d *directory) storeReaders(in func(region string) bool) []string {
 	var out []string
 	if d.ready && d.reachesStore && in(d.self.Region) {
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -110,7 +110,7 @@
 			h := s.host("h1", "a1")
 			s.awaitServing()
 			s.store.SetFault(func(string) standin.StoreFault { return fault })
-			var a answer
+			var a response
 			g.Eventually(func() int {
 				a = s.read(h)
 				return a.status
@@ -187,10 +187,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	cases := []struct {
-		name   string
-		answer func(http.ResponseWriter, *http.Request)
-		post   bool
-		status int
+		name    string
+		handler func(http.ResponseWriter, *http.Request)
+		post    bool
+		status  int
 		// arrivals is the number of arrivals at both upstreams together.
 		arrivals int
 	}{
@@ -216,13 +216,13 @@
 			h := s.host("h1", "a1")
 			s.awaitServing()
 			before := len(one.Runs()) + len(two.Runs())
-			one.SetAnswer(c.answer)
-			two.SetAnswer(c.answer)
-			a := s.read
+			one.SetAnswer(c.handler)
+			two.SetAnswer(c.handler)
+			call := s.read
 			if c.post {
-				a = s.post
+				call = s.post
 			}
-			got := a(h)
+			got := call(h)
 			g.Expect(got.err).NotTo(HaveOccurred())
 			g.Expect(got.status).To(Equal(c.status), got.body)
 			g.Expect(len(one.Runs()) + len(two.Runs()) - before).To(Equal(c.arrivals))
@@ -376,8 +376,8 @@
 	g.Expect(closes).To(BeFalse())
 }
 
-// Guards against a request that is sent to an upstream after its caller has left. On a busy
-// host, the caller gives up and closes its connection before the host has read the request.
+// Guards against a request that is sent to an upstream after its caller has disconnected. On a
+// busy host, the caller may close its connection before the host has read the request.
 // TCP_CORK holds the request back here until the connection is closed.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	g := NewWithT(t)
@@ -405,10 +405,11 @@
 	g.Expect(len(k.Runs())-before).To(Equal(1), "only the request whose caller waits for the response")
 }
 
-// Guards against callers on a host with a slow link, where they wait behind each other's
-// reports. In a fleet with three fast hosts, the directory of every host must name only those.
-// The slow host must be ready, and serve a caller that uses an old address by the current
-// configuration; when the fast hosts have died, it must become active.
+// Guards against callers that are directed to a host with a slow link, where their responses
+// are queued behind large responses to other callers. In a fleet with three fast hosts, the
+// directory of every host must name only those. The slow host must be ready, and serve a caller
+// that uses an old address by the current configuration; when the fast hosts have died, it must
+// become active.
 func TestWeakHostIsStandby(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
--- a/internal/entryhost/fullstate_test.go
+++ b/internal/entryhost/fullstate_test.go
@@ -33,7 +33,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		d.wire.Receive(ctx, func(*fleet.Packet, string) {}, func(error) {})
+		d.transport.Receive(ctx, func(*fleet.Packet, string) {}, func(error) {})
 	})
 	return d.control
 }
--- a/internal/entryhost/heartbeat.go
+++ b/internal/entryhost/heartbeat.go
@@ -64,7 +64,7 @@
 }
 
 func (c *control) sendHeartbeat(b *fleet.Heartbeat, peers []string) {
-	if err := c.d.wire.SendHeartbeat(b, peers); err != nil {
+	if err := c.d.transport.SendHeartbeat(b, peers); err != nil {
 		c.d.events.Debug("heartbeat not sent", "error", err)
 	}
 }
--- a/internal/entryhost/helper_test.go
+++ b/internal/entryhost/helper_test.go
@@ -188,8 +188,8 @@
 	s.store.Put("op/config", value)
 }
 
-// answer is the response that a caller received.
-type answer struct {
+// response is what a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -197,7 +197,7 @@
 }
 
 // call sends a request to a host on a new connection.
-func (s *site) call(h *host, method, path, key, body string) answer {
+func (s *site) call(h *host, method, path, key, body string) response {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 8 * time.Second}
 	r, err := http.NewRequest(method, "http://"+h.listen.Callers+path, strings.NewReader(body))
 	NewWithT(s.t).Expect(err).NotTo(HaveOccurred())
@@ -210,16 +210,16 @@
 	}
 	resp, err := client.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, string(text), err}
+	return response{resp.StatusCode, resp.Header, string(text), err}
 }
 
-func (s *site) read(h *host) answer { return s.call(h, "GET", "/read/1", "k1", "") }
+func (s *site) read(h *host) response { return s.call(h, "GET", "/read/1", "k1", "") }
 
-func (s *site) post(h *host) answer { return s.call(h, "POST", "/post/1", "k1", "weight=200") }
+func (s *site) post(h *host) response { return s.call(h, "POST", "/post/1", "k1", "weight=200") }
 
 // metrics returns what a host serves on its metrics address.
 func (s *site) metrics(h *host) string {
--- a/internal/entryhost/metrics.go
+++ b/internal/entryhost/metrics.go
@@ -49,11 +49,12 @@
 	set := d.metrics.Set
 	set.GetOrCreateCounter(fmt.Sprintf(`balsambarrow_answers_total{route=%q,status="%d",cause=%q}`, o.Route, o.Status, cause)).Inc()
 	set.GetOrCreateHistogram(fmt.Sprintf(`balsambarrow_answer_seconds{route=%q}`, o.Route)).Update(o.Took.Seconds())
-	d.observePlaced(o.Route, o.Latency)
+	d.observeUpstreamLatency(o.Route, o.Latency)
 }
 
-// observePlaced records the expected and the actual times of an upstream.
-func (d *Daemon) observePlaced(route string, p *front.LatencyComparison) {
+// observeUpstreamLatency records the expected and the actual latency and queueing delay of a
+// request at an upstream.
+func (d *Daemon) observeUpstreamLatency(route string, p *front.LatencyComparison) {
 	if p == nil {
 		return
 	}
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -10,11 +10,13 @@
 
 // published is the state that the control goroutine has published to the other goroutines.
 type published struct {
+	// expiredAt is when hosts were last checked for expiry, and reviewedAt and demandAt are when
+	// the hosts and the demand were last published.
 	expiredAt, reviewedAt, demandAt time.Time
 	// generation and demandGeneration are the generations of the members and of their demand
 	// that were last published.
 	generation, demandGeneration uint64
-	// peers are the other hosts that are present.
+	// peers are the other hosts that are alive.
 	peers []fleet.Member
 	self  selfState
 	state front.State
--- a/internal/entryhost/ratetokens.go
+++ b/internal/entryhost/ratetokens.go
@@ -68,8 +68,8 @@
 			return t.fallback.Admit(now, c, holders.hosts)
 		}
 		// A host that has just started has no lease until one or two store calls have succeeded,
-		// and awaitBucketHosts has waited for that. The fallback bucket would admit the first
-		// request of each customer and refuse the next.
+		// and awaitBucketHosts has waited for that. The fallback bucket is not used instead,
+		// because it would admit the first request of each customer and refuse the next.
 		return v
 	}
 	a := t.requestToken(peer, c.Name, holders.timeout)
@@ -84,8 +84,8 @@
 }
 
 // requestToken requests one token from the owner of the bucket. It returns nil if the owner
-// does not respond in time. A later response is dropped and its token is lost, which refuses
-// too many requests rather than too few.
+// does not respond in time. A later response is dropped and its token is lost: too many requests
+// are then refused rather than too few.
 func (t *tokens) requestToken(peer, customer string, maxWait time.Duration) *fleet.TokenAnswer {
 	id, response := t.newRequest()
 	defer func() {
@@ -94,7 +94,7 @@
 		t.mu.Unlock()
 	}()
 	request := &fleet.Packet{Content: &fleet.Packet_TokenRequest{TokenRequest: &fleet.TokenRequest{Id: id, Customer: customer}}}
-	if err := t.d.wire.SendPacket(request, peer); err != nil {
+	if err := t.d.transport.SendPacket(request, peer); err != nil {
 		return nil
 	}
 	timeout := time.NewTimer(maxWait)
@@ -148,13 +148,13 @@
 	answer := &fleet.TokenAnswer{
 		Id: q.Id, Granted: v.Admitted, BackMs: uint32(v.RetryAfter.Milliseconds()), Part: float32(v.Fraction), Demand: float32(v.Demand),
 	}
-	if err := t.d.wire.SendPacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: answer}}, from); err != nil {
+	if err := t.d.transport.SendPacket(&fleet.Packet{Content: &fleet.Packet_TokenAnswer{TokenAnswer: answer}}, from); err != nil {
 		t.d.events.Debug("token response not sent", "error", err)
 	}
 }
 
-// Refund returns the token of a request that certainly did not run. Only the host that holds
-// the bucket returns it; a lost token refuses too many requests rather than too few.
+// Refund returns the token of a request that certainly did not run, if this host holds the
+// bucket. Otherwise the token is lost: too many requests are then refused rather than too few.
 func (t *tokens) Refund(customer string) {
 	holders := t.d.bucketHosts.Load()
 	if holders.peers[share.ShardOwner(customer, holders.instances)] == "" {
@@ -164,8 +164,8 @@
 
 // newBucketHosts lists the hosts of this region that are ready and have a valid registration; a
 // host whose registration has expired may not grant tokens. If the region has none, the hosts
-// of other regions hold its buckets. Otherwise, if the store rejected a whole region, all
-// requests of the region's callers would be refused as over their rate.
+// of other regions hold its buckets. Without this rule, all requests of the region's callers
+// would be refused as over their rate while the store rejects all hosts of the region.
 func newBucketHosts(self Self, ready bool, peers []fleet.Member, hosts int) *bucketHosts {
 	b := &bucketHosts{peers: map[string]string{}, hosts: hosts, timeout: grantTimeout}
 	if ready {
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -22,14 +22,17 @@
 	// standbyLeaseTTL and standbyRenewInterval apply to standbys, which hold no rate shares.
 	standbyLeaseTTL      = 20 * time.Second
 	standbyRenewInterval = 6 * time.Second
-	// leaseMargin is how much before the end of its lease a host stops granting tokens. The
+	// leaseMargin is how long before the end of its lease a host stops granting tokens. The
 	// last renewal may have reached the store as late as the response of a slow store.
 	leaseMargin = time.Second
 	// storeCallTimeout bounds one call to the store.
 	storeCallTimeout = 1200 * time.Millisecond
-	storeRetryDelay  = 250 * time.Millisecond
+	// storeRetryDelay is the pause after a failed call, and the timeout of the call that ends
+	// the lease.
+	storeRetryDelay = 250 * time.Millisecond
 	// registrationTimeout bounds how long the first registration waits for the first listing
-	// once that has begun, and how long the first watch waits for the first registration.
+	// after the listing has begun, and how long the first watch waits for the first
+	// registration.
 	registrationTimeout = time.Second
 	// registrationDelay is how long a host with one core waits before it registers if it knows
 	// no other host. A host with less than one core waits longer, up to maxRegistrationDelay,
@@ -50,15 +53,15 @@
 }
 
 // mayHoldShares reports whether peers count this host as one that holds rate shares, and this
-// host knows all hosts that registered before it. A standby may not hold shares: its lease is
-// so long that it would go on granting tokens for that long after a network partition.
+// host knows all hosts that registered before it. A standby may not hold shares: during a
+// network partition it would go on granting tokens until the end of its long lease.
 //
 // Of two hosts that start together, the one that registers later must find the other and make
 // itself known by heartbeats. Otherwise each acts as the only host and grants the full rate of
 // every customer.
 func (c *control) mayHoldShares(now time.Time) bool {
-	r := c.registration
-	return r.holdsShares && !c.hostRegistrations.confirmedAt.Before(r.writtenAt) && now.Sub(r.renewedAt) < r.lease-leaseMargin
+	r := c.ownRegistration
+	return r.holdsShares && !c.hostRegistrationState.confirmedAt.Before(r.writtenAt) && now.Sub(r.renewedAt) < r.lease-leaseMargin
 }
 
 // registrar maintains this host's registration.
@@ -149,8 +152,8 @@
 	return storeRetryDelay
 }
 
-// due reports whether the lease is to be renewed, or replaced because the host has started or
-// ceased to hold rate shares.
+// due reports whether the lease is to be renewed, or replaced because whether the host should
+// hold rate shares has changed.
 func (r *registrar) due() bool {
 	if r.lease == 0 || r.holdsShares != r.d.wantsShares.Load() || r.holdsShares {
 		return true
@@ -222,15 +225,15 @@
 	return r.d.store.Put(ctx, platform.HostPrefix+s.Instance, value, lease)
 }
 
-// noteRenewed passes to the control goroutine that the registration was renewed by a call that
-// was sent at a given time.
+// noteRenewed records that the registration was renewed by a call that was sent at sentAt, and
+// notifies the control goroutine.
 func (r *registrar) noteRenewed(sentAt time.Time) {
 	r.renewedAt = sentAt
 	renewed := registration{writtenAt: r.writtenAt, renewedAt: sentAt, lease: r.leaseTTL(), holdsShares: r.holdsShares}
 	if !r.holdsShares {
 		r.d.fallbackAllowed.Store(true)
 	}
-	r.d.control.send(func(c *control) { c.registration = renewed })
+	r.d.control.send(func(c *control) { c.ownRegistration = renewed })
 }
 
 // endLease ends the lease of a host that holds rate shares, so that peers need not wait for it
--- a/internal/entryhost/register_test.go
+++ b/internal/entryhost/register_test.go
@@ -15,9 +15,9 @@
 	active := registration{writtenAt: now, renewedAt: now, lease: activeLeaseTTL, holdsShares: true}
 	standby := registration{writtenAt: now, renewedAt: now, lease: standbyLeaseTTL}
 	for name, c := range map[string]struct {
-		registration registration
-		hostsAt, at  time.Time
-		want         bool
+		registration                registration
+		hostsConfirmedAt, checkedAt time.Time
+		want                        bool
 	}{
 		"never registered":             {registration{}, now, now, false},
 		"registered, state is current": {active, now, now, true},
@@ -26,7 +26,7 @@
 		"lease may have expired":       {active, now, now.Add(activeLeaseTTL - leaseMargin), false},
 		"standby":                      {standby, now, now, false},
 	} {
-		control := &control{registration: c.registration, hostRegistrations: hostState{confirmedAt: c.hostsAt}}
-		NewWithT(t).Expect(control.mayHoldShares(c.at)).To(Equal(c.want), name)
+		control := &control{ownRegistration: c.registration, hostRegistrationState: hostRegistrationState{confirmedAt: c.hostsConfirmedAt}}
+		NewWithT(t).Expect(control.mayHoldShares(c.checkedAt)).To(Equal(c.want), name)
 	}
 }
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -40,7 +40,7 @@
 	Callers string `json:"callers"`
 	// Readiness serves the readiness check. Required.
 	Readiness string `json:"readiness"`
-	// Directory tells callers to which hosts they should connect. Required.
+	// Directory serves the addresses of the hosts to which callers should connect. Required.
 	Directory string `json:"directory"`
 	// Peers receives datagrams of peers. Required.
 	Peers string `json:"peers"`
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -64,7 +64,7 @@
 // writeSnapshotIfDue writes the active-hosts hint and the learned state of this host into the
 // store, if a snapshot is due and this host is the writer.
 func (c *control) writeSnapshotIfDue(now time.Time) {
-	if !c.snapshotWriter.Due(now) || !c.isSnapshotWriter() {
+	if !c.snapshotPacer.Due(now) || !c.isSnapshotWriter() {
 		return
 	}
 	c.writeHint()
@@ -77,7 +77,7 @@
 		c.d.events.Warn("snapshot not encoded", "error", err)
 		return
 	}
-	c.snapshotWriter.Started(now, len(data))
+	c.snapshotPacer.Started(now, len(data))
 	c.d.spawn(func(ctx context.Context) { c.d.writeSnapshot(ctx, data) })
 }
 
--- a/internal/entryhost/startup.go
+++ b/internal/entryhost/startup.go
@@ -19,8 +19,8 @@
 	return d.startupWait - d.now().Sub(d.startedAt)
 }
 
-// awaitBucketHosts waits, right after the start, until some host is active, and returns the
-// hosts that hold customers' buckets.
+// awaitBucketHosts waits, right after the start, until some host holds customers' buckets, and
+// returns the hosts that do.
 func (d *Daemon) awaitBucketHosts() *bucketHosts {
 	d.awaitStartup(func() bool { return len(d.bucketHosts.Load().instances) > 0 })
 	return d.bucketHosts.Load()
@@ -56,7 +56,7 @@
 	}
 }
 
-// anyReady reports whether some host is active and ready.
+// anyReady reports whether any known host is active.
 func (d *directory) anyReady() bool {
 	if d.ready {
 		return true
--- a/internal/entryhost/store.go
+++ b/internal/entryhost/store.go
@@ -11,22 +11,23 @@
 	"balsambarrow/platform"
 )
 
-// storeSink receives the whole content of the store. One watch of all keys costs half as much
-// as separate watches of the configuration and of the upstreams, and every response to it
-// confirms the configuration too.
+// storeSink receives the listings and changes of all keys of the store. One watch of all keys
+// costs half as much as separate watches of the configuration and of the upstreams, and every
+// response to it confirms the configuration too.
 type storeSink struct{ c *control }
 
-// Listed implements follow.Sink.
+// OnList implements follow.Sink.
 func (s storeSink) OnList(l kv.Listing, asOf time.Time) {
 	s.c.send(func(c *control) {
 		now := c.d.now()
-		c.roster.StoreReached(now)
+		c.upstreamRegistry.StoreReached(now)
 		first := !c.listed
 		if first || !asOf.IsZero() {
 			c.replaceState(now, l.Items)
 		}
 		if first {
-			// The type of the registration depends on whether the host will hold rate shares.
+			// The registration follows, and its type depends on whether the host should hold rate
+			// shares. shouldBeActive updates that.
 			c.shouldBeActive(now, nil)
 			close(c.d.listed)
 		}
@@ -37,11 +38,12 @@
 	})
 }
 
-// replaceState replaces the state by a full listing of the store.
+// replaceState replaces the state by all items of the store, which a listing or a peer has
+// provided.
 func (c *control) replaceState(now time.Time, items []kv.Item) {
-	c.seen.Reset(items)
+	c.keyRevisions.Reset(items)
 	c.journal.Reset()
-	c.hostRegistrations.journal.Reset()
+	c.hostRegistrationState.journal.Reset()
 	clear(c.items)
 	upstreams, zones := map[string]bool{}, map[string]bool{}
 	for key := range c.registrations {
@@ -56,7 +58,7 @@
 		}
 		c.applyWrite(now, item)
 	}
-	for _, id := range c.roster.Unlisted(upstreams) {
+	for _, id := range c.upstreamRegistry.Unlisted(upstreams) {
 		c.deleteUpstreamEntry(now, id)
 	}
 	for zone := range c.evacuatedZones {
@@ -74,29 +76,29 @@
 	}
 }
 
-// Changed implements follow.Sink.
+// OnChanges implements follow.Sink.
 func (s storeSink) OnChanges(changes kv.Changes, asOf time.Time) {
 	s.c.send(func(c *control) {
 		now := c.d.now()
-		c.roster.StoreReached(now)
+		c.upstreamRegistry.StoreReached(now)
 		c.applyChanges(now, changes.Events)
 		c.revision = max(c.revision, changes.Revision)
 		c.noteStoreReached(asOf)
 	})
 }
 
-// Failed implements follow.Sink.
+// OnError implements follow.Sink.
 func (s storeSink) OnError(err error) {
 	s.c.send(func(c *control) {
-		c.roster.StoreFailed()
+		c.upstreamRegistry.StoreFailed()
 		c.noteStoreUnreachable(err)
 	})
 }
 
 // applyChanges applies changes from the store or from a peer.
 func (c *control) applyChanges(now time.Time, events []kv.Event) {
-	for _, e := range c.seen.FilterNewer(events) {
-		digestBefore, hostsDigestBefore := c.digest.Sum(), c.hostRegistrations.digest.Sum()
+	for _, e := range c.keyRevisions.FilterNewer(events) {
+		digestBefore, hostsDigestBefore := c.digest.Sum(), c.hostRegistrationState.digest.Sum()
 		var base []byte
 		if platform.IsConfiguration(e.Key) {
 			base = c.configuration
@@ -107,7 +109,7 @@
 			c.applyWrite(now, e.Item)
 		}
 		c.journal.Add(digestBefore, c.digest.Sum(), e, base)
-		c.hostRegistrations.journal.Add(hostsDigestBefore, c.hostRegistrations.digest.Sum(), e, nil)
+		c.hostRegistrationState.journal.Add(hostsDigestBefore, c.hostRegistrationState.digest.Sum(), e, nil)
 	}
 	c.updateMembers(now)
 }
@@ -162,7 +164,7 @@
 		return
 	}
 	c.registrations[item.Key] = r
-	c.hostRegistrations.digest.SetHost(item.Key, item.Value)
+	c.hostRegistrationState.digest.SetHost(item.Key, item.Value)
 	c.hostsChanged = true
 }
 
@@ -172,7 +174,7 @@
 		return
 	}
 	delete(c.registrations, key)
-	c.hostRegistrations.digest.RemoveHost(key)
+	c.hostRegistrationState.digest.RemoveHost(key)
 	c.hostsChanged = true
 }
 
@@ -219,7 +221,7 @@
 	c.d.table.SetEvacuatedZones(c.d.now(), c.evacuatedZones)
 }
 
-// advanceConfirmedAt records that the state matched the store at a time.
+// advanceConfirmedAt records that the state matched the store at the time asOf.
 func (c *control) advanceConfirmedAt(asOf time.Time) {
 	if asOf.After(c.confirmedAt) {
 		c.confirmedAt = asOf
@@ -230,7 +232,7 @@
 // state and the entry hosts' registrations.
 func (c *control) noteStoreReached(asOf time.Time) {
 	c.advanceConfirmedAt(asOf)
-	c.hostRegistrations.advanceConfirmedAt(asOf)
+	c.hostRegistrationState.advanceConfirmedAt(asOf)
 	if c.storeUnreachable {
 		c.storeUnreachable = false
 		c.announce(c.d.now())
@@ -254,12 +256,12 @@
 		id, _ := platform.UpstreamID(item.Key)
 		c.d.events.Info("upstream entry void", "upstream", id, "revision", item.Revision, "error", err)
 		c.digest.RemoveUpstream(id)
-		if c.roster.Invalidate(id) {
+		if c.upstreamRegistry.Invalidate(id) {
 			c.removeUpstream(id, "entry void")
 		}
 		return
 	}
-	if !c.roster.Put(u) {
+	if !c.upstreamRegistry.Put(u) {
 		c.d.events.Debug("stale upstream entry ignored", "upstream", u.ID, "born", u.StartedMs, "sequence", u.Sequence)
 		return
 	}
@@ -272,7 +274,7 @@
 
 func (c *control) deleteUpstreamEntry(now time.Time, id string) {
 	c.digest.RemoveUpstream(id)
-	if c.roster.EntryRemoved(now, id) {
+	if c.upstreamRegistry.EntryRemoved(now, id) {
 		c.removeUpstream(id, "entry removed")
 	}
 }
--- a/internal/entryhost/upstreamlatency_test.go
+++ b/internal/entryhost/upstreamlatency_test.go
@@ -9,8 +9,8 @@
 )
 
 // Guards against late responses that cannot be explained: the log line and the metrics must
-// hold both the expected and the actual time, so that a bad choice of upstream can be told from
-// a slow upstream.
+// hold both the expected and the actual time, so that a bad choice of upstream can be
+// distinguished from a slow upstream.
 func TestLateResponseReportsExpectedTimes(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
