--- a/cmd/balsamlab/callers.go
+++ b/cmd/balsamlab/callers.go
@@ -13,7 +13,7 @@
 var errWrongAnswers = errors.New("balsamlab: callers received wrong answers")
 
 func callersCommand() *cobra.Command {
-	load := standin.Load{Posts: map[string]bool{}}
+	load := standin.Load{PostServices: map[string]bool{}}
 	var posts []string
 	var keyPrefix string
 	cmd := &cobra.Command{
@@ -26,27 +26,27 @@
 				return err
 			}
 			load.Config = c
-			load.Key = func(customer string) string { return keyPrefix + customer }
+			load.APIKey = func(customer string) string { return keyPrefix + customer }
 			for _, p := range posts {
-				load.Posts[p] = true
+				load.PostServices[p] = true
 			}
 			report, err := standin.Run(cmd.Context(), load)
 			if err != nil {
 				return err
 			}
 			report.Print(os.Stdout)
-			if report.Wrong > 0 {
+			if report.WrongResponses > 0 {
 				return errWrongAnswers
 			}
 			return nil
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&load.Entry, "entry", "", "callers' address of any daemon")
+	f.StringVar(&load.EntryAddress, "entry", "", "callers' address of any daemon")
 	f.StringVar(&keyPrefix, "key-prefix", "demo-", "a customer's key is this and its name")
-	f.Float64Var(&load.Fraction, "fraction", 0.6, "part of each customer's rate to send")
+	f.Float64Var(&load.RateFraction, "fraction", 0.6, "part of each customer's rate to send")
 	f.DurationVar(&load.Duration, "duration", 10*time.Second, "how long to send")
-	f.IntVar(&load.BulkBytes, "bulk-bytes", 200_000, "size of an answer of a bulk service")
+	f.IntVar(&load.BulkResponseBytes, "bulk-bytes", 200_000, "size of an answer of a bulk service")
 	f.Uint64Var(&load.Seed, "seed", 1, "seed of the load")
 	f.StringSliceVar(&posts, "posts", []string{"posting", "top-up"}, "services called with POST")
 	return cmd
--- a/cmd/balsamlab/calm.go
+++ b/cmd/balsamlab/calm.go
@@ -45,7 +45,7 @@
 	store  *standin.KVStore
 	// address is the store's.
 	address   string
-	workers   []*standin.Worker
+	workers   []*standin.PlatformUpstream
 	beats     []func(sequence int)
 	processes []*exec.Cmd
 	callers   []string
@@ -106,10 +106,10 @@
 	if d.address, err = serve("127.0.0.1:0", d.store); err != nil {
 		return err
 	}
-	d.store.Put("op/config", standin.Declaration{Version: 1, Keys: []string{calmKey}}.Value())
+	d.store.Put("op/config", standin.PlatformConfig{Version: 1, Keys: []string{calmKey}}.Encode())
 	zones := []string{"a1", "a2", "b1"}
 	for i := range calmUpstreams {
-		w := &standin.Worker{ID: fmt.Sprint("i-", i), Work: calmWork}
+		w := &standin.PlatformUpstream{ID: fmt.Sprint("i-", i), ServiceTime: calmWork}
 		address, err := serve("127.0.0.1:0", w)
 		if err != nil {
 			return err
@@ -117,7 +117,7 @@
 		zone := zones[i%len(zones)]
 		d.workers = append(d.workers, w)
 		d.beats = append(d.beats, func(sequence int) {
-			d.store.Put("servers/"+w.ID, w.Entry(standin.Service, address, zone, "ready", sequence))
+			d.store.Put("servers/"+w.ID, w.RegistryEntry(standin.Service, address, zone, "ready", sequence))
 		})
 	}
 	d.beat(1)
@@ -154,9 +154,9 @@
 // start starts one host and waits until it listens.
 func (d *calmDay) start(name, zone string) error {
 	file := filepath.Join(d.dir, name+".jsonc")
-	settings := standin.EntryHost{
-		Name: name, Zone: zone, Callers: "127.0.0.1:0", Directory: "127.0.0.1:0", Store: d.address, Grace: calmGrace, Revoke: 5 * time.Second,
-	}.Settings()
+	settings := standin.EntryHostSettings{
+		Name: name, Zone: zone, CallerAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0", StoreAddress: d.address, GracePeriod: calmGrace, RevocationDelay: 5 * time.Second,
+	}.Encode()
 	if err := os.WriteFile(file, settings, 0o600); err != nil {
 		return errors.Wrap(err, "settings")
 	}
--- a/cmd/balsamlab/compare.go
+++ b/cmd/balsamlab/compare.go
@@ -19,19 +19,19 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p.Versions = strings.Split(args[0], ",")
 			for _, text := range args[1:] {
-				s, err := compare.ParseSite(text)
+				s, err := compare.ParseDeployment(text)
 				if err != nil {
 					return err
 				}
-				p.Sites = append(p.Sites, s)
+				p.Deployments = append(p.Deployments, s)
 			}
 			for seed := first; seed < first+seeds; seed++ {
 				p.Seeds = append(p.Seeds, seed)
 			}
 			out := cmd.OutOrStdout()
-			p.Played = func(version string, q compare.Play) {
+			p.OnRun = func(version string, q compare.BenchRun) {
 				_, _ = fmt.Fprintf(out, "played version=%s site=%s day=%s seed=%d worth=%.3f broken=%v fault=%q\n",
-					version, q.Site, q.Day, q.Seed, q.Worth, q.Broken, q.Fault)
+					version, q.Deployment, q.Day, q.Seed, q.Score, q.BrokenRules, q.InvalidReason)
 			}
 			plays, err := p.Run(cmd.Context())
 			if err != nil {
@@ -51,8 +51,8 @@
 	f.IntVar(&first, "first", 1, "first seed")
 	f.IntVar(&seeds, "seeds", 5, "number of seeds")
 	f.IntVar(&p.Jobs, "jobs", 2, "plays at once")
-	f.BoolVar(&p.Processor, "processor", false, "charge processor time; plays then differ a little each time")
-	f.StringVar(&p.Why, "why", "", "what the change is expected to do; noted with each play")
+	f.BoolVar(&p.ChargeCPU, "processor", false, "charge processor time; plays then differ a little each time")
+	f.StringVar(&p.Note, "why", "", "what the change is expected to do; noted with each play")
 	_ = cmd.MarkFlagRequired("bench")
 	return cmd
 }
--- a/internal/compare/pairs.go
+++ b/internal/compare/pairs.go
@@ -9,16 +9,16 @@
 	"text/tabwriter"
 )
 
-// Play is one play of one version.
-type Play struct {
-	Site string
-	Day  string
-	Seed int
-	// Worth is the figure that is compared.
-	Worth float64
-	// Broken are the rules that were broken, and Fault why the play does not count; "".
-	Broken []string
-	Fault  string
+// BenchRun is one play of one version.
+type BenchRun struct {
+	Deployment string
+	Day        string
+	Seed       int
+	// Score is the figure that is compared.
+	Score float64
+	// BrokenRules are the rules that were broken, and Fault why the play does not count; "".
+	BrokenRules   []string
+	InvalidReason string
 }
 
 // key is what a pair has in common.
@@ -27,17 +27,17 @@
 	seed      int
 }
 
-func (p Play) key() key { return key{p.Site, p.Day, p.Seed} }
+func (p BenchRun) key() key { return key{p.Deployment, p.Day, p.Seed} }
 
 // Verdict on a difference.
 type Verdict string
 
 // Verdicts.
 const (
-	Better Verdict = "better"
-	Worse  Verdict = "worse"
-	Inside Verdict = "inside the spread"
-	TooFew Verdict = "too few pairs"
+	Better       Verdict = "better"
+	Worse        Verdict = "worse"
+	Inconclusive Verdict = "inside the spread"
+	TooFewPairs  Verdict = "too few pairs"
 )
 
 const (
@@ -50,23 +50,23 @@
 
 // Summary is what the pairs of one deployment, or of one of its days, say.
 type Summary struct {
-	Site, Day string
-	Pairs     int
+	Deployment, Day string
+	Pairs           int
 	// Before and After are the means of both versions.
 	Before, After float64
 	// Difference is the mean of the pairs' differences, and Error its standard error.
-	Difference, Error float64
-	// Up and Down count the pairs in which the later version is better or worse.
-	Up, Down int
+	Difference, StandardError float64
+	// Improved and Down count the pairs in which the later version is better or worse.
+	Improved, Regressed int
 }
 
 // Verdict says whether the difference is larger than its spread.
 func (s Summary) Verdict() Verdict {
 	switch {
 	case s.Pairs < minPairs:
-		return TooFew
-	case math.Abs(s.Difference) <= spreadFactor*s.Error:
-		return Inside
+		return TooFewPairs
+	case math.Abs(s.Difference) <= spreadFactor*s.StandardError:
+		return Inconclusive
 	case s.Difference > 0:
 		return Better
 	}
@@ -78,8 +78,8 @@
 
 // Summarize pairs the plays of two versions, and returns a summary of each day and of each
 // deployment. Plays without a partner are left out.
-func Summarize(before, after []Play) []Summary {
-	partner := map[key]Play{}
+func Summarize(before, after []BenchRun) []Summary {
+	partner := map[key]BenchRun{}
 	for _, p := range before {
 		partner[p.key()] = p
 	}
@@ -89,8 +89,8 @@
 		if !ok {
 			continue
 		}
-		pair := [2]float64{b.Worth, p.Worth}
-		for _, k := range []key{{site: p.Site, day: p.Day}, {site: p.Site, day: allDays}} {
+		pair := [2]float64{b.Score, p.Score}
+		for _, k := range []key{{site: p.Deployment, day: p.Day}, {site: p.Deployment, day: allDays}} {
 			groups[k] = append(groups[k], pair)
 		}
 	}
@@ -99,7 +99,7 @@
 		out = append(out, summarize(k, pairs))
 	}
 	slices.SortFunc(out, func(a, b Summary) int {
-		return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(boolInt(a.Day == allDays), boolInt(b.Day == allDays)), cmp.Compare(a.Day, b.Day))
+		return cmp.Or(cmp.Compare(a.Deployment, b.Deployment), cmp.Compare(boolInt(a.Day == allDays), boolInt(b.Day == allDays)), cmp.Compare(a.Day, b.Day))
 	})
 	return out
 }
@@ -112,16 +112,16 @@
 }
 
 func summarize(k key, pairs [][2]float64) Summary {
-	s := Summary{Site: k.site, Day: k.day, Pairs: len(pairs)}
+	s := Summary{Deployment: k.site, Day: k.day, Pairs: len(pairs)}
 	n := float64(len(pairs))
 	for _, p := range pairs {
 		s.Before += p[0] / n
 		s.After += p[1] / n
 		switch {
 		case p[1] > p[0]:
-			s.Up++
+			s.Improved++
 		case p[1] < p[0]:
-			s.Down++
+			s.Regressed++
 		}
 	}
 	s.Difference = s.After - s.Before
@@ -133,7 +133,7 @@
 		d := p[1] - p[0] - s.Difference
 		variance += d * d / (n - 1)
 	}
-	s.Error = math.Sqrt(variance / n)
+	s.StandardError = math.Sqrt(variance / n)
 	return s
 }
 
@@ -143,7 +143,7 @@
 	_, _ = fmt.Fprintln(t, "deployment\tday\tpairs\tbefore\tafter\tdifference\tstandard error\tup\tdown\tverdict")
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\t%d\t%s\n",
-			s.Site, s.Day, s.Pairs, s.Before, s.After, s.Difference, s.Error, s.Up, s.Down, s.Verdict())
+			s.Deployment, s.Day, s.Pairs, s.Before, s.After, s.Difference, s.StandardError, s.Improved, s.Regressed, s.Verdict())
 	}
 	return t.Flush()
 }
--- a/internal/compare/pairs_test.go
+++ b/internal/compare/pairs_test.go
@@ -9,10 +9,10 @@
 	"balsambarrow/internal/compare"
 )
 
-func plays(day string, worth ...float64) []compare.Play {
-	var out []compare.Play
+func plays(day string, worth ...float64) []compare.BenchRun {
+	var out []compare.BenchRun
 	for seed, w := range worth {
-		out = append(out, compare.Play{Site: "s", Day: day, Seed: seed, Worth: w})
+		out = append(out, compare.BenchRun{Deployment: "s", Day: day, Seed: seed, Score: w})
 	}
 	return out
 }
@@ -23,12 +23,12 @@
 		before, after []float64
 		want          compare.Verdict
 	}{
-		{"one pair proves nothing", []float64{.5}, []float64{.7}, compare.TooFew},
-		{"nor do four that agree", []float64{.5, .6, .7, .4}, []float64{.51, .612, .709, .411}, compare.TooFew},
-		{"up and down", []float64{.5, .6, .5, .6, .5}, []float64{.6, .5, .6, .5, .5}, compare.Inside},
+		{"one pair proves nothing", []float64{.5}, []float64{.7}, compare.TooFewPairs},
+		{"nor do four that agree", []float64{.5, .6, .7, .4}, []float64{.51, .612, .709, .411}, compare.TooFewPairs},
+		{"up and down", []float64{.5, .6, .5, .6, .5}, []float64{.6, .5, .6, .5, .5}, compare.Inconclusive},
 		{"always a little up", []float64{.5, .6, .7, .4, .5}, []float64{.51, .612, .709, .411, .512}, compare.Better},
 		{"always a little down", []float64{.51, .612, .709, .411, .512}, []float64{.5, .6, .7, .4, .5}, compare.Worse},
-		{"the same", []float64{.5, .6, .7, .4, .5}, []float64{.5, .6, .7, .4, .5}, compare.Inside},
+		{"the same", []float64{.5, .6, .7, .4, .5}, []float64{.5, .6, .7, .4, .5}, compare.Inconclusive},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -46,7 +46,7 @@
 	s := compare.Summarize(before, after)
 	g.Expect(s).To(HaveLen(2))
 	g.Expect(s[0].Pairs).To(Equal(2))
-	g.Expect(s[0].Up).To(Equal(2))
+	g.Expect(s[0].Improved).To(Equal(2))
 	g.Expect(s[0].Difference).To(BeNumerically("~", .1, 1e-9))
 	var b bytes.Buffer
 	g.Expect(compare.Print(&b, s)).To(Succeed())
--- a/internal/compare/run.go
+++ b/internal/compare/run.go
@@ -21,54 +21,54 @@
 	Bench string
 	// Versions are the checkouts that are played on the same days and seeds. The others
 	// are compared with the first.
-	Versions []string
-	Sites    []Site
-	Seeds    []int
+	Versions    []string
+	Deployments []Deployment
+	Seeds       []int
 	// Jobs is the number of plays at once.
 	Jobs int
-	// Processor says that processor time is charged; plays then differ a little each time.
-	Processor bool
-	// Why is noted with each play.
-	Why string
-	// Played is told of each play. Default nil.
-	Played func(version string, p Play)
+	// ChargeCPU says that processor time is charged; plays then differ a little each time.
+	ChargeCPU bool
+	// Note is noted with each play.
+	Note string
+	// OnRun is told of each play. Default nil.
+	OnRun func(version string, p BenchRun)
 }
 
-// Site is a deployment and the days of it that are played.
-type Site struct {
+// Deployment is a deployment and the days of it that are played.
+type Deployment struct {
 	File string
 	Days []string
 }
 
 // Name is the file's, without directories and extension.
-func (s Site) Name() string {
+func (s Deployment) Name() string {
 	return strings.TrimSuffix(filepath.Base(s.File), filepath.Ext(s.File))
 }
 
-// ParseSite reads FILE:DAY,DAY. The error is a *SiteError.
-func ParseSite(text string) (Site, error) {
+// ParseDeployment reads FILE:DAY,DAY. The error is a *DeploymentError.
+func ParseDeployment(text string) (Deployment, error) {
 	file, days, ok := strings.Cut(text, ":")
-	s := Site{File: file, Days: strings.Split(days, ",")}
+	s := Deployment{File: file, Days: strings.Split(days, ",")}
 	if !ok || file == "" || slices.Contains(s.Days, "") {
-		return Site{}, errors.WithStack(&SiteError{text})
+		return Deployment{}, errors.WithStack(&DeploymentError{text})
 	}
 	return s, nil
 }
 
-// SiteError says that an argument does not name a deployment and days.
-type SiteError struct{ Text string }
+// DeploymentError says that an argument does not name a deployment and days.
+type DeploymentError struct{ Text string }
 
-func (e *SiteError) Error() string { return fmt.Sprintf("%q is not FILE:DAY,DAY", e.Text) }
+func (e *DeploymentError) Error() string { return fmt.Sprintf("%q is not FILE:DAY,DAY", e.Text) }
 
 // ReportError says that a play left no report that can be read.
 type ReportError struct {
-	Play   Play
+	Run    BenchRun
 	Output string
 	Cause  error
 }
 
 func (e *ReportError) Error() string {
-	return fmt.Sprintf("%s %s, seed %d: %v\n%s", e.Play.Site, e.Play.Day, e.Play.Seed, e.Cause, e.Output)
+	return fmt.Sprintf("%s %s, seed %d: %v\n%s", e.Run.Deployment, e.Run.Day, e.Run.Seed, e.Cause, e.Output)
 }
 
 // Unwrap returns the cause.
@@ -78,13 +78,13 @@
 type task struct {
 	version string
 	file    string
-	play    Play
+	play    BenchRun
 }
 
 // Run makes all plays, and returns them by version. What belongs together is played one
 // after the other.
-func (p Plan) Run(ctx context.Context) (plays map[string][]Play, err error) {
-	plays = map[string][]Play{}
+func (p Plan) Run(ctx context.Context) (plays map[string][]BenchRun, err error) {
+	plays = map[string][]BenchRun{}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	queue := make(chan task)
@@ -108,8 +108,8 @@
 				switch {
 				case failed == nil:
 					plays[t.version] = append(plays[t.version], played)
-					if p.Played != nil {
-						p.Played(t.version, played)
+					if p.OnRun != nil {
+						p.OnRun(t.version, played)
 					}
 				case err == nil:
 					err = failed
@@ -125,10 +125,10 @@
 
 func (p Plan) tasks() []task {
 	var out []task
-	for _, s := range p.Sites {
+	for _, s := range p.Deployments {
 		for _, seed := range p.Seeds {
 			for _, day := range s.Days {
-				play := Play{Site: s.Name(), Day: day, Seed: seed}
+				play := BenchRun{Deployment: s.Name(), Day: day, Seed: seed}
 				for _, version := range p.Versions {
 					out = append(out, task{version, s.File, play})
 				}
@@ -146,7 +146,7 @@
 }
 
 // play makes one play. The error is a *ReportError.
-func (p Plan) play(ctx context.Context, t task) (Play, error) {
+func (p Plan) play(ctx context.Context, t task) (BenchRun, error) {
 	file, err := os.CreateTemp("", "play-*.json")
 	if err != nil {
 		return t.play, errors.WithStack(err)
@@ -154,8 +154,8 @@
 	_ = file.Close()
 	defer func() { _ = os.Remove(file.Name()) }()
 	args := []string{"run", t.file, t.play.Day, "--seed", strconv.Itoa(t.play.Seed), "--report", file.Name(),
-		"--why", filepath.Base(t.version) + ": " + p.Why}
-	if !p.Processor {
+		"--why", filepath.Base(t.version) + ": " + p.Note}
+	if !p.ChargeCPU {
 		args = append(args, "--no-cpu")
 	}
 	cmd := exec.CommandContext(ctx, p.Bench, args...)
@@ -177,7 +177,7 @@
 // errNoWorth says that a report has no figure.
 var errNoWorth = errors.New("report without a figure")
 
-func (p *Play) read(data []byte) error {
+func (p *BenchRun) read(data []byte) error {
 	var r report
 	if err := json.Unmarshal(data, &r); err != nil {
 		return errors.WithStack(err)
@@ -185,13 +185,13 @@
 	if r.Worth == nil {
 		return errors.WithStack(errNoWorth)
 	}
-	p.Worth = *r.Worth
+	p.Score = *r.Worth
 	if r.Fault != nil {
-		p.Fault = fmt.Sprint(r.Fault)
+		p.InvalidReason = fmt.Sprint(r.Fault)
 	}
 	for rule := range r.Broken {
-		p.Broken = append(p.Broken, rule)
+		p.BrokenRules = append(p.BrokenRules, rule)
 	}
-	slices.Sort(p.Broken)
+	slices.Sort(p.BrokenRules)
 	return nil
 }
--- a/internal/compare/run_test.go
+++ b/internal/compare/run_test.go
@@ -33,7 +33,7 @@
 	}
 	return compare.Plan{
 		Bench: bench(t, body), Versions: []string{before, after}, Jobs: 2, Seeds: []int{1, 2, 3},
-		Sites: []compare.Site{{File: "x/one.toml", Days: []string{"calm"}}},
+		Deployments: []compare.Deployment{{File: "x/one.toml", Days: []string{"calm"}}},
 	}
 }
 
@@ -46,8 +46,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	before, after := plays[p.Versions[0]], plays[p.Versions[1]]
 	s := compare.Summarize(before, after)
-	g.Expect(s[0]).To(Equal(compare.Summary{Site: "one", Day: "calm", Pairs: 3, Before: 2, After: 3, Difference: 1, Up: 3}))
-	g.Expect(after[0].Broken).To(Equal([]string{"LOST"}))
+	g.Expect(s[0]).To(Equal(compare.Summary{Deployment: "one", Day: "calm", Pairs: 3, Before: 2, After: 3, Difference: 1, Improved: 3}))
+	g.Expect(after[0].BrokenRules).To(Equal([]string{"LOST"}))
 }
 
 // Guards against a play that failed and is taken for one worth nothing.
@@ -60,15 +60,15 @@
 			_, err := plan(t, body).Run(context.Background())
 			var wrong *compare.ReportError
 			g.Expect(errors.As(err, &wrong)).To(BeTrue())
-			g.Expect(wrong.Play.Day).To(Equal("calm"))
+			g.Expect(wrong.Run.Day).To(Equal("calm"))
 		})
 	}
 }
 
 func TestSitesThatCannotBeRead(t *testing.T) {
 	for _, text := range []string{"", "file.toml", "file.toml:", ":day", "file.toml:day,"} {
-		_, err := compare.ParseSite(text)
-		var wrong *compare.SiteError
+		_, err := compare.ParseDeployment(text)
+		var wrong *compare.DeploymentError
 		NewWithT(t).Expect(errors.As(err, &wrong)).To(BeTrue(), text)
 	}
 }
--- a/internal/config/repository_test.go
+++ b/internal/config/repository_test.go
@@ -92,7 +92,7 @@
 			return b.apply("a", 1, strings.ReplaceAll(rate20, ":", " : "))
 		}, uint64(2), uint64(2)),
 		Entry("its answer lost", func() (config.Applied, error) {
-			b.store.SetFaults(standin.Faults{LoseAnswers: 1})
+			b.store.SetFaults(standin.Faults{LoseResponses: 1})
 			return b.apply("a", 1, rate20)
 		}, uint64(2), uint64(2)),
 		Entry("submitted again after another operator's change", func() (config.Applied, error) {
@@ -218,7 +218,7 @@
 	})
 
 	It("is of unknown outcome, and no other, where no answer comes", func() {
-		b.store.SetFaults(standin.Faults{LoseAnswers: 1})
+		b.store.SetFaults(standin.Faults{LoseResponses: 1})
 		slow := config.NewRepository(&deaf{Store: kv.WithTimeout(newClient("http://127.0.0.1:1"), time.Second), rec: b.record()}, time.Now)
 		_, err := slow.Apply(context.Background(), config.Patch{ChangeID: "a", Base: 1, Merge: json.RawMessage(rate20)})
 		Expect(errors.Is(err, config.ErrOutcomeUnknown)).To(BeTrue(), "got %v", err)
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -88,8 +88,8 @@
 // load is an open-loop load over a fleet.
 func (f *fleet) load(l standin.Load) *standin.Report {
 	l.Config = f.daemons["vt-a-1"].View().Config.Config
-	l.Entry = f.daemons["vt-a-1"].Identity().Callers
-	l.Key = func(customer string) string { return "key-" + customer }
+	l.EntryAddress = f.daemons["vt-a-1"].Identity().Callers
+	l.APIKey = func(customer string) string { return "key-" + customer }
 	l.Seed = 1
 	r, err := standin.Run(context.Background(), l)
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -117,17 +117,17 @@
 	}
 }
 
-func wrongfulPart(seconds []standin.Second) float64 {
+func wrongfulPart(seconds []standin.SecondCounts) float64 {
 	sent, wrongful := 0, 0
 	for _, s := range seconds {
 		sent += s.Sent
-		wrongful += s.Wrongful
+		wrongful += s.WrongfulRejections
 	}
 	return 100 * float64(wrongful) / float64(max(sent, 1))
 }
 
 // calmAfter is the first second from which on no second is over 0.5%.
-func calmAfter(seconds []standin.Second) int {
+func calmAfter(seconds []standin.SecondCounts) int {
 	for i := len(seconds) - 1; i >= 0; i-- {
 		if wrongfulPart(seconds[i:i+1]) > 0.5 {
 			return i + 1
@@ -165,8 +165,8 @@
 	for _, tc := range []struct{ rate, burst float64 }{{200, 50}, {200, 10}, {20, 20}, {20, 5}} {
 		t.Run(fmt.Sprintf("rate=%v burst=%v", tc.rate, tc.burst), func(t *testing.T) {
 			f := cooperative(t, map[string]config.Customer{"farm": customer("farm", tc.rate, tc.burst)})
-			r := f.load(standin.Load{Fraction: 0.9, Duration: length, Pick: f.skewed("vt-a-1", "ma-a-1", move)})
-			steady, moved := r.Seconds[10:25], r.Seconds[25:]
+			r := f.load(standin.Load{RateFraction: 0.9, Duration: length, ChooseEntry: f.skewed("vt-a-1", "ma-a-1", move)})
+			steady, moved := r.PerSecond[10:25], r.PerSecond[25:]
 			t.Logf("wrongful refusals: seconds 10 to 25 %.2f%%, after the move %.2f%%, calm %d s after it; p50 %v p99 %v; overshoot %.2f",
 				wrongfulPart(steady), wrongfulPart(moved), calmAfter(moved), r.Quantile(50), r.Quantile(99),
 				f.overshoot("farm", customer("", tc.rate, tc.burst)))
@@ -182,9 +182,9 @@
 		customers[name] = customer(name, rate, rate/2)
 	}
 	f := cooperative(t, customers)
-	r := f.load(standin.Load{Fraction: 0.9, Duration: 30 * time.Second})
-	t.Logf("wrongful refusals after 10 s: %.2f%%; p50 %v p99 %v", wrongfulPart(r.Seconds[10:]), r.Quantile(50), r.Quantile(99))
-	name, share := r.Worst()
+	r := f.load(standin.Load{RateFraction: 0.9, Duration: 30 * time.Second})
+	t.Logf("wrongful refusals after 10 s: %.2f%%; p50 %v p99 %v", wrongfulPart(r.PerSecond[10:]), r.Quantile(50), r.Quantile(99))
+	name, share := r.WorstServed()
 	t.Logf("worst-served %s: %.1f%% of its requests ran", name, 100*share)
 }
 
@@ -218,11 +218,11 @@
 				}
 				return addresses[near]
 			}
-			r := f.load(standin.Load{Fraction: 0.8, Fractions: map[string]float64{"hot": 5}, Duration: 30 * time.Second, Pick: pick})
+			r := f.load(standin.Load{RateFraction: 0.8, CustomerRateFractions: map[string]float64{"hot": 5}, Duration: 30 * time.Second, ChooseEntry: pick})
 			over := f.overshoot("hot", customer("", 100, 40))
 			t.Logf("overshoot hot %.2f, calm %.2f; outcomes %v; wrongful %d of %d refused", over, f.overshoot("calm", customer("", 100, 40)),
-				r.Outcomes, r.Wrongful, r.Refused)
-			g.Expect(r.Wrong).To(BeZero())
+				r.Outcomes, r.WrongfulRejections, r.RateRejections)
+			g.Expect(r.WrongResponses).To(BeZero())
 		})
 	}
 }
@@ -256,7 +256,7 @@
 		return f.host([]string{"vt-a-1", "vt-a-2"}[rng.IntN(2)])
 	}
 	// A sixth of the rate is the zone's own share; it sends four fifths of it.
-	r := f.load(standin.Load{Fraction: 0.8 / 6, Duration: 50 * time.Second, Pick: inside})
+	r := f.load(standin.Load{RateFraction: 0.8 / 6, Duration: 50 * time.Second, ChooseEntry: inside})
 	t.Logf("sent %d, outcomes %v", r.Sent, r.Outcomes)
 	version := f.daemons["vt-b-1"].View().Config
 	t.Logf("overshoot %.2f; version %d", f.overshoot("farm", customer("", 240, 120)), version.Version)
--- a/internal/daemon/slots_test.go
+++ b/internal/daemon/slots_test.go
@@ -116,7 +116,7 @@
 	f := newFleet(t)
 	f.start("vt-1", "vt-a")
 	f.apply("vt-1", oneZone())
-	f.platform.SetFaults(standin.Faults{LoseAnswers: 6})
+	f.platform.SetFaults(standin.Faults{LoseResponses: 6})
 	f.start("vt-2", "vt-a")
 	g.Eventually(func(g Gomega) {
 		g.Expect(f.slotsOf()).To(Equal(allFour))
@@ -151,7 +151,7 @@
 func TestUnlistedDaemonsFindEachOther(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.platform.SetFaults(standin.Faults{Lag: time.Hour})
+	f.platform.SetFaults(standin.Faults{StaleAge: time.Hour})
 	f.start("vt-1", "vt-a")
 	c := twoRegions()
 	c.Zones["me-b"] = config.Zone{Region: "maine"}
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -26,11 +26,11 @@
 	s := newSite(t)
 	k := s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
-	s.store.SetFault(func(string) standin.StoreFault { return standin.StoreBusy })
+	s.store.SetFaultFunc(func(string) standin.StoreFault { return standin.StoreUnavailable })
 	one, two := s.host("h1", "a1"), s.host("h2", "a2")
 	g.Expect(s.read(one).status).To(Equal(http.StatusServiceUnavailable), "no configuration is known yet")
 	g.Expect(one.ready()).To(BeFalse())
-	s.store.SetFault(nil)
+	s.store.SetFaultFunc(nil)
 	s.awaitServing()
 	a := s.post(two)
 	g.Expect(a.status).To(Equal(http.StatusOK))
@@ -88,7 +88,7 @@
 	s.store.Put("op/config", []byte(`{"version":"r10","routes":`))
 	g.Consistently(withdrawn, "500ms", "50ms").Should(Equal(http.StatusUnauthorized))
 	g.Expect(s.read(h).status).To(Equal(http.StatusOK))
-	s.store.Forget()
+	s.store.CompactHistory()
 	s.declare(12, "k1", "k2")
 	g.Eventually(withdrawn, "5s", "20ms").Should(Equal(http.StatusOK), "after a compaction too")
 }
@@ -99,7 +99,7 @@
 // host must serve again.
 func TestHostWithoutStoreRefusesKeys(t *testing.T) {
 	for name, fault := range map[string]standin.StoreFault{
-		"silent": standin.StoreSilent, "busy": standin.StoreBusy, "many": standin.StoreMany, "reset": standin.StoreReset,
+		"silent": standin.StoreUnresponsive, "busy": standin.StoreUnavailable, "many": standin.StoreTooManyRequests, "reset": standin.StoreReset,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,7 +109,7 @@
 			s.declare(4, "k1")
 			h := s.host("h1", "a1")
 			s.awaitServing()
-			s.store.SetFault(func(string) standin.StoreFault { return fault })
+			s.store.SetFaultFunc(func(string) standin.StoreFault { return fault })
 			var a answer
 			g.Eventually(func() int {
 				a = s.read(h)
@@ -119,7 +119,7 @@
 			g.Eventually(h.ready, "10s", "50ms").Should(BeFalse())
 			g.Expect(s.call(h, "GET", "/open/1", "", "").status).To(Equal(http.StatusOK), "the route needs no key")
 			g.Expect(s.call(h, "GET", "/none/", "k1", "").status).To(Equal(http.StatusServiceUnavailable), "the path may belong to a newer configuration")
-			s.store.SetFault(nil)
+			s.store.SetFaultFunc(nil)
 			g.Eventually(func() int { return s.read(h).status }, "10s", "50ms").Should(Equal(http.StatusOK))
 			g.Eventually(h.ready, "10s", "50ms").Should(BeTrue())
 		})
@@ -129,11 +129,11 @@
 // Guards against requests to an upstream that is leaving, for each way in which an upstream can
 // leave. The other upstream must serve meanwhile.
 func TestLeavingUpstreamsReceiveNoNewRequests(t *testing.T) {
-	for name, leave := range map[string]func(*site, *standin.Worker){
-		"draining": func(s *site, k *standin.Worker) { s.register(k, "s", "127.0.0.1:1", "a1", "draining", 2) },
-		"removed":  func(s *site, k *standin.Worker) { s.store.Delete("servers/" + k.ID) },
-		"invalid":  func(s *site, k *standin.Worker) { s.store.Put("servers/"+k.ID, []byte(`{"service":7}`)) },
-		"evacuated": func(s *site, _ *standin.Worker) {
+	for name, leave := range map[string]func(*site, *standin.PlatformUpstream){
+		"draining": func(s *site, k *standin.PlatformUpstream) { s.register(k, "s", "127.0.0.1:1", "a1", "draining", 2) },
+		"removed":  func(s *site, k *standin.PlatformUpstream) { s.store.Delete("servers/" + k.ID) },
+		"invalid":  func(s *site, k *standin.PlatformUpstream) { s.store.Put("servers/"+k.ID, []byte(`{"service":7}`)) },
+		"evacuated": func(s *site, _ *standin.PlatformUpstream) {
 			s.store.Put("op/evacuate/a1", []byte(`{}`))
 		},
 	} {
@@ -216,8 +216,8 @@
 			h := s.host("h1", "a1")
 			s.awaitServing()
 			before := len(one.Runs()) + len(two.Runs())
-			one.SetAnswer(c.answer)
-			two.SetAnswer(c.answer)
+			one.SetHandler(c.answer)
+			two.SetHandler(c.answer)
 			a := s.read
 			if c.post {
 				a = s.post
@@ -249,7 +249,7 @@
 	if len(two.Runs()) > 0 {
 		failing = two
 	}
-	failing.SetAnswer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	failing.SetHandler(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for range 20 {
 		g.Expect(s.read(h).status).To(Equal(http.StatusOK))
 	}
@@ -266,7 +266,7 @@
 	h := s.host("h1", "a1")
 	s.awaitServing()
 	before := len(k.Runs())
-	k.Rename("i-other")
+	k.SetInstanceID("i-other")
 	g.Expect(s.post(h).status).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(k.Runs()).To(HaveLen(before))
 }
@@ -316,7 +316,7 @@
 	h := s.host("h1", "a1")
 	s.awaitServing()
 	canceled := make(chan struct{})
-	k.SetAnswer(func(_ http.ResponseWriter, r *http.Request) {
+	k.SetHandler(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(canceled)
 	})
@@ -336,7 +336,7 @@
 func TestHostsThatStartTogetherFindEachOther(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t)
-	s.store.SetBehind(true)
+	s.store.SetStaleReadsEmpty(true)
 	s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
 	one, two := s.host("h1", "a1"), s.host("h2", "a2")
@@ -448,7 +448,7 @@
 	s := newSite(t)
 	s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
-	s.store.SetFault(func(string) standin.StoreFault { return standin.StoreBusy })
+	s.store.SetFaultFunc(func(string) standin.StoreFault { return standin.StoreUnavailable })
 	longWait := hostOptions{startupWait: time.Minute}
 	hosts := []*host{s.hostWith("h1", "a1", longWait), s.hostWith("h2", "a2", longWait)}
 	var callers sync.WaitGroup
@@ -457,7 +457,7 @@
 		callers.Go(func() { statuses[i] = s.read(h).status })
 		callers.Go(func() { named[i] = directory(t, h, "a") })
 	}
-	s.store.SetFault(nil)
+	s.store.SetFaultFunc(nil)
 	callers.Wait()
 	for i := range hosts {
 		g.Expect(statuses[i]).To(Equal(http.StatusOK))
@@ -500,15 +500,15 @@
 	s.logs = logs
 	s.worker("i-1", "s", "a1", 0)
 	s.declare(4, "k1")
-	s.store.SetFault(func(path string) standin.StoreFault {
+	s.store.SetFaultFunc(func(path string) standin.StoreFault {
 		if path == "/-/kv-lease" {
-			return standin.StoreBusy
+			return standin.StoreUnavailable
 		}
-		return standin.StoreFine
+		return standin.StoreHealthy
 	})
 	h := s.host("h1", "a1")
 	g.Eventually(h.ready, "10s", "10ms").Should(BeTrue(), "it does not wait for its registration")
-	s.store.SetFault(nil)
+	s.store.SetFaultFunc(nil)
 	g.Eventually(logs.String, "10s", "10ms").Should(ContainSubstring("cause=registered"))
 	s.awaitServing()
 }
@@ -660,7 +660,7 @@
 		s.call(h, "GET", "/open/1", "secret-needless", "")
 	}
 	use()
-	k.SetAnswer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	k.SetHandler(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	use()
 	s.store.Delete("servers/i-1")
 	g.Eventually(func() int { return s.read(h).status }, "5s", "50ms").Should(Equal(http.StatusServiceUnavailable))
@@ -683,8 +683,8 @@
 	h := s.host("h1", "a1")
 	s.awaitServing()
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	one.SetAnswer(abort)
-	two.SetAnswer(abort)
+	one.SetHandler(abort)
+	two.SetHandler(abort)
 	r, err := http.NewRequest("GET", "http://"+h.listen.Callers+"/read/1", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	r.Host = "x.example"
--- a/internal/entryhost/helper_test.go
+++ b/internal/entryhost/helper_test.go
@@ -49,7 +49,7 @@
 	s := &site{t: t, store: standin.NewKVStore(), logs: io.Discard, rate: 1000}
 	s.server = httptest.NewServer(s.store)
 	t.Cleanup(func() {
-		s.store.SetFault(nil)
+		s.store.SetFaultFunc(nil)
 		for _, h := range s.hosts {
 			if !h.stopped.Load() {
 				h.daemon.Kill()
@@ -144,8 +144,8 @@
 }
 
 // worker starts an upstream and registers it.
-func (s *site) worker(id, service, zone string, work time.Duration) *standin.Worker {
-	k := &standin.Worker{ID: id, Work: work}
+func (s *site) worker(id, service, zone string, work time.Duration) *standin.PlatformUpstream {
+	k := &standin.PlatformUpstream{ID: id, ServiceTime: work}
 	server := httptest.NewServer(k)
 	s.t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -155,8 +155,8 @@
 	return k
 }
 
-func (s *site) register(k *standin.Worker, service, address, zone, state string, sequence int) {
-	s.store.Put("servers/"+k.ID, k.Entry(service, address, zone, state, sequence))
+func (s *site) register(k *standin.PlatformUpstream, service, address, zone, state string, sequence int) {
+	s.store.Put("servers/"+k.ID, k.RegistryEntry(service, address, zone, state, sequence))
 }
 
 // declare writes a configuration with one customer that has the given API keys.
--- a/internal/entryhost/snapshot_test.go
+++ b/internal/entryhost/snapshot_test.go
@@ -14,7 +14,7 @@
 
 // warmSite returns a site with one upstream that has served an object on three routes, and
 // others that joined afterwards. A snapshot of this state is in the store, and no host runs.
-func warmSite(t *testing.T) (s *site, warm *standin.Worker) {
+func warmSite(t *testing.T) (s *site, warm *standin.PlatformUpstream) {
 	g := NewWithT(t)
 	s = newSite(t)
 	s.declare(4, "k1")
--- a/internal/soak/broken_test.go
+++ b/internal/soak/broken_test.go
@@ -51,37 +51,37 @@
 		finds string
 	}{
 		{"all is well", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []sent{answered(r)}
 		}, ""},
 		{"a posting runs twice", func(_ *site, u *upstream, r sent) []sent {
 			r.post = true
-			run(u, "POST", r.id, standin.CalmCustomer, "")
-			run(u, "POST", r.id, standin.CalmCustomer, "")
+			run(u, "POST", r.id, standin.UnlimitedCustomer, "")
+			run(u, "POST", r.id, standin.UnlimitedCustomer, "")
 			return []sent{answered(r)}
 		}, "a posting ran 2 times"},
 		{"a read may", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "")
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []sent{answered(r)}
 		}, ""},
 		{"refused and run", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r.status = http.StatusServiceUnavailable
 			return []sent{r, answered(sent{id: "c2", key: "steady", host: r.host, at: now, ended: now})}
 		}, "refused with 503"},
 		{"another request's answer", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r = answered(r)
 			r.body = "i-0 ran c9"
 			return []sent{r}
 		}, "got"},
 		{"the key reaches an upstream", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "steady")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "steady")
 			return []sent{answered(r)}
 		}, "saw the key"},
 		{"runs for another customer", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.HotCustomer, "")
+			run(u, "GET", r.id, standin.RateLimitedCustomer, "")
 			return []sent{answered(r)}
 		}, `ran for "hot"`},
 		{"a granted key is denied", func(_ *site, _ *upstream, r sent) []sent {
@@ -91,29 +91,29 @@
 		{"a withdrawn key still works", func(s *site, u *upstream, r sent) []sent {
 			s.withdrawn["fresh-0"] = now.Add(-revoke - time.Second)
 			r.key = "fresh-0"
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []sent{answered(r)}
 		}, "after key fresh-0 was withdrawn"},
 		{"a planned stop cuts a request off", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r.host.stopped, r.err = now, errors.New("closed")
 			return []sent{r, answered(sent{id: "c2", key: "steady", host: r.host, at: now, ended: now})}
 		}, "cut off"},
 		{"a kill may", func(_ *site, u *upstream, r sent) []sent {
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r.host.faulted, r.err = now, errors.New("closed")
 			return []sent{r, answered(sent{id: "c2", key: "steady", host: r.host, at: now, ended: now})}
 		}, ""},
 		{"an evacuated zone gets requests", func(s *site, u *upstream, r sent) []sent {
 			u.zone = "a1"
 			s.emptied = []evacuation{{"a1", now.Add(-evacuate - time.Second), now.Add(time.Second)}}
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []sent{answered(r)}
 		}, "after its evacuation"},
 		{"another zone does", func(s *site, u *upstream, r sent) []sent {
 			u.zone = "a2"
 			s.emptied = []evacuation{{"a1", now.Add(-evacuate - time.Second), now.Add(time.Second)}}
-			run(u, "GET", r.id, standin.CalmCustomer, "")
+			run(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []sent{answered(r)}
 		}, ""},
 		{"nobody is served", func(_ *site, _ *upstream, r sent) []sent {
@@ -125,7 +125,7 @@
 		}, "only 0 of 20"},
 		{"a customer gets more than its rate", func(_ *site, u *upstream, r sent) []sent {
 			for i := range 300 {
-				run(u, "GET", fmt.Sprint("h", i), standin.HotCustomer, "")
+				run(u, "GET", fmt.Sprint("h", i), standin.RateLimitedCustomer, "")
 			}
 			return nil
 		}, "the hot customer got 300"},
@@ -134,7 +134,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			found := &recorder{}
-			u := &upstream{worker: &standin.Worker{ID: "i-0"}}
+			u := &upstream{worker: &standin.PlatformUpstream{ID: "i-0"}}
 			s := &site{t: t, report: found, upstreams: []*upstream{u}, withdrawn: map[string]time.Time{}}
 			s.check(c.play(s, u, sent{id: "c1", key: "steady", host: &process{name: "h0"}, at: now, ended: now.Add(20 * time.Millisecond)}))
 			if c.finds == "" {
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -11,7 +11,7 @@
 
 // ran is one run of a request at an upstream.
 type ran struct {
-	standin.WorkerRun
+	standin.PlatformRun
 	upstream *upstream
 }
 
@@ -29,7 +29,7 @@
 	for _, u := range s.upstreams {
 		for _, r := range u.worker.Runs() {
 			runs[r.ID] = append(runs[r.ID], ran{r, u})
-			if r.Customer == standin.HotCustomer {
+			if r.Customer == standin.RateLimitedCustomer {
 				hot = append(hot, r.At)
 			}
 			if r.Key != "" {
@@ -55,7 +55,7 @@
 	if s.report.Failed() {
 		perSecond := map[string]int{}
 		for _, r := range requests {
-			if r.key == standin.HotKey && r.status == http.StatusOK {
+			if r.key == standin.RateLimitedKey && r.status == http.StatusOK {
 				perSecond[r.at.Format("05")+" "+r.host.name]++
 			}
 		}
@@ -65,9 +65,9 @@
 }
 
 func (s *site) checkRequest(r sent, runs []ran) {
-	customer := standin.CalmCustomer
-	if r.key == standin.HotKey {
-		customer = standin.HotCustomer
+	customer := standin.UnlimitedCustomer
+	if r.key == standin.RateLimitedKey {
+		customer = standin.RateLimitedCustomer
 	}
 	for _, x := range runs {
 		if x.Customer != customer {
@@ -82,7 +82,7 @@
 		s.report.Errorf("%s: refused with %d (%s) at %s and ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
 	case r.err == nil && r.status == http.StatusOK && !strings.HasSuffix(r.body, " ran "+r.id):
 		s.report.Errorf("%s: got %q", r.id, r.body)
-	case r.err == nil && r.status == http.StatusUnauthorized && (r.key == "steady" || r.key == standin.HotKey):
+	case r.err == nil && r.status == http.StatusUnauthorized && (r.key == "steady" || r.key == standin.RateLimitedKey):
 		s.report.Errorf("%s: key %s denied", r.id, r.key)
 	case r.err != nil && len(runs) > 0 && s.calm(r, runs):
 		s.report.Errorf("%s: cut off at %s after it had run, by a planned stop or by nothing: %v", r.id, r.host.name, r.err)
@@ -129,7 +129,7 @@
 func (s *site) checkRate(runs []time.Time) {
 	sort.Slice(runs, func(i, j int) bool { return runs[i].Before(runs[j]) })
 	const window = 5 * time.Second
-	allowed := (standin.HotRate*window.Seconds()+standin.HotBurst)*1.1 + 20
+	allowed := (standin.RateLimit*window.Seconds()+standin.RateBurst)*1.1 + 20
 	most, from, end := 0, 0, time.Time{}
 	for i := range runs {
 		for runs[i].Sub(runs[from]) > window {
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -45,7 +45,7 @@
 
 // back end of a service, with its address.
 type upstream struct {
-	worker   *standin.Worker
+	worker   *standin.PlatformUpstream
 	server   *httptest.Server
 	zone     string
 	sequence int
@@ -134,11 +134,11 @@
 			keys = append(keys, key)
 		}
 	}
-	s.store.Put("op/config", standin.Declaration{Version: s.version, Keys: keys}.Value())
+	s.store.Put("op/config", standin.PlatformConfig{Version: s.version, Keys: keys}.Encode())
 }
 
 func (s *site) addUpstream(id, zone string) {
-	u := &upstream{worker: &standin.Worker{ID: id, Work: 15 * time.Millisecond}, zone: zone}
+	u := &upstream{worker: &standin.PlatformUpstream{ID: id, ServiceTime: 15 * time.Millisecond}, zone: zone}
 	u.server = httptest.NewServer(u.worker)
 	s.upstreams = append(s.upstreams, u)
 	s.beat(u)
@@ -146,7 +146,7 @@
 
 func (s *site) beat(u *upstream) {
 	u.sequence++
-	s.store.Put("servers/"+u.worker.ID, u.worker.Entry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
+	s.store.Put("servers/"+u.worker.ID, u.worker.RegistryEntry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
 }
 
 func (s *site) addProcess(name string, kind hostKind) {
@@ -155,10 +155,10 @@
 		s.t.Fatal(err)
 	}
 	h := &process{name: name, zone: kind.zone, proxy: p, settings: filepath.Join(s.dir, name+".jsonc"), callers: freeAddress(s.t, len(s.processes))}
-	text := standin.EntryHost{
-		Name: name, Zone: kind.zone, Callers: h.callers, Directory: "127.0.0.1:0", Store: p.address(), LinkMbps: kind.mbps,
-		Grace: 5 * time.Second, Revoke: revoke,
-	}.Settings()
+	text := standin.EntryHostSettings{
+		Name: name, Zone: kind.zone, CallerAddress: h.callers, DirectoryAddress: "127.0.0.1:0", StoreAddress: p.address(), LinkMbps: kind.mbps,
+		GracePeriod: 5 * time.Second, RevocationDelay: revoke,
+	}.Encode()
 	if err := os.WriteFile(h.settings, text, 0o600); err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -144,7 +144,7 @@
 		}
 		switch {
 		case number < 4:
-			r.key = standin.HotKey
+			r.key = standin.RateLimitedKey
 		case number < 7:
 			r.key = fmt.Sprint("fresh-", rng.IntN(freshKeys))
 		}
@@ -296,8 +296,8 @@
 	s.mu.Lock()
 	u.faulted = time.Now().Add(length)
 	s.mu.Unlock()
-	u.worker.SetAnswer(failing)
+	u.worker.SetHandler(failing)
 	time.Sleep(length / 2)
-	u.worker.SetAnswer(nil)
+	u.worker.SetHandler(nil)
 	u.cut()
 }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -27,25 +27,25 @@
 // Load describes an open-loop load: requests start at their times whether or
 // not earlier ones have been answered.
 type Load struct {
-	// Entry is the callers' address of any daemon.
-	Entry string
+	// EntryAddress is the callers' address of any daemon.
+	EntryAddress string
 	// Config tells customers, rates and services.
 	Config *config.Config
-	// Key gives a customer's key.
-	Key func(customer string) string
-	// Fraction of each customer's rate that is sent.
-	Fraction float64
-	// Fractions names it for single customers.
-	Fractions map[string]float64
-	// Pick chooses the entry host of each request, at a time since the start.
+	// APIKey gives a customer's key.
+	APIKey func(customer string) string
+	// RateFraction of each customer's rate that is sent.
+	RateFraction float64
+	// CustomerRateFractions names it for single customers.
+	CustomerRateFractions map[string]float64
+	// ChooseEntry chooses the entry host of each request, at a time since the start.
 	// Default: any of the entry hosts that the lookup gave, at random.
-	Pick func(customer string, entries []lookup.Entry, since time.Duration, rng *rand.Rand) lookup.Entry
-	// Posts are the services that are called with POST.
-	Posts map[string]bool
-	// BulkBytes is the answer size asked of bulk services.
-	BulkBytes int
-	Duration  time.Duration
-	Seed      uint64
+	ChooseEntry func(customer string, entries []lookup.Entry, since time.Duration, rng *rand.Rand) lookup.Entry
+	// PostServices are the services that are called with POST.
+	PostServices map[string]bool
+	// BulkResponseBytes is the answer size asked of bulk services.
+	BulkResponseBytes int
+	Duration          time.Duration
+	Seed              uint64
 }
 
 // Report is what the callers received.
@@ -53,23 +53,23 @@
 	mu sync.Mutex
 	// Outcomes counts answers by outcome or problem type.
 	Outcomes map[string]int
-	// Wrong counts answers that were not the whole answer to the request.
-	Wrong int
-	// Refused counts over-rate refusals, Wrongful those that one bucket over
+	// WrongResponses counts answers that were not the whole answer to the request.
+	WrongResponses int
+	// RateRejections counts over-rate refusals, Wrongful those that one bucket over
 	// the whole fleet would have admitted.
-	Refused, Wrongful int
-	Sent              int
-	// Seconds counts requests and wrongful refusals by the second they were
+	RateRejections, WrongfulRejections int
+	Sent                               int
+	// PerSecond counts requests and wrongful refusals by the second they were
 	// sent in.
-	Seconds     []Second
+	PerSecond   []SecondCounts
 	start       time.Time
 	perCustomer map[string]*served
 	latency     *hdrhistogram.Histogram
 	reference   map[string]*quota.Bucket
 }
 
-// Second is what was sent in one second of a load.
-type Second struct{ Sent, Wrongful int }
+// SecondCounts is what was sent in one second of a load.
+type SecondCounts struct{ Sent, WrongfulRejections int }
 
 type served struct{ sent, ran int }
 
@@ -79,7 +79,7 @@
 func Run(ctx context.Context, l Load) (*Report, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	entries, err := lookUp(ctx, client, l.Entry)
+	entries, err := lookUp(ctx, client, l.EntryAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -141,9 +141,9 @@
 }
 
 func (c *customerLoad) run(ctx context.Context, tasks *sync.WaitGroup) {
-	fraction, own := c.Fractions[c.customer]
+	fraction, own := c.CustomerRateFractions[c.customer]
 	if !own {
-		fraction = c.Fraction
+		fraction = c.RateFraction
 	}
 	rate := c.Config.Customers[c.customer].Rate * fraction
 	end := time.Now().Add(c.Duration)
@@ -157,8 +157,8 @@
 }
 
 func (c *customerLoad) pick() lookup.Entry {
-	if c.Pick != nil {
-		return c.Pick(c.customer, c.entries, time.Since(c.report.start), c.rng)
+	if c.ChooseEntry != nil {
+		return c.ChooseEntry(c.customer, c.entries, time.Since(c.report.start), c.rng)
 	}
 	return c.entries[c.rng.IntN(len(c.entries))]
 }
@@ -177,10 +177,10 @@
 	service := services[c.rng.IntN(len(services))]
 	s := shot{
 		entry: c.pick(), service: service, second: int(time.Since(c.report.start) / time.Second),
-		name: fmt.Sprintf("%s-%d", c.customer, n), size: 512, post: c.Posts[service],
+		name: fmt.Sprintf("%s-%d", c.customer, n), size: 512, post: c.PostServices[service],
 	}
 	if c.Config.Services[service].Class == config.ClassBulk {
-		s.size = c.BulkBytes
+		s.size = c.BulkResponseBytes
 	}
 	return s
 }
@@ -220,7 +220,7 @@
 	if err != nil {
 		panic(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+c.Key(c.customer))
+	req.Header.Set("Authorization", "Bearer "+c.APIKey(c.customer))
 	if s.post {
 		req.Header.Set(HeaderPosting, s.name)
 		req.Header.Set(wire.HeaderIdempotencyKey, s.entry.PostingPrefix+"."+s.name)
@@ -248,10 +248,10 @@
 func (r *Report) refused(s shot, wrongful bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Refused++
+	r.RateRejections++
 	if wrongful {
-		r.Wrongful++
-		r.second(s).Wrongful++
+		r.WrongfulRejections++
+		r.second(s).WrongfulRejections++
 	}
 }
 
@@ -263,7 +263,7 @@
 	r.Outcomes[outcome]++
 	r.perCustomer[customer].sent++
 	if wrong {
-		r.Wrong++
+		r.WrongResponses++
 	}
 	if outcome == string(wire.OutcomeRan) {
 		r.perCustomer[customer].ran++
@@ -271,11 +271,11 @@
 	}
 }
 
-func (r *Report) second(s shot) *Second {
-	for len(r.Seconds) <= s.second {
-		r.Seconds = append(r.Seconds, Second{})
+func (r *Report) second(s shot) *SecondCounts {
+	for len(r.PerSecond) <= s.second {
+		r.PerSecond = append(r.PerSecond, SecondCounts{})
 	}
-	return &r.Seconds[s.second]
+	return &r.PerSecond[s.second]
 }
 
 // Quantile of the latency of requests that ran; q in percent.
@@ -283,8 +283,8 @@
 	return time.Duration(r.latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Worst names the worst-served customer and the share of its requests that ran.
-func (r *Report) Worst() (string, float64) {
+// WorstServed names the worst-served customer and the share of its requests that ran.
+func (r *Report) WorstServed() (string, float64) {
 	worst, share := "", 2.0
 	for _, name := range slices.Sorted(maps.Keys(r.perCustomer)) {
 		s := r.perCustomer[name]
@@ -303,8 +303,8 @@
 		line("  %-18s %d", outcome, r.Outcomes[outcome])
 	}
 	line("latency p50, p99     %v, %v", r.Quantile(50), r.Quantile(99))
-	name, share := r.Worst()
+	name, share := r.WorstServed()
 	line("worst-served         %s: %.1f%% of its requests ran", name, 100*share)
-	line("wrongful refusals    %d of %d refusals for rate", r.Wrongful, r.Refused)
-	line("wrong answers        %d", r.Wrong)
+	line("wrongful refusals    %d of %d refusals for rate", r.WrongfulRejections, r.RateRejections)
+	line("wrong answers        %d", r.WrongResponses)
 }
--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -15,17 +15,17 @@
 	PostPath = "/post/"
 	// Service has all upstreams.
 	Service = "s"
-	// CalmCustomer has no rate, HotCustomer has one and a burst; HotKey is its key.
-	CalmCustomer = "calm"
-	HotCustomer  = "hot"
-	HotKey       = "hot"
-	HotRate      = 30
-	HotBurst     = 30
+	// UnlimitedCustomer has no rate, HotCustomer has one and a burst; HotKey is its key.
+	UnlimitedCustomer   = "calm"
+	RateLimitedCustomer = "hot"
+	RateLimitedKey      = "hot"
+	RateLimit           = 30
+	RateBurst           = 30
 )
 
-// Declaration is what operators of the users' platform declare: a route for reads
+// PlatformConfig is what operators of the users' platform declare: a route for reads
 // and one for postings, a customer without a rate and one with HotRate.
-type Declaration struct {
+type PlatformConfig struct {
 	Version int
 	// Keys of the customer without a rate.
 	Keys []string
@@ -37,8 +37,8 @@
 	Rows    [][]any  `json:"rows"`
 }
 
-// Value is the declaration's value in the store.
-func (d Declaration) Value() []byte {
+// Encode is the declaration's value in the store.
+func (d PlatformConfig) Encode() []byte {
 	value, err := json.Marshal(map[string]any{
 		"version": fmt.Sprintf("r%d", d.Version),
 		"routes": columns{
@@ -51,7 +51,7 @@
 		"services": columns{[]string{"name", "health-check-path", "cold-start", "cold-per-s"}, [][]any{{Service, "/health", "1s", 50}}},
 		"limits":   map[string]any{},
 		"tenants": columns{[]string{"name", "api-keys", "rate-per-s", "burst"}, [][]any{
-			{CalmCustomer, d.Keys, 0, 0}, {HotCustomer, []string{HotKey}, HotRate, HotBurst},
+			{UnlimitedCustomer, d.Keys, 0, 0}, {RateLimitedCustomer, []string{RateLimitedKey}, RateLimit, RateBurst},
 		}},
 	})
 	if err != nil {
@@ -63,31 +63,31 @@
 // Zones gives the region of each zone of a stand-in deployment.
 var Zones = map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 
-// EntryHost is the settings of one entry host of a stand-in deployment.
-type EntryHost struct {
+// EntryHostSettings is the settings of one entry host of a stand-in deployment.
+type EntryHostSettings struct {
 	Name string
 	Zone string
-	// Callers and Directory are its listeners; port 0 lets the system pick.
-	Callers   string
-	Directory string
-	// Store is the address of the store.
-	Store string
+	// CallerAddress and Directory are its listeners; port 0 lets the system pick.
+	CallerAddress    string
+	DirectoryAddress string
+	// StoreAddress is the address of the store.
+	StoreAddress string
 	// LinkMbps is the speed of its link; 0: it does not say.
-	LinkMbps int
-	Grace    time.Duration
-	Revoke   time.Duration
+	LinkMbps        int
+	GracePeriod     time.Duration
+	RevocationDelay time.Duration
 }
 
-// Settings is the text of its settings file.
-func (h EntryHost) Settings() []byte {
+// Encode is the text of its settings file.
+func (h EntryHostSettings) Encode() []byte {
 	text, err := json.MarshalIndent(map[string]any{
 		"host": h.Name, "zone": h.Zone, "zones": Zones,
 		"listen": map[string]string{
-			"callers": h.Callers, "readiness": "127.0.0.1:0", "directory": h.Directory, "peers": "127.0.0.1:0",
+			"callers": h.CallerAddress, "readiness": "127.0.0.1:0", "directory": h.DirectoryAddress, "peers": "127.0.0.1:0",
 		},
-		"store": h.Store, "capacity": map[string]int{"link_mbps": h.LinkMbps},
+		"store": h.StoreAddress, "capacity": map[string]int{"link_mbps": h.LinkMbps},
 		"bounds": map[string]any{
-			"grace": h.Grace.String(), "revoke": h.Revoke.String(), "strict_revocation": true,
+			"grace": h.GracePeriod.String(), "revoke": h.RevocationDelay.String(), "strict_revocation": true,
 			"retry_ratio": 0.2, "retry_slack": 60, "retry_window": "10s",
 		},
 	}, "", "  ")
--- a/internal/standin/kvserve.go
+++ b/internal/standin/kvserve.go
@@ -22,21 +22,21 @@
 	}
 	fault, delay := s.meet(r, path)
 	switch fault {
-	case StoreBusy:
+	case StoreUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case StoreMany:
+	case StoreTooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case StoreReset:
 		panic(http.ErrAbortHandler)
-	case StoreSilent:
+	case StoreUnresponsive:
 		// The server notices that the caller has left only once it has read
 		// the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return
-	case StoreFine, StoreLost:
+	case StoreHealthy, StoreResponseLost:
 	}
 	// The body is read first: a slow store has received the call, and does it even
 	// if the caller has given up meanwhile.
@@ -47,7 +47,7 @@
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	time.Sleep(delay)
-	if fault == StoreLost {
+	if fault == StoreResponseLost {
 		s.answer(discard{http.Header{}}, r, path)
 		panic(http.ErrAbortHandler)
 	}
@@ -65,14 +65,14 @@
 	}
 	s.lapse()
 	if s.fault != nil {
-		if fault := s.fault(path); fault != StoreFine {
+		if fault := s.fault(path); fault != StoreHealthy {
 			return fault, 0
 		}
 	}
 	if s.faults.Down || s.faults.StaleOnly && !mayBeStale(r) {
-		return StoreBusy, 0
+		return StoreUnavailable, 0
 	}
-	return StoreFine, s.faults.Delay
+	return StoreHealthy, s.faults.Delay
 }
 
 func mayBeStale(r *http.Request) bool { return r.URL.Query().Get("allow-stale") == "1" }
@@ -123,9 +123,9 @@
 		return s.items
 	case s.behind:
 		return nil
-	case s.faults.Lag == 0:
+	case s.faults.StaleAge == 0:
 		return s.items
-	case s.shown == nil || s.Now().Sub(s.shownAt) >= s.faults.Lag:
+	case s.shown == nil || s.Now().Sub(s.shownAt) >= s.faults.StaleAge:
 		s.shown, s.shownAt = maps.Clone(s.items), s.Now()
 	}
 	return s.shown
@@ -249,8 +249,8 @@
 
 // answerWrite answers a write that took effect, or loses the answer.
 func (s *KVStore) answerWrite(w http.ResponseWriter, answer any) {
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 		panic(http.ErrAbortHandler)
 	}
 	respond(w, answer)
--- a/internal/standin/kvstore.go
+++ b/internal/standin/kvstore.go
@@ -13,18 +13,18 @@
 
 // Faults of a call to the store.
 const (
-	// StoreFine: the call is answered.
-	StoreFine StoreFault = iota
-	// StoreBusy: 503, nothing done.
-	StoreBusy
-	// StoreMany: 429, nothing done.
-	StoreMany
+	// StoreHealthy: the call is answered.
+	StoreHealthy StoreFault = iota
+	// StoreUnavailable: 503, nothing done.
+	StoreUnavailable
+	// StoreTooManyRequests: 429, nothing done.
+	StoreTooManyRequests
 	// StoreReset: the connection is closed, nothing done.
 	StoreReset
-	// StoreSilent: nothing is done or answered until the caller leaves.
-	StoreSilent
-	// StoreLost: the call is done and not answered.
-	StoreLost
+	// StoreUnresponsive: nothing is done or answered until the caller leaves.
+	StoreUnresponsive
+	// StoreResponseLost: the call is done and not answered.
+	StoreResponseLost
 )
 
 // Faults is what a KVStore does wrong, whatever is called. The zero value is a
@@ -36,11 +36,11 @@
 	StaleOnly bool
 	// Delay holds every call back.
 	Delay time.Duration
-	// LoseAnswers drops the connection after this many further writes took effect,
+	// LoseResponses drops the connection after this many further writes took effect,
 	// instead of answering them.
-	LoseAnswers int
-	// Lag is the age of the listings that may be stale.
-	Lag time.Duration
+	LoseResponses int
+	// StaleAge is the age of the listings that may be stale.
+	StaleAge time.Duration
 }
 
 // KVStore stands in for the key-value store of the users' platform, over HTTP.
@@ -92,8 +92,8 @@
 	}
 }
 
-// SetFault changes how calls go wrong; nil: none does.
-func (s *KVStore) SetFault(fault func(path string) StoreFault) {
+// SetFaultFunc changes how calls go wrong; nil: none does.
+func (s *KVStore) SetFaultFunc(fault func(path string) StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
@@ -106,8 +106,8 @@
 	s.faults, s.shown = f, nil
 }
 
-// SetBehind makes answers that may be stale as old as the empty store.
-func (s *KVStore) SetBehind(behind bool) {
+// SetStaleReadsEmpty makes answers that may be stale as old as the empty store.
+func (s *KVStore) SetStaleReadsEmpty(behind bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behind = behind
@@ -127,8 +127,8 @@
 	s.remove(key)
 }
 
-// Forget drops the history up to now.
-func (s *KVStore) Forget() {
+// CompactHistory drops the history up to now.
+func (s *KVStore) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.forgotten = nil, s.revision
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -73,12 +73,12 @@
 
 // UpstreamStats is what an upstream saw.
 type UpstreamStats struct {
-	Total    int            `json:"total"`
-	Shed     int            `json:"shed"`
-	KeysSeen int            `json:"keys_seen"`
-	Doubled  int            `json:"doubled"`
-	Customer map[string]int `json:"customer"`
-	Postings map[string]int `json:"postings"`
+	Total             int            `json:"total"`
+	Shed              int            `json:"shed"`
+	KeysSeen          int            `json:"keys_seen"`
+	DuplicatePostings int            `json:"doubled"`
+	Customer          map[string]int `json:"customer"`
+	Postings          map[string]int `json:"postings"`
 }
 
 // Stats returns what the upstream saw so far.
@@ -95,7 +95,7 @@
 	for k, n := range u.postings {
 		s.Postings[k] = n
 		if n > 1 {
-			s.Doubled++
+			s.DuplicatePostings++
 		}
 	}
 	return s
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// WorkerRun is one request that a Worker has run.
-type WorkerRun struct {
+// PlatformRun is one request that a Worker has run.
+type PlatformRun struct {
 	ID       string
 	Method   string
 	Target   string
@@ -20,47 +20,47 @@
 	At       time.Time
 }
 
-// Worker stands in for an upstream of the users' platform: it echoes the
+// PlatformUpstream stands in for an upstream of the users' platform: it echoes the
 // request's id, signs its answer, tells its load and refuses what is meant for
 // another instance. It is safe for concurrent use.
-type Worker struct {
+type PlatformUpstream struct {
 	// ID of the instance at its start, and how long a request takes.
-	ID   string
-	Work time.Duration
+	ID          string
+	ServiceTime time.Duration
 
 	mu      sync.Mutex
 	renamed string
 	answer  func(w http.ResponseWriter, r *http.Request)
 	running int
-	runs    []WorkerRun
+	runs    []PlatformRun
 }
 
 // workerSlots is how many requests a Worker says that it runs at once.
 const workerSlots = 4
 
 // Runs returns what it has run.
-func (k *Worker) Runs() []WorkerRun {
+func (k *PlatformUpstream) Runs() []PlatformRun {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return append([]WorkerRun(nil), k.runs...)
+	return append([]PlatformRun(nil), k.runs...)
 }
 
-// SetAnswer replaces the usual answer; nil brings it back. It is asked after the
+// SetHandler replaces the usual answer; nil brings it back. It is asked after the
 // request was noted.
-func (k *Worker) SetAnswer(answer func(w http.ResponseWriter, r *http.Request)) {
+func (k *PlatformUpstream) SetHandler(answer func(w http.ResponseWriter, r *http.Request)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.answer = answer
 }
 
-// Rename makes another instance of it, at the same address.
-func (k *Worker) Rename(id string) {
+// SetInstanceID makes another instance of it, at the same address.
+func (k *PlatformUpstream) SetInstanceID(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.renamed = id
 }
 
-func (k *Worker) name() string {
+func (k *PlatformUpstream) name() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.renamed != "" {
@@ -69,8 +69,8 @@
 	return k.ID
 }
 
-// Entry is what the worker registers under its id.
-func (k *Worker) Entry(service, address, zone, state string, sequence int) []byte {
+// RegistryEntry is what the worker registers under its id.
+func (k *PlatformUpstream) RegistryEntry(service, address, zone, state string, sequence int) []byte {
 	entry, err := json.Marshal(map[string]any{
 		"service": service, "address": address, "zone": zone, "version": "v1", "slots": workerSlots,
 		"state": state, "cold-remaining": "0ms", "sequence": sequence, "born": 1_700_000_000_000,
@@ -82,7 +82,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (k *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (k *PlatformUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != k.name() {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -94,7 +94,7 @@
 	}
 	k.mu.Lock()
 	k.running++
-	k.runs = append(k.runs, WorkerRun{
+	k.runs = append(k.runs, PlatformRun{
 		ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI, Body: string(body), At: time.Now(),
 		Customer: r.Header.Get("X-Tenant-Id"), Key: r.Header.Get("Authorization"),
 	})
@@ -109,7 +109,7 @@
 		answer(w, r)
 		return
 	}
-	time.Sleep(k.Work)
+	time.Sleep(k.ServiceTime)
 	k.mu.Lock()
 	running := k.running
 	k.mu.Unlock()
