--- a/cmd/balsambarrowd/entry.go
+++ b/cmd/balsambarrowd/entry.go
@@ -20,7 +20,7 @@
 
 // settingsEvery is how often the settings file is looked at: it may change
 // without a signal.
-const settingsEvery = time.Second
+const settingsPollInterval = time.Second
 
 func entryCommand() *cobra.Command {
 	var check bool
@@ -50,20 +50,20 @@
 const (
 	// collectPercent is the growth of the heap between two collections. Most hosts have
 	// a small part of a core and far more memory than the live heap takes.
-	collectPercent = 200
+	gcPercent = 200
 	// heapPart of the memory is the size of the heap from which collections come more
 	// often.
-	heapPart   = 0.5
-	bytesPerMB = 1 << 20
+	memoryLimitFraction = 0.5
+	bytesPerMB          = 1 << 20
 )
 
 // boundHeap trades memory that the host has for processor time.
-func boundHeap(s *entryhost.Settings) {
+func configureGC(s *entryhost.Settings) {
 	if s.Capacity.MemoryMB <= 0 {
 		return
 	}
-	debug.SetGCPercent(collectPercent)
-	debug.SetMemoryLimit(int64(heapPart * s.Capacity.MemoryMB * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitFraction * s.Capacity.MemoryMB * bytesPerMB))
 }
 
 func serveEntry(path string, s *entryhost.Settings) error {
@@ -71,19 +71,19 @@
 	// taken before anything else.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	boundHeap(s)
+	configureGC(s)
 	metrics := telemetry.NewMetrics()
 	events := telemetry.NewEvents(os.Stdout, s.LogLevel, s.Host)
 	events.OnDropped = metrics.LinesDropped
 	stop := make(chan struct{})
-	written := make(chan struct{})
+	flushed := make(chan struct{})
 	go func() {
-		defer close(written)
+		defer close(flushed)
 		events.Run(stop)
 	}()
 	defer func() {
 		close(stop)
-		<-written
+		<-flushed
 	}()
 	d, err := entryhost.New(s, events, metrics)
 	if err != nil {
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	file := newSettingsFile(path, d, events)
-	go file.follow(ctx)
+	go file.watch(ctx)
 	for {
 		select {
 		case err := <-d.Failed():
--- a/cmd/balsambarrowd/main.go
+++ b/cmd/balsambarrowd/main.go
@@ -19,8 +19,8 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1
-	exitBadInput = 2
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
 func main() {
@@ -28,7 +28,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		var faults jsonc.Faults
 		if errors.As(err, &faults) {
-			os.Exit(exitBadInput)
+			os.Exit(exitInvalidSettings)
 		}
 		os.Exit(exitFailed)
 	}
--- a/cmd/balsambarrowd/settingsfile.go
+++ b/cmd/balsambarrowd/settingsfile.go
@@ -16,17 +16,17 @@
 	daemon *entryhost.Daemon
 	events *telemetry.Events
 
-	mu      sync.Mutex
-	changed time.Time
+	mu         sync.Mutex
+	modifiedAt time.Time
 }
 
 func newSettingsFile(path string, d *entryhost.Daemon, events *telemetry.Events) *settingsFile {
-	return &settingsFile{path: path, daemon: d, events: events, changed: modified(path)}
+	return &settingsFile{path: path, daemon: d, events: events, modifiedAt: modTime(path)}
 }
 
 // follow reloads the file when it changes, until ctx ends.
-func (f *settingsFile) follow(ctx context.Context) {
-	tick := time.NewTicker(settingsEvery)
+func (f *settingsFile) watch(ctx context.Context) {
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -35,9 +35,9 @@
 		case <-tick.C:
 		}
 		f.mu.Lock()
-		same := modified(f.path).Equal(f.changed)
+		unchanged := modTime(f.path).Equal(f.modifiedAt)
 		f.mu.Unlock()
-		if !same {
+		if !unchanged {
 			f.reload()
 		}
 	}
@@ -47,7 +47,7 @@
 func (f *settingsFile) reload() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.changed = modified(f.path)
+	f.modifiedAt = modTime(f.path)
 	s, err := entryhost.LoadSettings(f.path)
 	if err != nil {
 		f.events.Warn("settings not reloaded", "error", err)
@@ -58,7 +58,7 @@
 
 // modified is when the file was written last; the zero time if that cannot be
 // told, which reload then reports.
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/balsambarrowd/stop_test.go
+++ b/cmd/balsambarrowd/stop_test.go
@@ -25,12 +25,12 @@
 
 // daemonProcess is a balsambarrowd in a process of its own.
 type daemonProcess struct {
-	cmd                *exec.Cmd
-	callers, operators string
-	exited             chan error
+	cmd                            *exec.Cmd
+	callerAddress, operatorAddress string
+	exited                         chan error
 }
 
-var listening = regexp.MustCompile(`msg=listening .*callers=(\S+) operators=(\S+)`)
+var listeningLine = regexp.MustCompile(`msg=listening .*callers=(\S+) operators=(\S+)`)
 
 func startProcess(t *testing.T, platformURL string) *daemonProcess {
 	g := NewWithT(t)
@@ -48,9 +48,9 @@
 	g.Expect(p.cmd.Start()).To(Succeed())
 	t.Cleanup(func() { _ = p.cmd.Process.Kill() })
 	lines := bufio.NewScanner(logs)
-	for p.callers == "" && lines.Scan() {
-		if m := listening.FindStringSubmatch(lines.Text()); m != nil {
-			p.callers, p.operators = m[1], m[2]
+	for p.callerAddress == "" && lines.Scan() {
+		if m := listeningLine.FindStringSubmatch(lines.Text()); m != nil {
+			p.callerAddress, p.operatorAddress = m[1], m[2]
 		}
 	}
 	go func() {
@@ -63,7 +63,7 @@
 // An operator stops a host, gets impatient and sends SIGTERM again while a
 // farmer's request still runs. The farmer must get the whole answer, and the
 // process must end with exit code 0.
-func TestSecondSIGTERMCutsNoRequest(t *testing.T) {
+func TestSecondSIGTERMKeepsRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	platform := httptest.NewServer(standin.NewKVStore())
 	defer platform.Close()
@@ -80,22 +80,22 @@
 	}
 	text, err := json.Marshal(c)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = ctl.NewClient(p.operators).Patch(0, text)
+	_, err = ctl.NewClient(p.operatorAddress).Patch(0, text)
 	g.Expect(err).NotTo(HaveOccurred())
 
-	answers := make(chan int, 1)
-	go func() { answers <- askUntilServed("http://" + p.callers + "/svc/lookup/x?size=5000") }()
+	responseSizes := make(chan int, 1)
+	go func() { responseSizes <- requestUntilServed("http://" + p.callerAddress + "/svc/lookup/x?size=5000") }()
 	time.Sleep(3 * time.Second) // the request is at the upstream for 8 s and more
 	g.Expect(p.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
 	time.Sleep(time.Second)
 	g.Expect(p.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
-	g.Eventually(answers, time.Minute).Should(Receive(Equal(5000)))
+	g.Eventually(responseSizes, time.Minute).Should(Receive(Equal(5000)))
 	g.Eventually(p.exited, time.Minute).Should(Receive(BeNil()))
 }
 
 // askUntilServed returns the size of the first answer that an upstream gave,
 // or -1 if its body broke off. Before that the daemon may not be ready yet.
-func askUntilServed(url string) int {
+func requestUntilServed(url string) int {
 	for {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		if err != nil {
--- a/cmd/balsamlab/callers.go
+++ b/cmd/balsamlab/callers.go
@@ -10,7 +10,7 @@
 	"balsambarrow/internal/standin"
 )
 
-var errWrongAnswers = errors.New("balsamlab: callers received wrong answers")
+var errWrongResponses = errors.New("balsamlab: callers received wrong answers")
 
 func callersCommand() *cobra.Command {
 	load := standin.Load{PostServices: map[string]bool{}}
@@ -27,8 +27,8 @@
 			}
 			load.Config = c
 			load.APIKey = func(customer string) string { return keyPrefix + customer }
-			for _, p := range posts {
-				load.PostServices[p] = true
+			for _, service := range posts {
+				load.PostServices[service] = true
 			}
 			report, err := standin.Run(cmd.Context(), load)
 			if err != nil {
@@ -36,7 +36,7 @@
 			}
 			report.Print(os.Stdout)
 			if report.WrongResponses > 0 {
-				return errWrongAnswers
+				return errWrongResponses
 			}
 			return nil
 		},
--- a/cmd/balsamlab/calm.go
+++ b/cmd/balsamlab/calm.go
@@ -29,37 +29,37 @@
 	calmHosts     = 4
 	calmUpstreams = 6
 	// calmWork is how long an upstream takes.
-	calmWork = 15 * time.Millisecond
+	calmServiceTime = 15 * time.Millisecond
 	// calmGrace bounds a planned stop, and calmStart the wait for all hosts.
-	calmGrace = 3 * time.Second
-	calmStart = 20 * time.Second
-	calmKey   = "calm"
+	calmGracePeriod  = 3 * time.Second
+	calmStartTimeout = 20 * time.Second
+	calmKey          = "calm"
 	// calmRefused is the part of the requests that may be refused or fail.
-	calmRefused = 0.01
+	calmMaxFailedFraction = 0.01
 )
 
 // calmDay is entry hosts as processes on a stand-in of the users' platform.
-type calmDay struct {
+type calmRun struct {
 	daemon string
 	dir    string
 	store  *standin.KVStore
 	// address is the store's.
-	address   string
-	workers   []*standin.PlatformUpstream
-	beats     []func(sequence int)
-	processes []*exec.Cmd
-	callers   []string
+	storeAddress    string
+	upstreams       []*standin.PlatformUpstream
+	registrations   []func(sequence int)
+	processes       []*exec.Cmd
+	callerAddresses []string
 
-	mu     sync.Mutex
-	counts map[string]int
-	wrong  int
+	mu             sync.Mutex
+	statusCounts   map[string]int
+	wrongResponses int
 }
 
-var errCalmDay = errors.New("balsamlab: the calm day was not as it should be")
+var errCalmFailed = errors.New("balsamlab: the calm day was not as it should be")
 
 func calmCommand() *cobra.Command {
-	day := &calmDay{store: standin.NewKVStore(), counts: map[string]int{}}
-	var length time.Duration
+	calm := &calmRun{store: standin.NewKVStore(), statusCounts: map[string]int{}}
+	var duration time.Duration
 	var perSecond int
 	cmd := &cobra.Command{
 		Use:   "calm",
@@ -71,71 +71,71 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if day.dir, err = os.MkdirTemp("", "calm"); err != nil {
+			if calm.dir, err = os.MkdirTemp("", "calm"); err != nil {
 				return errors.Wrap(err, "calm day")
 			}
-			defer func() { _ = os.RemoveAll(day.dir) }()
-			return day.play(cmd.Context(), length, perSecond)
+			defer func() { _ = os.RemoveAll(calm.dir) }()
+			return calm.run(cmd.Context(), duration, perSecond)
 		},
 	}
-	cmd.Flags().StringVar(&day.daemon, "daemon", ".bin/balsambarrowd", "the daemon's program")
-	cmd.Flags().DurationVar(&length, "duration", 5*time.Second, "how long to send")
+	cmd.Flags().StringVar(&calm.daemon, "daemon", ".bin/balsambarrowd", "the daemon's program")
+	cmd.Flags().DurationVar(&duration, "duration", 5*time.Second, "how long to send")
 	cmd.Flags().IntVar(&perSecond, "rate", 100, "requests per second")
 	return cmd
 }
 
-func (d *calmDay) play(ctx context.Context, length time.Duration, perSecond int) error {
+func (d *calmRun) run(ctx context.Context, duration time.Duration, perSecond int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer d.kill()
-	if err := d.open(); err != nil {
+	defer d.killHosts()
+	if err := d.startAll(); err != nil {
 		return err
 	}
-	go d.heartbeats(ctx)
+	go d.runHeartbeats(ctx)
 	if err := d.awaitReady(); err != nil {
 		return err
 	}
-	d.send(length, perSecond)
-	clean := d.stop()
-	return d.report(clean)
+	d.send(duration, perSecond)
+	clean := d.stopHosts()
+	return d.printReport(clean)
 }
 
 // open starts the store, the upstreams and the hosts.
-func (d *calmDay) open() error {
+func (d *calmRun) startAll() error {
 	var err error
-	if d.address, err = serve("127.0.0.1:0", d.store); err != nil {
+	if d.storeAddress, err = serve("127.0.0.1:0", d.store); err != nil {
 		return err
 	}
 	d.store.Put("op/config", standin.PlatformConfig{Version: 1, Keys: []string{calmKey}}.Encode())
 	zones := []string{"a1", "a2", "b1"}
 	for i := range calmUpstreams {
-		w := &standin.PlatformUpstream{ID: fmt.Sprint("i-", i), ServiceTime: calmWork}
+		w := &standin.PlatformUpstream{ID: fmt.Sprint("i-", i), ServiceTime: calmServiceTime}
 		address, err := serve("127.0.0.1:0", w)
 		if err != nil {
 			return err
 		}
 		zone := zones[i%len(zones)]
-		d.workers = append(d.workers, w)
-		d.beats = append(d.beats, func(sequence int) {
+		d.upstreams = append(d.upstreams, w)
+		d.registrations = append(d.registrations, func(sequence int) {
 			d.store.Put("servers/"+w.ID, w.RegistryEntry(standin.Service, address, zone, "ready", sequence))
 		})
 	}
-	d.beat(1)
+	d.writeRegistrations(1)
 	for i := range calmHosts {
-		if err := d.start(fmt.Sprint("host-", i), zones[i%len(zones)]); err != nil {
+		if err := d.startHost(fmt.Sprint("host-", i), zones[i%len(zones)]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *calmDay) beat(sequence int) {
-	for _, beat := range d.beats {
-		beat(sequence)
+func (d *calmRun) writeRegistrations(sequence int) {
+	for _, register := range d.registrations {
+		register(sequence)
 	}
 }
 
-func (d *calmDay) heartbeats(ctx context.Context) {
+func (d *calmRun) runHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for sequence := 2; ; sequence++ {
@@ -143,19 +143,19 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.beat(sequence)
+			d.writeRegistrations(sequence)
 		}
 	}
 }
 
 // listening finds the callers' address in a host's log.
-var listening = regexp.MustCompile(`msg=started .*callers=(\S+)`)
+var startedLine = regexp.MustCompile(`msg=started .*callers=(\S+)`)
 
 // start starts one host and waits until it listens.
-func (d *calmDay) start(name, zone string) error {
+func (d *calmRun) startHost(name, zone string) error {
 	file := filepath.Join(d.dir, name+".jsonc")
 	settings := standin.EntryHostSettings{
-		Name: name, Zone: zone, CallerAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0", StoreAddress: d.address, GracePeriod: calmGrace, RevocationDelay: 5 * time.Second,
+		Name: name, Zone: zone, CallerAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0", StoreAddress: d.storeAddress, GracePeriod: calmGracePeriod, RevocationDelay: 5 * time.Second,
 	}.Encode()
 	if err := os.WriteFile(file, settings, 0o600); err != nil {
 		return errors.Wrap(err, "settings")
@@ -171,11 +171,11 @@
 	d.processes = append(d.processes, cmd)
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
-		found := listening.FindStringSubmatch(lines.Text())
-		if found == nil {
+		match := startedLine.FindStringSubmatch(lines.Text())
+		if match == nil {
 			continue
 		}
-		d.callers = append(d.callers, found[1])
+		d.callerAddresses = append(d.callerAddresses, match[1])
 		// The rest of the log is of no use, but somebody has to read it.
 		go func() { _, _ = io.Copy(io.Discard, out) }()
 		return nil
@@ -183,10 +183,10 @@
 	return errors.Errorf("%s ended before it listened", name)
 }
 
-func (d *calmDay) awaitReady() error {
-	end := time.Now().Add(calmStart)
-	for _, host := range d.callers {
-		for d.ask(host, "ready-"+host, false) != http.StatusOK {
+func (d *calmRun) awaitReady() error {
+	end := time.Now().Add(calmStartTimeout)
+	for _, host := range d.callerAddresses {
+		for d.sendRequest(host, "ready-"+host, false) != http.StatusOK {
 			if time.Now().After(end) {
 				return errors.Errorf("%s does not serve", host)
 			}
@@ -197,25 +197,25 @@
 }
 
 // send sends requests at their times, whether or not earlier ones were answered.
-func (d *calmDay) send(length time.Duration, perSecond int) {
+func (d *calmRun) send(duration time.Duration, perSecond int) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var running sync.WaitGroup
-	n := int(length.Seconds() * float64(perSecond))
+	var inFlight sync.WaitGroup
+	n := int(duration.Seconds() * float64(perSecond))
 	for i := range n {
-		host := d.callers[rng.IntN(len(d.callers))]
-		running.Go(func() {
-			status := d.ask(host, fmt.Sprint("c-", i), i%4 == 0)
+		host := d.callerAddresses[rng.IntN(len(d.callerAddresses))]
+		inFlight.Go(func() {
+			status := d.sendRequest(host, fmt.Sprint("c-", i), i%4 == 0)
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.counts[fmt.Sprint(status)]++
+			d.statusCounts[fmt.Sprint(status)]++
 		})
-		time.Sleep(length / time.Duration(n))
+		time.Sleep(duration / time.Duration(n))
 	}
-	running.Wait()
+	inFlight.Wait()
 }
 
 // ask sends one request and returns the status of its answer, 0: there was none.
-func (d *calmDay) ask(host, id string, post bool) int {
+func (d *calmRun) sendRequest(host, id string, post bool) int {
 	method, path := http.MethodGet, standin.ReadPath
 	if post {
 		method, path = http.MethodPost, standin.PostPath
@@ -241,13 +241,13 @@
 	if resp.StatusCode == http.StatusOK && !strings.HasSuffix(string(body), " ran "+id) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.wrong++
+		d.wrongResponses++
 	}
 	return resp.StatusCode
 }
 
 // stop ends all hosts by a planned stop and tells whether all ended well.
-func (d *calmDay) stop() bool {
+func (d *calmRun) stopHosts() bool {
 	for _, p := range d.processes {
 		_ = p.Process.Signal(syscall.SIGTERM)
 	}
@@ -260,7 +260,7 @@
 }
 
 // kill ends what is left after a failure.
-func (d *calmDay) kill() {
+func (d *calmRun) killHosts() {
 	for _, p := range d.processes {
 		_ = p.Process.Kill()
 		_ = p.Wait()
@@ -270,24 +270,24 @@
 // calmReport is what a calm day came to.
 type calmReport struct {
 	// Statuses counts answers; "0" stands for none.
-	Statuses   map[string]int `json:"statuses"`
-	Wrong      int            `json:"wrong"`
-	Doubled    int            `json:"doubled"`
-	KeysSeen   int            `json:"keys_seen"`
-	CleanStops bool           `json:"clean_stops"`
-	StoreCalls map[string]int `json:"store_calls"`
+	Statuses          map[string]int `json:"statuses"`
+	WrongResponses    int            `json:"wrong"`
+	DuplicatePostings int            `json:"doubled"`
+	KeysSeen          int            `json:"keys_seen"`
+	CleanStops        bool           `json:"clean_stops"`
+	StoreCalls        map[string]int `json:"store_calls"`
 }
 
-func (d *calmDay) report(clean bool) error {
-	r := calmReport{Statuses: d.counts, Wrong: d.wrong, CleanStops: clean, StoreCalls: d.store.Calls()}
-	ran := map[string]int{}
-	for _, w := range d.workers {
+func (d *calmRun) printReport(clean bool) error {
+	r := calmReport{Statuses: d.statusCounts, WrongResponses: d.wrongResponses, CleanStops: clean, StoreCalls: d.store.Calls()}
+	runs := map[string]int{}
+	for _, w := range d.upstreams {
 		for _, run := range w.Runs() {
 			if run.Key != "" {
 				r.KeysSeen++
 			}
-			if ran[run.ID]++; run.Method == http.MethodPost && ran[run.ID] == 2 {
-				r.Doubled++
+			if runs[run.ID]++; run.Method == http.MethodPost && runs[run.ID] == 2 {
+				r.DuplicatePostings++
 			}
 		}
 	}
@@ -296,13 +296,13 @@
 		return errors.Wrap(err, "report")
 	}
 	fmt.Println(string(text))
-	all := 0
-	for _, n := range d.counts {
-		all += n
+	total := 0
+	for _, n := range d.statusCounts {
+		total += n
 	}
-	missed := float64(all-d.counts["200"]) > calmRefused*float64(all)
-	if r.Wrong+r.Doubled+r.KeysSeen > 0 || missed || !clean {
-		return errCalmDay
+	tooManyFailed := float64(total-d.statusCounts["200"]) > calmMaxFailedFraction*float64(total)
+	if r.WrongResponses+r.DuplicatePostings+r.KeysSeen > 0 || tooManyFailed || !clean {
+		return errCalmFailed
 	}
 	return nil
 }
--- a/cmd/balsamlab/compare.go
+++ b/cmd/balsamlab/compare.go
@@ -29,17 +29,17 @@
 				p.Seeds = append(p.Seeds, seed)
 			}
 			out := cmd.OutOrStdout()
-			p.OnRun = func(version string, q compare.BenchRun) {
+			p.OnRun = func(version string, run compare.BenchRun) {
 				_, _ = fmt.Fprintf(out, "played version=%s site=%s day=%s seed=%d worth=%.3f broken=%v fault=%q\n",
-					version, q.Deployment, q.Day, q.Seed, q.Score, q.BrokenRules, q.InvalidReason)
+					version, run.Deployment, run.Day, run.Seed, run.Score, run.BrokenRules, run.InvalidReason)
 			}
-			plays, err := p.Run(cmd.Context())
+			runs, err := p.Run(cmd.Context())
 			if err != nil {
 				return err
 			}
 			for _, version := range p.Versions[1:] {
 				_, _ = fmt.Fprintf(out, "\n%s against %s\n", version, p.Versions[0])
-				if err := compare.Print(out, compare.Summarize(plays[p.Versions[0]], plays[version])); err != nil {
+				if err := compare.Print(out, compare.Summarize(runs[p.Versions[0]], runs[version])); err != nil {
 					return err
 				}
 			}
--- a/cmd/balsamlab/overhead.go
+++ b/cmd/balsamlab/overhead.go
@@ -17,16 +17,16 @@
 	"github.com/spf13/cobra"
 )
 
-var errNotAnswered = errors.New("balsamlab: request was not answered with 200")
+var errUnexpectedStatus = errors.New("balsamlab: request was not answered with 200")
 
 // overhead compares calls through a daemon with direct calls to an upstream.
 type overhead struct {
-	entry, upstream  string
-	service, key     string
-	stage            string
-	pairs, clients   int
-	throughputLength time.Duration
-	client           *http.Client
+	entry, upstream    string
+	service, key       string
+	stage              string
+	pairCount, clients int
+	throughputDuration time.Duration
+	client             *http.Client
 }
 
 func overheadCommand() *cobra.Command {
@@ -46,48 +46,48 @@
 	f.StringVar(&o.service, "service", "lookup", "service to call")
 	f.StringVar(&o.stage, "stage", "pairs", "what to measure: pairs, requests or lookups")
 	f.StringVar(&o.key, "key", "", "a customer's key")
-	f.IntVar(&o.pairs, "pairs", 3000, "pairs of calls")
+	f.IntVar(&o.pairCount, "pairs", 3000, "pairs of calls")
 	f.IntVar(&o.clients, "clients", 16, "callers at once for the throughput")
-	f.DurationVar(&o.throughputLength, "duration", 5*time.Second, "how long to measure the throughput")
+	f.DurationVar(&o.throughputDuration, "duration", 5*time.Second, "how long to measure the throughput")
 	return cmd
 }
 
-var errBadStage = errors.New("balsamlab: --stage: want pairs, requests or lookups")
+var errInvalidStage = errors.New("balsamlab: --stage: want pairs, requests or lookups")
 
 func (o *overhead) run(ctx context.Context) error {
 	switch o.stage {
 	case "pairs":
-		return o.pairsOf(ctx)
+		return o.measurePairs(ctx)
 	case "requests":
-		return o.throughput(ctx, o.through())
+		return o.measureThroughput(ctx, o.entryURL())
 	case "lookups":
-		return o.throughput(ctx, "http://"+o.entry+"/v1/entries")
+		return o.measureThroughput(ctx, "http://"+o.entry+"/v1/entries")
 	}
-	return errBadStage
+	return errInvalidStage
 }
 
-func (o *overhead) direct() string  { return "http://" + o.upstream + "/animal/7" }
-func (o *overhead) through() string { return "http://" + o.entry + "/svc/" + o.service + "/animal/7" }
+func (o *overhead) directURL() string { return "http://" + o.upstream + "/animal/7" }
+func (o *overhead) entryURL() string  { return "http://" + o.entry + "/svc/" + o.service + "/animal/7" }
 
 // pairsOf alternates direct calls and calls through the daemon, so that both
 // meet the same state of the machine.
-func (o *overhead) pairsOf(ctx context.Context) error {
+func (o *overhead) measurePairs(ctx context.Context) error {
 	direct, through := newLatency(), newLatency()
-	for i := range o.pairs {
-		first, second := o.direct, o.through
+	for i := range o.pairCount {
+		first, second := o.directURL, o.entryURL
 		a, b := direct, through
 		if i%2 == 1 {
 			first, second, a, b = second, first, b, a
 		}
-		if err := o.timed(ctx, first(), a); err != nil {
+		if err := o.measureCall(ctx, first(), a); err != nil {
 			return err
 		}
-		if err := o.timed(ctx, second(), b); err != nil {
+		if err := o.measureCall(ctx, second(), b); err != nil {
 			return err
 		}
 	}
-	report("direct", direct)
-	report("through a daemon", through)
+	printLatency("direct", direct)
+	printLatency("through a daemon", through)
 	added := func(q float64) int64 { return through.ValueAtQuantile(q) - direct.ValueAtQuantile(q) }
 	_, err := fmt.Fprintf(os.Stdout, "added              p50 %d us, p99 %d us\n", added(50), added(99))
 	return err
@@ -95,11 +95,11 @@
 
 func newLatency() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
 
-func report(name string, h *hdrhistogram.Histogram) {
+func printLatency(name string, h *hdrhistogram.Histogram) {
 	fmt.Printf("%-18s p50 %d us, p99 %d us, %d calls\n", name, h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.TotalCount())
 }
 
-func (o *overhead) timed(ctx context.Context, url string, h *hdrhistogram.Histogram) error {
+func (o *overhead) measureCall(ctx context.Context, url string, h *hdrhistogram.Histogram) error {
 	start := time.Now()
 	if err := o.call(ctx, url); err != nil {
 		return err
@@ -122,16 +122,16 @@
 		return errors.Wrap(err, "read answer")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.Wrapf(errNotAnswered, "status %d", resp.StatusCode)
+		return errors.Wrapf(errUnexpectedStatus, "status %d", resp.StatusCode)
 	}
 	return nil
 }
 
 // throughput sends as fast as the callers get answers, for a bounded time.
-func (o *overhead) throughput(ctx context.Context, url string) error {
+func (o *overhead) measureThroughput(ctx context.Context, url string) error {
 	var tasks sync.WaitGroup
 	var ran, failed atomic.Int64
-	end := time.Now().Add(o.throughputLength)
+	end := time.Now().Add(o.throughputDuration)
 	for range o.clients {
 		tasks.Go(func() {
 			for time.Now().Before(end) {
@@ -145,7 +145,7 @@
 	}
 	tasks.Wait()
 	_, err := fmt.Printf("%-18s %.0f per second, %d answered, %d not\n", o.stage,
-		float64(ran.Load())/o.throughputLength.Seconds(), ran.Load(), failed.Load())
+		float64(ran.Load())/o.throughputDuration.Seconds(), ran.Load(), failed.Load())
 	return err
 }
 
--- a/cmd/balsamlab/serve.go
+++ b/cmd/balsamlab/serve.go
@@ -25,10 +25,10 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	// storeBound bounds one call to the stand-in of the store.
-	storeBound = 5 * time.Second
+	storeTimeout = 5 * time.Second
 )
 
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -63,7 +63,7 @@
 		Short: "Serve the platform's store",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			ctx, stop := untilSignal()
+			ctx, stop := signalContext()
 			defer stop()
 			address, err := serve(listen, standin.NewKVStore())
 			if err != nil {
@@ -89,7 +89,7 @@
 		Short: "Write one line of the host list into the platform's store",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, cancel := context.WithTimeout(cmd.Context(), storeBound)
+			ctx, cancel := context.WithTimeout(cmd.Context(), storeTimeout)
 			defer cancel()
 			store := platform.NewStore(url, (&net.Dialer{}).DialContext, func(string, error) {})
 			return store.Put(ctx, membership.HostKey(host.Name), host.Value(), 0)
@@ -113,7 +113,7 @@
 			"merge patch with their addresses. Upstreams beyond --per-service are taken out by it.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			ctx, stop := untilSignal()
+			ctx, stop := signalContext()
 			defer stop()
 			c, err := readConfig(args[0])
 			if err != nil {
@@ -155,11 +155,11 @@
 
 func startUpstreams(c *config.Config, perService int, serviceTime time.Duration) ([]*standin.Upstream, string, error) {
 	patch := addressPatch{Upstreams: map[string]*upstreamPatch{}}
-	served := map[string]int{}
+	servedPerService := map[string]int{}
 	var workers []*standin.Upstream
 	for _, name := range slices.Sorted(maps.Keys(c.Upstreams)) {
 		u := c.Upstreams[name]
-		if served[u.Service]++; served[u.Service] > perService {
+		if servedPerService[u.Service]++; servedPerService[u.Service] > perService {
 			patch.Upstreams[name] = nil
 			continue
 		}
@@ -176,27 +176,27 @@
 }
 
 type upstreamsReport struct {
-	Total    int `json:"total"`
-	Shed     int `json:"shed"`
-	KeysSeen int `json:"keys_seen"`
-	Doubled  int `json:"doubled"`
+	Total             int `json:"total"`
+	Shed              int `json:"shed"`
+	KeysSeen          int `json:"keys_seen"`
+	DuplicatePostings int `json:"doubled"`
 }
 
 func reportUpstreams(file string, workers []*standin.Upstream) error {
 	var sum upstreamsReport
-	ran := map[string]int{}
+	runs := map[string]int{}
 	for _, w := range workers {
 		s := w.Stats()
 		sum.Total += s.Total
 		sum.Shed += s.Shed
 		sum.KeysSeen += s.KeysSeen
 		for name, n := range s.Postings {
-			ran[name] += n
+			runs[name] += n
 		}
 	}
-	for _, n := range ran {
+	for _, n := range runs {
 		if n > 1 {
-			sum.Doubled++
+			sum.DuplicatePostings++
 		}
 	}
 	text, err := json.Marshal(sum)
--- a/internal/compare/pairs.go
+++ b/internal/compare/pairs.go
@@ -22,12 +22,12 @@
 }
 
 // key is what a pair has in common.
-type key struct {
-	site, day string
-	seed      int
+type pairKey struct {
+	deployment, day string
+	seed            int
 }
 
-func (p BenchRun) key() key { return key{p.Deployment, p.Day, p.Seed} }
+func (p BenchRun) pairKey() pairKey { return pairKey{p.Deployment, p.Day, p.Seed} }
 
 // Verdict on a difference.
 type Verdict string
@@ -43,7 +43,7 @@
 const (
 	// spreadFactor is the number of standard errors within which a mean difference says
 	// nothing.
-	spreadFactor = 2.0
+	significantErrors = 2.0
 	// minPairs is the number of pairs from which the standard error is worth something.
 	minPairs = 5
 )
@@ -65,7 +65,7 @@
 	switch {
 	case s.Pairs < minPairs:
 		return TooFewPairs
-	case math.Abs(s.Difference) <= spreadFactor*s.StandardError:
+	case math.Abs(s.Difference) <= significantErrors*s.StandardError:
 		return Inconclusive
 	case s.Difference > 0:
 		return Better
@@ -79,18 +79,18 @@
 // Summarize pairs the plays of two versions, and returns a summary of each day and of each
 // deployment. Plays without a partner are left out.
 func Summarize(before, after []BenchRun) []Summary {
-	partner := map[key]BenchRun{}
+	beforeRuns := map[pairKey]BenchRun{}
 	for _, p := range before {
-		partner[p.key()] = p
+		beforeRuns[p.pairKey()] = p
 	}
-	groups := map[key][][2]float64{}
+	groups := map[pairKey][][2]float64{}
 	for _, p := range after {
-		b, ok := partner[p.key()]
+		b, ok := beforeRuns[p.pairKey()]
 		if !ok {
 			continue
 		}
 		pair := [2]float64{b.Score, p.Score}
-		for _, k := range []key{{site: p.Deployment, day: p.Day}, {site: p.Deployment, day: allDays}} {
+		for _, k := range []pairKey{{deployment: p.Deployment, day: p.Day}, {deployment: p.Deployment, day: allDays}} {
 			groups[k] = append(groups[k], pair)
 		}
 	}
@@ -111,8 +111,8 @@
 	return 0
 }
 
-func summarize(k key, pairs [][2]float64) Summary {
-	s := Summary{Deployment: k.site, Day: k.day, Pairs: len(pairs)}
+func summarize(k pairKey, pairs [][2]float64) Summary {
+	s := Summary{Deployment: k.deployment, Day: k.day, Pairs: len(pairs)}
 	n := float64(len(pairs))
 	for _, p := range pairs {
 		s.Before += p[0] / n
--- a/internal/compare/pairs_test.go
+++ b/internal/compare/pairs_test.go
@@ -9,10 +9,10 @@
 	"balsambarrow/internal/compare"
 )
 
-func plays(day string, worth ...float64) []compare.BenchRun {
+func runsOf(day string, scores ...float64) []compare.BenchRun {
 	var out []compare.BenchRun
-	for seed, w := range worth {
-		out = append(out, compare.BenchRun{Deployment: "s", Day: day, Seed: seed, Score: w})
+	for seed, score := range scores {
+		out = append(out, compare.BenchRun{Deployment: "s", Day: day, Seed: seed, Score: score})
 	}
 	return out
 }
@@ -32,17 +32,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := compare.Summarize(plays("d", c.before...), plays("d", c.after...))
+			s := compare.Summarize(runsOf("d", c.before...), runsOf("d", c.after...))
 			g.Expect(s).To(HaveLen(2), "the day and the deployment")
 			g.Expect(s[0].Verdict()).To(Equal(c.want))
 		})
 	}
 }
 
-func TestOnlyPairsAreCompared(t *testing.T) {
+func TestSummarizeIgnoresUnpairedRuns(t *testing.T) {
 	g := NewWithT(t)
-	before := append(plays("a", .5, .6), plays("b", .1)...)
-	after := append(plays("a", .6, .7, .9), plays("c", .9)...)
+	before := append(runsOf("a", .5, .6), runsOf("b", .1)...)
+	after := append(runsOf("a", .6, .7, .9), runsOf("c", .9)...)
 	s := compare.Summarize(before, after)
 	g.Expect(s).To(HaveLen(2))
 	g.Expect(s[0].Pairs).To(Equal(2))
--- a/internal/compare/run.go
+++ b/internal/compare/run.go
@@ -78,13 +78,13 @@
 type task struct {
 	version string
 	file    string
-	play    BenchRun
+	run     BenchRun
 }
 
 // Run makes all plays, and returns them by version. What belongs together is played one
 // after the other.
-func (p Plan) Run(ctx context.Context) (plays map[string][]BenchRun, err error) {
-	plays = map[string][]BenchRun{}
+func (p Plan) Run(ctx context.Context) (runs map[string][]BenchRun, err error) {
+	runs = map[string][]BenchRun{}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	queue := make(chan task)
@@ -103,16 +103,16 @@
 	for range max(p.Jobs, 1) {
 		workers.Go(func() {
 			for t := range queue {
-				played, failed := p.play(ctx, t)
+				result, runErr := p.runBench(ctx, t)
 				mu.Lock()
 				switch {
-				case failed == nil:
-					plays[t.version] = append(plays[t.version], played)
+				case runErr == nil:
+					runs[t.version] = append(runs[t.version], result)
 					if p.OnRun != nil {
-						p.OnRun(t.version, played)
+						p.OnRun(t.version, result)
 					}
 				case err == nil:
-					err = failed
+					err = runErr
 					cancel()
 				}
 				mu.Unlock()
@@ -120,7 +120,7 @@
 		})
 	}
 	workers.Wait()
-	return plays, err
+	return runs, err
 }
 
 func (p Plan) tasks() []task {
@@ -128,9 +128,9 @@
 	for _, s := range p.Deployments {
 		for _, seed := range p.Seeds {
 			for _, day := range s.Days {
-				play := BenchRun{Deployment: s.Name(), Day: day, Seed: seed}
+				run := BenchRun{Deployment: s.Name(), Day: day, Seed: seed}
 				for _, version := range p.Versions {
-					out = append(out, task{version, s.File, play})
+					out = append(out, task{version, s.File, run})
 				}
 			}
 		}
@@ -139,51 +139,51 @@
 }
 
 // report is the part of a play's report that is read.
-type report struct {
+type benchReport struct {
 	Worth  *float64       `json:"G"`
 	Fault  any            `json:"fault"`
 	Broken map[string]any `json:"breaks"`
 }
 
 // play makes one play. The error is a *ReportError.
-func (p Plan) play(ctx context.Context, t task) (BenchRun, error) {
+func (p Plan) runBench(ctx context.Context, t task) (BenchRun, error) {
 	file, err := os.CreateTemp("", "play-*.json")
 	if err != nil {
-		return t.play, errors.WithStack(err)
+		return t.run, errors.WithStack(err)
 	}
 	_ = file.Close()
 	defer func() { _ = os.Remove(file.Name()) }()
-	args := []string{"run", t.file, t.play.Day, "--seed", strconv.Itoa(t.play.Seed), "--report", file.Name(),
+	args := []string{"run", t.file, t.run.Day, "--seed", strconv.Itoa(t.run.Seed), "--report", file.Name(),
 		"--why", filepath.Base(t.version) + ": " + p.Note}
 	if !p.ChargeCPU {
 		args = append(args, "--no-cpu")
 	}
 	cmd := exec.CommandContext(ctx, p.Bench, args...)
 	cmd.Dir = t.version
-	output, failed := cmd.CombinedOutput()
+	output, runErr := cmd.CombinedOutput()
 	data, err := os.ReadFile(file.Name())
 	if err == nil {
-		err = t.play.read(data)
+		err = t.run.read(data)
 	}
 	if err != nil {
-		if failed != nil {
-			err = failed
+		if runErr != nil {
+			err = runErr
 		}
-		return t.play, errors.WithStack(&ReportError{t.play, string(output), err})
+		return t.run, errors.WithStack(&ReportError{t.run, string(output), err})
 	}
-	return t.play, nil
+	return t.run, nil
 }
 
 // errNoWorth says that a report has no figure.
-var errNoWorth = errors.New("report without a figure")
+var errNoScore = errors.New("report without a figure")
 
 func (p *BenchRun) read(data []byte) error {
-	var r report
+	var r benchReport
 	if err := json.Unmarshal(data, &r); err != nil {
 		return errors.WithStack(err)
 	}
 	if r.Worth == nil {
-		return errors.WithStack(errNoWorth)
+		return errors.WithStack(errNoScore)
 	}
 	p.Score = *r.Worth
 	if r.Fault != nil {
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -8,19 +8,19 @@
 )
 
 // mode is what a proxy does to what passes.
-type mode int
+type proxyMode int
 
 const (
-	pass mode = iota
+	modePass proxyMode = iota
 	// delay holds every piece back for a while.
-	delay
+	modeDelay
 	// silent takes connections and bytes and passes nothing on.
-	silent
+	modeBlackhole
 	// oneWay passes requests on and no answers.
-	oneWay
+	modeDropResponses
 	// reset closes connections, old and new.
-	reset
-	modes
+	modeReset
+	modeCount
 )
 
 // proxy stands between a daemon and the store, on loopback.
@@ -29,7 +29,7 @@
 	listener net.Listener
 
 	mu    sync.Mutex
-	mode  mode
+	mode  proxyMode
 	conns map[net.Conn]bool
 }
 
@@ -45,11 +45,11 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	if m != reset {
+	if m != modeReset {
 		return
 	}
 	for c := range p.conns {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (p *proxy) current() mode {
+func (p *proxy) currentMode() proxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -65,7 +65,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(reset)
+	p.setMode(modeReset)
 }
 
 func (p *proxy) accept() {
@@ -74,7 +74,7 @@
 		if err != nil {
 			return
 		}
-		if p.current() == reset {
+		if p.currentMode() == modeReset {
 			_ = c.Close()
 			continue
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (p *proxy) pipe(to, from net.Conn, request bool) {
+func (p *proxy) pipe(to, from net.Conn, isRequest bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -103,7 +103,7 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.forward(to, buffer[:n], request) {
+		if n > 0 && !p.forward(to, buffer[:n], isRequest) {
 			return
 		}
 		if err != nil {
@@ -114,16 +114,16 @@
 
 // forward passes one piece on as the mode says; false ends the connection. A
 // piece that was held back in silence is lost: its connection never recovers.
-func (p *proxy) forward(to io.Writer, piece []byte, request bool) bool {
-	switch m := p.current(); {
-	case m == delay:
+func (p *proxy) forward(to io.Writer, data []byte, isRequest bool) bool {
+	switch m := p.currentMode(); {
+	case m == modeDelay:
 		time.Sleep(150 * time.Millisecond)
-	case m == silent, m == oneWay && !request:
-		for p.current() == m {
+	case m == modeBlackhole, m == modeDropResponses && !isRequest:
+		for p.currentMode() == m {
 			time.Sleep(20 * time.Millisecond)
 		}
 		return false
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(data)
 	return err == nil
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,31 +19,31 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 1, "number of seeds to run")
-	first = flag.Uint64("soak.first", 1, "first seed")
-	span  = flag.Duration("soak.span", 8*time.Second, "how long callers ask, per seed")
+	seedCount      = flag.Int("soak.seeds", 1, "number of seeds to run")
+	firstSeed      = flag.Uint64("soak.first", 1, "first seed")
+	callerDuration = flag.Duration("soak.span", 8*time.Second, "how long callers ask, per seed")
 )
 
 // regressions are seeds that failed once, each with its cause.
-var regressions = []uint64{
+var regressionSeeds = []uint64{
 	2, // hosts that started together did not know each other, and each gave out the whole rate
 }
 
 // settle is how long before a request nothing may have happened to a host or an
 // upstream for the request to be held against it.
-const settle = 4 * time.Second
+const faultSettleTime = 4 * time.Second
 
 // sent is one request of a caller, and what it was told.
-type sent struct {
-	id     string
-	key    string
-	post   bool
-	host   *process
-	at     time.Time
-	ended  time.Time
-	status int
-	body   string
-	err    error
+type callerRequest struct {
+	id        string
+	key       string
+	post      bool
+	host      *daemonProcess
+	startedAt time.Time
+	endedAt   time.Time
+	status    int
+	body      string
+	err       error
 }
 
 // TestSoak: callers ask, hosts are stopped, killed, paused and cut off from the
@@ -55,18 +55,18 @@
 	if out, err := exec.Command("go", "build", "-o", binary, "balsambarrow/cmd/balsambarrowd").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	all := append([]uint64{mixedFrom}, regressions...)
-	for i := range uint64(*seeds) {
-		all = append(all, *first+i)
+	seeds := append([]uint64{mixedFleetSeed}, regressionSeeds...)
+	for i := range uint64(*seedCount) {
+		seeds = append(seeds, *firstSeed+i)
 	}
-	for _, seed := range all {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { soak(t, binary, seed) })
+	for _, seed := range seeds {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSoak(t, binary, seed) })
 	}
 }
 
-func soak(t *testing.T, binary string, seed uint64) {
-	t.Logf("seed %d, callers for %v", seed, *span)
-	s := newSite(t, binary, fleetOf(seed))
+func runSoak(t *testing.T, binary string, seed uint64) {
+	t.Logf("seed %d, callers for %v", seed, *callerDuration)
+	s := newCluster(t, binary, fleetForSeed(seed))
 	defer s.close()
 	s.awaitServing()
 	stop := make(chan struct{})
@@ -78,17 +78,17 @@
 			task()
 		}()
 	}
-	spawn(&tasks, func() { s.heartbeats(stop) })
-	spawn(&tasks, func() { s.faults(rand.New(rand.NewPCG(seed, 1)), stop) })
+	spawn(&tasks, func() { s.runHeartbeats(stop) })
+	spawn(&tasks, func() { s.injectFaults(rand.New(rand.NewPCG(seed, 1)), stop) })
 	var mu sync.Mutex
-	var requests []sent
+	var requests []callerRequest
 	for i := range 9 {
 		rng := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		spawn(&callers, func() {
-			own := s.caller(rng, i, *span)
+			sent := s.runCaller(rng, i, *callerDuration)
 			mu.Lock()
 			defer mu.Unlock()
-			requests = append(requests, own...)
+			requests = append(requests, sent...)
 		})
 	}
 	callers.Wait()
@@ -99,11 +99,11 @@
 	s.check(requests)
 }
 
-func (s *site) awaitServing() {
+func (s *cluster) awaitServing() {
 	for _, h := range s.processes {
 		end := time.Now().Add(30 * time.Second)
 		for {
-			r := s.ask(http.DefaultClient, sent{id: "warm-up-" + h.name, key: "steady", host: h})
+			r := s.sendRequest(http.DefaultClient, callerRequest{id: "warm-up-" + h.name, key: "steady", host: h})
 			if r.status == http.StatusOK {
 				break
 			}
@@ -115,7 +115,7 @@
 	}
 }
 
-func (s *site) heartbeats(stop <-chan struct{}) {
+func (s *cluster) runHeartbeats(stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -124,7 +124,7 @@
 			return
 		case <-tick.C:
 			for _, u := range s.upstreams {
-				s.beat(u)
+				s.writeRegistration(u)
 			}
 		}
 	}
@@ -132,13 +132,13 @@
 
 // caller sends requests one after the other, on kept connections that it uses
 // until they are closed.
-func (s *site) caller(rng *rand.Rand, number int, d time.Duration) []sent {
+func (s *cluster) runCaller(rng *rand.Rand, number int, d time.Duration) []callerRequest {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 4 * time.Second}
-	var out []sent
+	var out []callerRequest
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		r := sent{
+		r := callerRequest{
 			id: fmt.Sprintf("c%d-%d", number, len(out)), post: rng.IntN(2) == 0,
 			host: s.processes[rng.IntN(len(s.processes))], key: "steady",
 		}
@@ -146,54 +146,54 @@
 		case number < 4:
 			r.key = standin.RateLimitedKey
 		case number < 7:
-			r.key = fmt.Sprint("fresh-", rng.IntN(freshKeys))
+			r.key = fmt.Sprint("fresh-", rng.IntN(rotatedKeys))
 		}
-		out = append(out, s.ask(client, r))
+		out = append(out, s.sendRequest(client, r))
 		time.Sleep(time.Duration(rng.IntN(25)) * time.Millisecond)
 	}
 	return out
 }
 
-func (s *site) ask(client *http.Client, r sent) sent {
+func (s *cluster) sendRequest(client *http.Client, r callerRequest) callerRequest {
 	method, path, body := "GET", standin.ReadPath+"1", ""
 	if r.post {
 		method, path, body = "POST", standin.PostPath+"1", "weight"
 	}
-	q, err := http.NewRequest(method, "http://"+r.host.callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+r.host.callerAddress+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Error(err)
 		return r
 	}
-	q.Host = standin.CallerHost
-	q.Header = http.Header{"X-Request-Id": {r.id}, "X-Deadline-Ms": {"3000"}, "Authorization": {"Bearer " + r.key}, "X-Affinity-Key": {r.id[:2]}}
-	r.at = time.Now()
-	resp, err := client.Do(q)
+	req.Host = standin.CallerHost
+	req.Header = http.Header{"X-Request-Id": {r.id}, "X-Deadline-Ms": {"3000"}, "Authorization": {"Bearer " + r.key}, "X-Affinity-Key": {r.id[:2]}}
+	r.startedAt = time.Now()
+	resp, err := client.Do(req)
 	if err == nil {
 		var text []byte
 		text, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		r.status, r.body = resp.StatusCode, string(text)
 	}
-	r.err, r.ended = err, time.Now()
+	r.err, r.endedAt = err, time.Now()
 	return r
 }
 
 // faults injects one after the other until stop, some of which last on while the
 // next ones begin.
 // kinds names what inject does, for the log.
-var kinds = []string{"SIGTERM", "SIGKILL", "SIGSTOP", "store link", "SIGHUP", "key withdrawn", "evacuation", "upstream cuts answers"}
+var faultNames = []string{"SIGTERM", "SIGKILL", "SIGSTOP", "store link", "SIGHUP", "key withdrawn", "evacuation", "upstream cuts answers"}
 
-func (s *site) faults(rng *rand.Rand, stop <-chan struct{}) {
-	var lasting sync.WaitGroup
-	defer lasting.Wait()
+func (s *cluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
+	var activeFaults sync.WaitGroup
+	defer activeFaults.Wait()
 	for {
 		h, u := s.processes[rng.IntN(len(s.processes))], s.upstreams[rng.IntN(len(s.upstreams))]
 		length := time.Duration(300+rng.IntN(3500)) * time.Millisecond
-		kind, key, m := rng.IntN(len(kinds)), fmt.Sprint("fresh-", rng.IntN(freshKeys)), mode(1+rng.IntN(int(modes)-1))
-		lasting.Add(1)
+		kind, key, m := rng.IntN(len(faultNames)), fmt.Sprint("fresh-", rng.IntN(rotatedKeys)), proxyMode(1+rng.IntN(int(modeCount)-1))
+		activeFaults.Add(1)
 		go func() {
-			defer lasting.Done()
-			s.inject(kind, h, u, key, m, length)
+			defer activeFaults.Done()
+			s.injectFault(kind, h, u, key, m, length)
 		}()
 		select {
 		case <-stop:
@@ -203,41 +203,41 @@
 	}
 }
 
-func (s *site) inject(kind int, h *process, u *upstream, key string, m mode, length time.Duration) {
-	s.note("%s of %s or %s, mode %d, for %v", kinds[kind], h.name, u.worker.ID, m, length)
+func (s *cluster) injectFault(kind int, h *daemonProcess, u *upstream, key string, m proxyMode, length time.Duration) {
+	s.logFault("%s of %s or %s, mode %d, for %v", faultNames[kind], h.name, u.worker.ID, m, length)
 	switch kind {
 	case 0:
-		s.stop(h)
+		s.stopAndRestart(h)
 	case 1:
-		h.fault(time.Now())
+		h.recordFault(time.Now())
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
 		s.restart(h)
 	case 2:
-		h.fault(time.Now())
+		h.recordFault(time.Now())
 		h.signal(syscall.SIGSTOP)
 		time.Sleep(length)
 		h.signal(syscall.SIGCONT)
-		h.fault(time.Now())
+		h.recordFault(time.Now())
 	case 3:
-		h.proxy.set(m)
+		h.proxy.setMode(m)
 		time.Sleep(length)
-		h.proxy.set(pass)
+		h.proxy.setMode(modePass)
 	case 4:
 		h.signal(syscall.SIGHUP)
 	case 5:
-		s.withdraw(key, length)
+		s.withdrawKey(key, length)
 	case 6:
-		s.evacuate(u.zone, length+revoke)
+		s.evacuateZone(u.zone, length+revocationDelay)
 	case 7:
-		s.disturb(u, length)
+		s.disruptUpstream(u, length)
 	}
 }
 
 // stop is a planned stop, and a new start.
-func (s *site) stop(h *process) {
+func (s *cluster) stopAndRestart(h *daemonProcess) {
 	h.mu.Lock()
-	h.stopped = time.Now()
+	h.stoppedAt = time.Now()
 	h.mu.Unlock()
 	h.signal(syscall.SIGTERM)
 	s.restart(h)
@@ -245,59 +245,59 @@
 
 // restart waits for the end of the present process and starts the next one. Of
 // several that wait only one does.
-func (s *site) restart(h *process) {
+func (s *cluster) restart(h *daemonProcess) {
 	h.mu.Lock()
-	ending := h.done
+	ending := h.exited
 	h.mu.Unlock()
 	<-ending
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h.mu.Lock()
-	same := h.done == ending
+	same := h.exited == ending
 	h.mu.Unlock()
 	if same {
-		s.start(h)
+		s.startProcess(h)
 	}
 }
 
-func (s *site) withdraw(key string, length time.Duration) {
+func (s *cluster) withdrawKey(key string, length time.Duration) {
 	s.mu.Lock()
 	if !s.withdrawn[key].IsZero() {
 		s.mu.Unlock()
 		return
 	}
 	s.withdrawn[key] = time.Now()
-	s.declare()
+	s.writeConfig()
 	s.withdrawn[key] = time.Now()
 	s.mu.Unlock()
 	// A key that is withdrawn stays so: what runs with it later is a fault.
 	_ = length
 }
 
-func (s *site) evacuate(zone string, length time.Duration) {
+func (s *cluster) evacuateZone(zone string, length time.Duration) {
 	s.mu.Lock()
-	if !s.evacuated[zone].IsZero() {
+	if !s.activeEvacuations[zone].IsZero() {
 		s.mu.Unlock()
 		return
 	}
 	s.store.Put("op/evacuate/"+zone, []byte("{}"))
-	s.evacuated[zone] = time.Now()
+	s.activeEvacuations[zone] = time.Now()
 	s.mu.Unlock()
 	time.Sleep(length)
 	s.mu.Lock()
-	s.emptied = append(s.emptied, evacuation{zone, s.evacuated[zone], time.Now()})
+	s.endedEvacuations = append(s.endedEvacuations, evacuation{zone, s.activeEvacuations[zone], time.Now()})
 	s.store.Delete("op/evacuate/" + zone)
-	delete(s.evacuated, zone)
+	delete(s.activeEvacuations, zone)
 	s.mu.Unlock()
 }
 
 // disturb makes an upstream cut its answers, or all of its connections once.
-func (s *site) disturb(u *upstream, length time.Duration) {
+func (s *cluster) disruptUpstream(u *upstream, length time.Duration) {
 	s.mu.Lock()
-	u.faulted = time.Now().Add(length)
+	u.faultedUntil = time.Now().Add(length)
 	s.mu.Unlock()
-	u.worker.SetHandler(failing)
+	u.worker.SetHandler(abortResponse)
 	time.Sleep(length / 2)
 	u.worker.SetHandler(nil)
-	u.cut()
+	u.closeConnections()
 }
--- a/internal/standin/kvserve.go
+++ b/internal/standin/kvhandler.go
@@ -20,7 +20,7 @@
 	if i := strings.LastIndexByte(path, '/'); i > 0 && strings.Count(path, "/") > 2 {
 		path = path[:i]
 	}
-	fault, delay := s.meet(r, path)
+	fault, delay := s.nextFault(r, path)
 	switch fault {
 	case StoreUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -48,43 +48,43 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	time.Sleep(delay)
 	if fault == StoreResponseLost {
-		s.answer(discard{http.Header{}}, r, path)
+		s.handle(discardWriter{http.Header{}}, r, path)
 		panic(http.ErrAbortHandler)
 	}
-	s.answer(w, r, path)
+	s.handle(w, r, path)
 }
 
 // meet counts a call and tells how it goes wrong.
-func (s *KVStore) meet(r *http.Request, path string) (StoreFault, time.Duration) {
+func (s *KVStore) nextFault(r *http.Request, path string) (StoreFault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if mayBeStale(r) {
+	if allowsStale(r) {
 		s.calls[path+" stale"]++
 	} else {
 		s.calls[path]++
 	}
-	s.lapse()
-	if s.fault != nil {
-		if fault := s.fault(path); fault != StoreHealthy {
+	s.expireLeases()
+	if s.faultFunc != nil {
+		if fault := s.faultFunc(path); fault != StoreHealthy {
 			return fault, 0
 		}
 	}
-	if s.faults.Down || s.faults.StaleOnly && !mayBeStale(r) {
+	if s.faults.Down || s.faults.StaleOnly && !allowsStale(r) {
 		return StoreUnavailable, 0
 	}
 	return StoreHealthy, s.faults.Delay
 }
 
-func mayBeStale(r *http.Request) bool { return r.URL.Query().Get("allow-stale") == "1" }
+func allowsStale(r *http.Request) bool { return r.URL.Query().Get("allow-stale") == "1" }
 
 // discard is a ResponseWriter whose answer nobody gets.
-type discard struct{ header http.Header }
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
-func (s *KVStore) answer(w http.ResponseWriter, r *http.Request, path string) {
+func (s *KVStore) handle(w http.ResponseWriter, r *http.Request, path string) {
 	switch r.Method + " " + path {
 	case "GET /-/kv-key":
 		s.get(w, r)
@@ -95,11 +95,11 @@
 	case "POST /-/kv-txn":
 		s.transact(w, r)
 	case "POST /-/kv-lease":
-		s.grant(w, r)
+		s.grantLease(w, r)
 	case "POST /-/kv-keep":
-		s.keep(w, r)
+		s.renewLease(w, r)
 	case "DELETE /-/kv-lease-end":
-		s.end(w, r)
+		s.revokeLease(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
@@ -117,25 +117,25 @@
 }
 
 // readable is what a listing shows. Callers hold mu.
-func (s *KVStore) readable(stale bool) map[string]storeItem {
+func (s *KVStore) visibleItems(stale bool) map[string]storeItem {
 	switch {
 	case !stale:
 		return s.items
-	case s.behind:
+	case s.staleReadsEmpty:
 		return nil
 	case s.faults.StaleAge == 0:
 		return s.items
-	case s.shown == nil || s.Now().Sub(s.shownAt) >= s.faults.StaleAge:
-		s.shown, s.shownAt = maps.Clone(s.items), s.Now()
+	case s.staleItems == nil || s.Now().Sub(s.staleItemsAt) >= s.faults.StaleAge:
+		s.staleItems, s.staleItemsAt = maps.Clone(s.items), s.Now()
 	}
-	return s.shown
+	return s.staleItems
 }
 
 func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("prefix"), r.URL.Query().Get("after")
 	s.mu.Lock()
 	var page []storeItem
-	for _, i := range s.readable(mayBeStale(r)) {
+	for _, i := range s.visibleItems(allowsStale(r)) {
 		if strings.HasPrefix(i.Key, prefix) && i.Key > after {
 			page = append(page, i)
 		}
@@ -161,8 +161,8 @@
 	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timeout.Stop()
 	for {
-		events, revision, forgotten, changed := s.since(q.Get("prefix"), after)
-		if after < forgotten {
+		events, revision, compacted, changed := s.eventsAfter(q.Get("prefix"), after)
+		if after < compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -172,7 +172,7 @@
 		}
 		select {
 		case <-changed:
-			if s.down() {
+			if s.isUnavailable() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
@@ -185,13 +185,13 @@
 	}
 }
 
-func (s *KVStore) down() bool {
+func (s *KVStore) isUnavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Down || s.faults.StaleOnly
 }
 
-func (s *KVStore) since(prefix string, after uint64) (events []storeItem, revision, forgotten uint64, changed chan struct{}) {
+func (s *KVStore) eventsAfter(prefix string, after uint64) (events []storeItem, revision, compacted uint64, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	events = []storeItem{}
@@ -200,11 +200,11 @@
 			events = append(events, e)
 		}
 	}
-	return events, s.revision, s.forgotten, s.changed
+	return events, s.revision, s.compactedRevision, s.changed
 }
 
 func (s *KVStore) transact(w http.ResponseWriter, r *http.Request) {
-	var t struct {
+	var txn struct {
 		Expected []struct {
 			Key      string `json:"key"`
 			Revision uint64 `json:"revision"`
@@ -212,7 +212,7 @@
 		Writes []storeItem `json:"writes"`
 		Remove []string    `json:"remove"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -220,7 +220,7 @@
 	defer s.mu.Unlock()
 	var current []storeItem
 	conflict := false
-	for _, e := range t.Expected {
+	for _, e := range txn.Expected {
 		i, ok := s.items[e.Key]
 		conflict = conflict || i.Revision != e.Revision
 		if ok {
@@ -232,36 +232,36 @@
 		respond(w, map[string]any{"items": current})
 		return
 	}
-	for _, i := range t.Writes {
+	for _, i := range txn.Writes {
 		if i.Lease != 0 && s.leases[i.Lease] == nil {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
 	}
-	for _, i := range t.Writes {
+	for _, i := range txn.Writes {
 		s.write(i)
 	}
-	for _, key := range t.Remove {
+	for _, key := range txn.Remove {
 		s.remove(key)
 	}
-	s.answerWrite(w, map[string]any{"revision": s.revision})
+	s.respondToWrite(w, map[string]any{"revision": s.revision})
 }
 
 // answerWrite answers a write that took effect, or loses the answer.
-func (s *KVStore) answerWrite(w http.ResponseWriter, answer any) {
+func (s *KVStore) respondToWrite(w http.ResponseWriter, response any) {
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
 		panic(http.ErrAbortHandler)
 	}
-	respond(w, answer)
+	respond(w, response)
 }
 
-func (s *KVStore) grant(w http.ResponseWriter, r *http.Request) {
-	var q struct {
+func (s *KVStore) grantLease(w http.ResponseWriter, r *http.Request) {
+	var req struct {
 		TTL string `json:"ttl_time"`
 	}
-	err := json.NewDecoder(r.Body).Decode(&q)
-	ttl, errTTL := time.ParseDuration(q.TTL)
+	err := json.NewDecoder(r.Body).Decode(&req)
+	ttl, errTTL := time.ParseDuration(req.TTL)
 	if err != nil || errTTL != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -270,10 +270,10 @@
 	defer s.mu.Unlock()
 	s.nextLease++
 	s.leases[s.nextLease] = &storeLease{ttl, s.Now().Add(ttl)}
-	s.answerWrite(w, map[string]any{"lease": s.nextLease, "ttl_time": q.TTL})
+	s.respondToWrite(w, map[string]any{"lease": s.nextLease, "ttl_time": req.TTL})
 }
 
-func (s *KVStore) leaseOf(r *http.Request) uint64 {
+func (s *KVStore) leaseID(r *http.Request) uint64 {
 	id, err := strconv.ParseUint(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], 10, 64)
 	if err != nil {
 		return 0
@@ -281,23 +281,23 @@
 	return id
 }
 
-func (s *KVStore) keep(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) renewLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lease := s.leases[s.leaseOf(r)]
+	lease := s.leases[s.leaseID(r)]
 	if lease == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	lease.ends = s.Now().Add(lease.ttl)
-	s.answerWrite(w, map[string]any{"ttl_time": lease.ttl.String()})
+	lease.expiresAt = s.Now().Add(lease.ttl)
+	s.respondToWrite(w, map[string]any{"ttl_time": lease.ttl.String()})
 }
 
-func (s *KVStore) end(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) revokeLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endLease(s.leaseOf(r))
-	s.answerWrite(w, struct{}{})
+	s.endLease(s.leaseID(r))
+	s.respondToWrite(w, struct{}{})
 }
 
 func respond(w http.ResponseWriter, body any) {
--- a/internal/standin/kvstore.go
+++ b/internal/standin/kvstore.go
@@ -49,25 +49,25 @@
 	// PageItems bounds one page of a listing. Default 500.
 	PageItems int
 	// Now tells the time by which leases lapse. Default time.Now.
-	Now   func() time.Time
-	fault func(path string) StoreFault
+	Now       func() time.Time
+	faultFunc func(path string) StoreFault
 
 	mu     sync.Mutex
 	faults Faults
 	// behind makes listings that may be stale show nothing.
-	behind bool
+	staleReadsEmpty bool
 	// shown is what listings that may be stale show, as of shownAt.
-	shown    map[string]storeItem
-	shownAt  time.Time
-	revision uint64
-	items    map[string]storeItem
+	staleItems   map[string]storeItem
+	staleItemsAt time.Time
+	revision     uint64
+	items        map[string]storeItem
 	// events holds the history after forgotten.
-	events    []storeItem
-	forgotten uint64
-	leases    map[uint64]*storeLease
-	nextLease uint64
-	changed   chan struct{}
-	calls     map[string]int
+	events            []storeItem
+	compactedRevision uint64
+	leases            map[uint64]*storeLease
+	nextLease         uint64
+	changed           chan struct{}
+	calls             map[string]int
 }
 
 type storeItem struct {
@@ -80,8 +80,8 @@
 }
 
 type storeLease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewKVStore returns an empty store.
@@ -96,21 +96,21 @@
 func (s *KVStore) SetFaultFunc(fault func(path string) StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = fault
+	s.faultFunc = fault
 }
 
 // SetFaults replaces what the store does wrong from now on.
 func (s *KVStore) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults, s.shown = f, nil
+	s.faults, s.staleItems = f, nil
 }
 
 // SetStaleReadsEmpty makes answers that may be stale as old as the empty store.
-func (s *KVStore) SetStaleReadsEmpty(behind bool) {
+func (s *KVStore) SetStaleReadsEmpty(empty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behind = behind
+	s.staleReadsEmpty = empty
 }
 
 // Put writes a key as an operator or an upstream does.
@@ -131,15 +131,15 @@
 func (s *KVStore) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.forgotten = nil, s.revision
-	s.wake()
+	s.events, s.compactedRevision = nil, s.revision
+	s.notifyWatchers()
 }
 
 // Keys returns the keys that begin with prefix.
 func (s *KVStore) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	var out []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -173,7 +173,7 @@
 	}
 	s.items[i.Key] = i
 	s.events = append(s.events, i)
-	s.wake()
+	s.notifyWatchers()
 	return s.revision
 }
 
@@ -184,19 +184,19 @@
 	delete(s.items, key)
 	s.revision++
 	s.events = append(s.events, storeItem{Key: key, Revision: s.revision, Deleted: true})
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *KVStore) wake() {
+func (s *KVStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // lapse ends leases whose time has come, with their keys.
-func (s *KVStore) lapse() {
+func (s *KVStore) expireLeases() {
 	now := s.Now()
 	for id, lease := range s.leases {
-		if now.Before(lease.ends) {
+		if now.Before(lease.expiresAt) {
 			continue
 		}
 		s.endLease(id)
--- a/internal/standin/callers.go
+++ b/internal/standin/load.go
@@ -61,17 +61,17 @@
 	Sent                               int
 	// PerSecond counts requests and wrongful refusals by the second they were
 	// sent in.
-	PerSecond   []SecondCounts
-	start       time.Time
-	perCustomer map[string]*served
-	latency     *hdrhistogram.Histogram
-	reference   map[string]*quota.Bucket
+	PerSecond        []SecondCounts
+	startedAt        time.Time
+	perCustomer      map[string]*customerCounts
+	latency          *hdrhistogram.Histogram
+	referenceBuckets map[string]*quota.Bucket
 }
 
 // SecondCounts is what was sent in one second of a load.
 type SecondCounts struct{ Sent, WrongfulRejections int }
 
-type served struct{ sent, ran int }
+type customerCounts struct{ sent, ran int }
 
 const maxLatencyMicros = 60_000_000
 
@@ -79,7 +79,7 @@
 func Run(ctx context.Context, l Load) (*Report, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	entries, err := lookUp(ctx, client, l.EntryAddress)
+	entries, err := fetchEntries(ctx, client, l.EntryAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	return report, nil
 }
 
-func lookUp(ctx context.Context, client *http.Client, address string) ([]lookup.Entry, error) {
+func fetchEntries(ctx context.Context, client *http.Client, address string) ([]lookup.Entry, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entries", nil)
 	if err != nil {
 		return nil, err
@@ -106,27 +106,27 @@
 		return nil, errors.Wrap(err, "look entry hosts up")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var answer lookup.Answer
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
+	var response lookup.Answer
+	if err := json.NewDecoder(resp.Body).Decode(&response); err != nil {
 		return nil, errors.Wrap(err, "entry hosts")
 	}
-	if len(answer.Entries) == 0 {
+	if len(response.Entries) == 0 {
 		return nil, errNoEntries
 	}
-	return answer.Entries, nil
+	return response.Entries, nil
 }
 
 var errNoEntries = errors.New("standin: no entry host is ready")
 
 func newReport(c *config.Config) *Report {
 	r := &Report{
-		start:    time.Now(),
-		Outcomes: map[string]int{}, perCustomer: map[string]*served{},
-		latency: hdrhistogram.New(1, maxLatencyMicros, 3), reference: map[string]*quota.Bucket{},
+		startedAt: time.Now(),
+		Outcomes:  map[string]int{}, perCustomer: map[string]*customerCounts{},
+		latency: hdrhistogram.New(1, maxLatencyMicros, 3), referenceBuckets: map[string]*quota.Bucket{},
 	}
 	for name, cu := range c.Customers {
-		r.perCustomer[name] = &served{}
-		r.reference[name] = quota.NewBucket(cu.Rate, cu.Burst, cu.Burst, time.Now())
+		r.perCustomer[name] = &customerCounts{}
+		r.referenceBuckets[name] = quota.NewBucket(cu.Rate, cu.Burst, cu.Burst, time.Now())
 	}
 	return r
 }
@@ -141,8 +141,8 @@
 }
 
 func (c *customerLoad) run(ctx context.Context, tasks *sync.WaitGroup) {
-	fraction, own := c.CustomerRateFractions[c.customer]
-	if !own {
+	fraction, overridden := c.CustomerRateFractions[c.customer]
+	if !overridden {
 		fraction = c.RateFraction
 	}
 	rate := c.Config.Customers[c.customer].Rate * fraction
@@ -150,48 +150,48 @@
 	next := time.Now()
 	for n := 0; next.Before(end) && ctx.Err() == nil; n++ {
 		time.Sleep(time.Until(next))
-		shot := c.shot(n)
-		tasks.Go(func() { c.fire(ctx, shot) })
+		planned := c.planRequest(n)
+		tasks.Go(func() { c.send(ctx, planned) })
 		next = next.Add(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
 	}
 }
 
-func (c *customerLoad) pick() lookup.Entry {
+func (c *customerLoad) chooseEntry() lookup.Entry {
 	if c.ChooseEntry != nil {
-		return c.ChooseEntry(c.customer, c.entries, time.Since(c.report.start), c.rng)
+		return c.ChooseEntry(c.customer, c.entries, time.Since(c.report.startedAt), c.rng)
 	}
 	return c.entries[c.rng.IntN(len(c.entries))]
 }
 
-type shot struct {
-	second  int
-	entry   lookup.Entry
-	service string
-	name    string
-	size    int
-	post    bool
+type plannedRequest struct {
+	sentSecond int
+	entry      lookup.Entry
+	service    string
+	name       string
+	size       int
+	post       bool
 }
 
-func (c *customerLoad) shot(n int) shot {
+func (c *customerLoad) planRequest(n int) plannedRequest {
 	services := slices.Sorted(maps.Keys(c.Config.Services))
 	service := services[c.rng.IntN(len(services))]
-	s := shot{
-		entry: c.pick(), service: service, second: int(time.Since(c.report.start) / time.Second),
+	p := plannedRequest{
+		entry: c.chooseEntry(), service: service, sentSecond: int(time.Since(c.report.startedAt) / time.Second),
 		name: fmt.Sprintf("%s-%d", c.customer, n), size: 512, post: c.PostServices[service],
 	}
 	if c.Config.Services[service].Class == config.ClassBulk {
-		s.size = c.BulkResponseBytes
+		p.size = c.BulkResponseBytes
 	}
-	return s
+	return p
 }
 
-func (c *customerLoad) fire(ctx context.Context, s shot) {
-	admitted, _ := c.report.referenceTake(c.customer)
-	req := c.request(ctx, s)
+func (c *customerLoad) send(ctx context.Context, p plannedRequest) {
+	admitted, _ := c.report.takeReferenceToken(c.customer)
+	req := c.request(ctx, p)
 	start := time.Now()
 	resp, err := c.client.Do(req)
 	if err != nil {
-		c.report.note(c.customer, "no-answer", s, time.Since(start), false)
+		c.report.recordResult(c.customer, "no-answer", p, time.Since(start), false)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -199,67 +199,67 @@
 	took := time.Since(start)
 	outcome := wire.Outcome(resp.Header.Get(wire.HeaderOutcome))
 	if outcome == wire.OutcomeRan {
-		c.report.note(c.customer, string(outcome), s, took, err != nil || !whole(resp, s, body))
+		c.report.recordResult(c.customer, string(outcome), p, took, err != nil || !isCompleteResponse(resp, p, body))
 		return
 	}
-	var p wire.Problem
-	wrong := json.Unmarshal(body, &p) != nil
-	c.report.note(c.customer, p.Type, s, took, wrong)
-	if p.Type == wire.TypeOverRate {
-		c.report.refused(s, admitted)
+	var problem wire.Problem
+	wrong := json.Unmarshal(body, &problem) != nil
+	c.report.recordResult(c.customer, problem.Type, p, took, wrong)
+	if problem.Type == wire.TypeOverRate {
+		c.report.recordRateRejection(p, admitted)
 	}
 }
 
-func (c *customerLoad) request(ctx context.Context, s shot) *http.Request {
+func (c *customerLoad) request(ctx context.Context, p plannedRequest) *http.Request {
 	method, body := http.MethodGet, io.Reader(http.NoBody)
-	if s.post {
+	if p.post {
 		method, body = http.MethodPost, bytes.NewReader([]byte(`{"weight":412}`))
 	}
-	url := fmt.Sprintf("http://%s/svc/%s/%s?%s=%d", s.entry.Address, s.service, s.name, QuerySize, s.size)
+	url := fmt.Sprintf("http://%s/svc/%s/%s?%s=%d", p.entry.Address, p.service, p.name, QuerySize, p.size)
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		panic(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.APIKey(c.customer))
-	if s.post {
-		req.Header.Set(HeaderPosting, s.name)
-		req.Header.Set(wire.HeaderIdempotencyKey, s.entry.PostingPrefix+"."+s.name)
+	if p.post {
+		req.Header.Set(HeaderPosting, p.name)
+		req.Header.Set(wire.HeaderIdempotencyKey, p.entry.PostingPrefix+"."+p.name)
 	}
 	return req
 }
 
 // whole tells whether body is the whole answer to the request.
-func whole(resp *http.Response, s shot, body []byte) bool {
+func isCompleteResponse(resp *http.Response, p plannedRequest, body []byte) bool {
 	if resp.StatusCode != http.StatusOK {
 		return true
 	}
 	sum := sha256.Sum256(body)
-	told := resp.Header.Get(HeaderBodySum)
-	return len(body) == s.size && (told == "" || told == hex.EncodeToString(sum[:])) &&
-		bytes.Equal(body, bodyOf("/"+s.name, s.size))
+	declaredSum := resp.Header.Get(HeaderBodySum)
+	return len(body) == p.size && (declaredSum == "" || declaredSum == hex.EncodeToString(sum[:])) &&
+		bytes.Equal(body, responseBody("/"+p.name, p.size))
 }
 
-func (r *Report) referenceTake(customer string) (bool, time.Duration) {
+func (r *Report) takeReferenceToken(customer string) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reference[customer].Take(1, time.Now())
+	return r.referenceBuckets[customer].Take(1, time.Now())
 }
 
-func (r *Report) refused(s shot, wrongful bool) {
+func (r *Report) recordRateRejection(p plannedRequest, wrongful bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.RateRejections++
 	if wrongful {
 		r.WrongfulRejections++
-		r.second(s).WrongfulRejections++
+		r.countsInSecond(p).WrongfulRejections++
 	}
 }
 
-func (r *Report) note(customer, outcome string, s shot, took time.Duration, wrong bool) {
+func (r *Report) recordResult(customer, outcome string, p plannedRequest, took time.Duration, wrong bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Sent++
-	r.second(s).Sent++
+	r.countsInSecond(p).Sent++
 	r.Outcomes[outcome]++
 	r.perCustomer[customer].sent++
 	if wrong {
@@ -271,11 +271,11 @@
 	}
 }
 
-func (r *Report) second(s shot) *SecondCounts {
-	for len(r.PerSecond) <= s.second {
+func (r *Report) countsInSecond(p plannedRequest) *SecondCounts {
+	for len(r.PerSecond) <= p.sentSecond {
 		r.PerSecond = append(r.PerSecond, SecondCounts{})
 	}
-	return &r.PerSecond[s.second]
+	return &r.PerSecond[p.sentSecond]
 }
 
 // Quantile of the latency of requests that ran; q in percent.
--- a/internal/standin/deployment.go
+++ b/internal/standin/platformconfig.go
@@ -32,7 +32,7 @@
 }
 
 // columns is a table as the platform spells it.
-type columns struct {
+type platformTable struct {
 	Columns []string `json:"columns"`
 	Rows    [][]any  `json:"rows"`
 }
@@ -41,16 +41,16 @@
 func (d PlatformConfig) Encode() []byte {
 	value, err := json.Marshal(map[string]any{
 		"version": fmt.Sprintf("r%d", d.Version),
-		"routes": columns{
+		"routes": platformTable{
 			[]string{"name", "host", "prefix", "kind", "timeout", "target-latency", "max-attempts", "session-affinity", "service"},
 			[][]any{
 				{"read", CallerHost, ReadPath, "safe", "2000ms", "300ms", 2, true, Service},
 				{"post", CallerHost, PostPath, "unsafe", "2000ms", "300ms", 2, true, Service},
 			},
 		},
-		"services": columns{[]string{"name", "health-check-path", "cold-start", "cold-per-s"}, [][]any{{Service, "/health", "1s", 50}}},
+		"services": platformTable{[]string{"name", "health-check-path", "cold-start", "cold-per-s"}, [][]any{{Service, "/health", "1s", 50}}},
 		"limits":   map[string]any{},
-		"tenants": columns{[]string{"name", "api-keys", "rate-per-s", "burst"}, [][]any{
+		"tenants": platformTable{[]string{"name", "api-keys", "rate-per-s", "burst"}, [][]any{
 			{UnlimitedCustomer, d.Keys, 0, 0}, {RateLimitedCustomer, []string{RateLimitedKey}, RateLimit, RateBurst},
 		}},
 	})
--- a/internal/standin/worker.go
+++ b/internal/standin/platformupstream.go
@@ -28,15 +28,15 @@
 	ID          string
 	ServiceTime time.Duration
 
-	mu      sync.Mutex
-	renamed string
-	answer  func(w http.ResponseWriter, r *http.Request)
-	running int
-	runs    []PlatformRun
+	mu         sync.Mutex
+	instanceID string
+	handler    func(w http.ResponseWriter, r *http.Request)
+	running    int
+	runs       []PlatformRun
 }
 
 // workerSlots is how many requests a Worker says that it runs at once.
-const workerSlots = 4
+const platformUpstreamSlots = 4
 
 // Runs returns what it has run.
 func (k *PlatformUpstream) Runs() []PlatformRun {
@@ -47,24 +47,24 @@
 
 // SetHandler replaces the usual answer; nil brings it back. It is asked after the
 // request was noted.
-func (k *PlatformUpstream) SetHandler(answer func(w http.ResponseWriter, r *http.Request)) {
+func (k *PlatformUpstream) SetHandler(handler func(w http.ResponseWriter, r *http.Request)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.answer = answer
+	k.handler = handler
 }
 
 // SetInstanceID makes another instance of it, at the same address.
 func (k *PlatformUpstream) SetInstanceID(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.renamed = id
+	k.instanceID = id
 }
 
-func (k *PlatformUpstream) name() string {
+func (k *PlatformUpstream) currentID() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.renamed != "" {
-		return k.renamed
+	if k.instanceID != "" {
+		return k.instanceID
 	}
 	return k.ID
 }
@@ -72,7 +72,7 @@
 // RegistryEntry is what the worker registers under its id.
 func (k *PlatformUpstream) RegistryEntry(service, address, zone, state string, sequence int) []byte {
 	entry, err := json.Marshal(map[string]any{
-		"service": service, "address": address, "zone": zone, "version": "v1", "slots": workerSlots,
+		"service": service, "address": address, "zone": zone, "version": "v1", "slots": platformUpstreamSlots,
 		"state": state, "cold-remaining": "0ms", "sequence": sequence, "born": 1_700_000_000_000,
 	})
 	if err != nil {
@@ -84,7 +84,7 @@
 // ServeHTTP implements http.Handler.
 func (k *PlatformUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != k.name() {
+	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != k.currentID() {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -98,15 +98,15 @@
 		ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI, Body: string(body), At: time.Now(),
 		Customer: r.Header.Get("X-Tenant-Id"), Key: r.Header.Get("Authorization"),
 	})
-	answer := k.answer
+	handler := k.handler
 	k.mu.Unlock()
 	defer func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.running--
 	}()
-	if answer != nil {
-		answer(w, r)
+	if handler != nil {
+		handler(w, r)
 		return
 	}
 	time.Sleep(k.ServiceTime)
@@ -114,7 +114,7 @@
 	running := k.running
 	k.mu.Unlock()
 	w.Header().Set("X-Response-Signature", "signed-by-"+k.ID)
-	w.Header().Set("X-Server-Load", fmt.Sprintf("%d,0,%d", running, workerSlots))
+	w.Header().Set("X-Server-Load", fmt.Sprintf("%d,0,%d", running, platformUpstreamSlots))
 	// A failed write means that the caller has left.
 	_, _ = fmt.Fprintf(w, "%s ran %s", k.ID, r.Header.Get("X-Request-Id"))
 }
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -42,14 +42,14 @@
 type Upstream struct {
 	options UpstreamOptions
 
-	mu       sync.Mutex
-	running  int
-	total    int
-	shed     int
-	keysSeen int
-	postings map[string]int
-	byTenant map[string]int
-	arrivals []Arrival
+	mu         sync.Mutex
+	running    int
+	total      int
+	shed       int
+	keysSeen   int
+	postings   map[string]int
+	byCustomer map[string]int
+	arrivals   []Arrival
 }
 
 // Arrival is one request that an upstream began to run.
@@ -68,7 +68,7 @@
 
 // NewUpstream returns a stand-in upstream.
 func NewUpstream(o UpstreamOptions) *Upstream {
-	return &Upstream{options: o, postings: map[string]int{}, byTenant: map[string]int{}}
+	return &Upstream{options: o, postings: map[string]int{}, byCustomer: map[string]int{}}
 }
 
 // UpstreamStats is what an upstream saw.
@@ -89,7 +89,7 @@
 		Total: u.total, Shed: u.shed, KeysSeen: u.keysSeen,
 		Customer: map[string]int{}, Postings: map[string]int{},
 	}
-	for k, n := range u.byTenant {
+	for k, n := range u.byCustomer {
 		s.Customer[k] = n
 	}
 	for k, n := range u.postings {
@@ -112,22 +112,22 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	wait, ok := u.begin(r)
+	serviceTime, ok := u.startRequest(r)
 	if !ok {
 		w.Header().Set(wire.HeaderShed, string(wire.OutcomeNotRun))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer u.end()
+	defer u.finishRequest()
 	select {
-	case <-time.After(wait):
+	case <-time.After(serviceTime):
 	case <-r.Context().Done():
 		return
 	}
-	writeBody(w, r)
+	writeResponseBody(w, r)
 }
 
-func (u *Upstream) begin(r *http.Request) (time.Duration, bool) {
+func (u *Upstream) startRequest(r *http.Request) (time.Duration, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if r.Header.Get("Authorization") != "" {
@@ -142,29 +142,29 @@
 	if u.options.RecordArrivals {
 		u.arrivals = append(u.arrivals, Arrival{Customer: r.Header.Get("Balsam-Customer"), At: time.Now()})
 	}
-	u.byTenant[r.Header.Get("Balsam-Customer")]++
+	u.byCustomer[r.Header.Get("Balsam-Customer")]++
 	if name := r.Header.Get(HeaderPosting); name != "" {
 		u.postings[name]++
 	}
-	wait := time.Duration((0.5 + rand.Float64()) * float64(u.options.ServiceTime))
+	serviceTime := time.Duration((0.5 + rand.Float64()) * float64(u.options.ServiceTime))
 	if u.total <= u.options.ColdRequests {
-		wait *= 4
+		serviceTime *= 4
 	}
-	return wait, true
+	return serviceTime, true
 }
 
-func (u *Upstream) end() {
+func (u *Upstream) finishRequest() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running--
 }
 
-func writeBody(w http.ResponseWriter, r *http.Request) {
+func writeResponseBody(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.Atoi(r.URL.Query().Get(QuerySize))
 	if err != nil || size <= 0 {
 		size = 512
 	}
-	body := bodyOf(r.URL.Path, size)
+	body := responseBody(r.URL.Path, size)
 	sum := sha256.Sum256(body)
 	w.Header().Set(HeaderBodySum, hex.EncodeToString(sum[:]))
 	w.Header().Set("Content-Length", strconv.Itoa(size))
@@ -173,13 +173,13 @@
 
 // bodyOf makes size bytes that follow from path, so that an answer to another
 // request is recognised.
-func bodyOf(path string, size int) []byte {
+func responseBody(path string, size int) []byte {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(path))
-	source := rand.New(rand.NewPCG(h.Sum64(), 0))
+	rng := rand.New(rand.NewPCG(h.Sum64(), 0))
 	body := make([]byte, size)
 	for i := range body {
-		body[i] = byte('a' + source.IntN(26))
+		body[i] = byte('a' + rng.IntN(26))
 	}
 	return body
 }
