--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -9,20 +9,21 @@
 	"balsambarrow/internal/standin"
 )
 
-// ran is one run of a request at an upstream.
+// upstreamRun is one run of a request at an upstream.
 type upstreamRun struct {
 	standin.PlatformRun
 	upstream *upstream
 }
 
-// report is where checks tell what they found; a *testing.T is one.
+// reporter receives the errors of the checks; *testing.T implements it.
 type reporter interface {
 	Errorf(format string, args ...any)
 	Logf(format string, args ...any)
 	Failed() bool
 }
 
-// check holds what callers were told against what the upstreams have run.
+// check compares the responses that callers received with the requests that the
+// upstreams ran.
 func (s *cluster) check(requests []callerRequest) {
 	runs := map[string][]upstreamRun{}
 	var limitedRuns []time.Time
@@ -47,9 +48,9 @@
 		}
 		s.checkRequest(r, runs[r.id])
 	}
-	s.reporter.Logf("%d requests; with the steady key %d, answered %d", len(requests), steady, succeeded)
+	s.reporter.Logf("%d requests; %d with the steady key, of which %d succeeded", len(requests), steady, succeeded)
 	if succeeded < steady/10 {
-		s.reporter.Errorf("only %d of %d requests with the steady key were answered", succeeded, steady)
+		s.reporter.Errorf("only %d of %d requests with the steady key succeeded", succeeded, steady)
 	}
 	s.checkRate(limitedRuns)
 	if s.reporter.Failed() {
@@ -59,8 +60,8 @@
 				perSecond[r.startedAt.Format("05")+" "+r.host.name]++
 			}
 		}
-		s.reporter.Logf("answers to the hot customer by second and host: %v", perSecond)
-		s.reporter.Logf("injected:\n%s", strings.Join(s.faultLog, "\n"))
+		s.reporter.Logf("responses to the hot customer by second and host: %v", perSecond)
+		s.reporter.Logf("injected faults:\n%s", strings.Join(s.faultLog, "\n"))
 	}
 }
 
@@ -79,13 +80,13 @@
 	}
 	switch {
 	case r.err == nil && (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && len(runs) > 0:
-		s.reporter.Errorf("%s: refused with %d (%s) at %s and ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
+		s.reporter.Errorf("%s: refused with %d (%s) at %s, but it ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
 	case r.err == nil && r.status == http.StatusOK && !strings.HasSuffix(r.body, " ran "+r.id):
-		s.reporter.Errorf("%s: got %q", r.id, r.body)
+		s.reporter.Errorf("%s: got an unexpected response: %q", r.id, r.body)
 	case r.err == nil && r.status == http.StatusUnauthorized && (r.key == "steady" || r.key == standin.RateLimitedKey):
 		s.reporter.Errorf("%s: key %s denied", r.id, r.key)
 	case r.err != nil && len(runs) > 0 && s.undisturbed(r, runs):
-		s.reporter.Errorf("%s: cut off at %s after it had run, by a planned stop or by nothing: %v", r.id, r.host.name, r.err)
+		s.reporter.Errorf("%s: cut off at %s after it had run, without an unplanned fault: %v", r.id, r.host.name, r.err)
 	}
 	for _, x := range runs {
 		if e := s.violatedEvacuation(x); e != nil && s.undisturbed(r, runs) {
@@ -97,8 +98,9 @@
 	}
 }
 
-// emptiedAt is the evacuation during which a request ran although its zone should
-// have got nothing any more; nil: there is none.
+// violatedEvacuation returns the evacuation that a run violated: the run was in the
+// evacuated zone, and later than evacuationDelay after the start. It returns nil if there
+// is none.
 func (s *cluster) violatedEvacuation(x upstreamRun) *evacuation {
 	for i, e := range s.endedEvacuations {
 		if e.zone == x.upstream.zone && x.At.After(e.start.Add(evacuationDelay)) && x.At.Before(e.end) {
@@ -108,8 +110,9 @@
 	return nil
 }
 
-// calm tells whether nothing but planned work has happened to the host and the
-// upstreams of a request.
+// undisturbed reports whether a request was exposed to planned operations only: its host
+// and the upstreams that ran it had no fault, and it took less than 1.9 s, so that the
+// route's timeout of 2 s did not end it.
 func (s *cluster) undisturbed(r callerRequest, runs []upstreamRun) bool {
 	duringRequest := func(at time.Time) bool {
 		return !at.IsZero() && at.After(r.startedAt.Add(-faultSettleTime)) && at.Before(r.endedAt.Add(time.Second))
@@ -125,7 +128,8 @@
 	return r.host.faultedAt.IsZero()
 }
 
-// checkRate bounds what a customer gets in any five seconds, over all hosts.
+// checkRate checks the number of requests that ran for the rate-limited customer, over
+// all hosts, in each window of five seconds.
 func (s *cluster) checkRate(times []time.Time) {
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
 	const window = 5 * time.Second
@@ -139,7 +143,7 @@
 			maxRuns, windowEnd = n, times[i]
 		}
 	}
-	s.reporter.Logf("most of the hot customer in the %v up to %s: %d, allowed %.0f", window, windowEnd.Format("05.000"), maxRuns, allowed)
+	s.reporter.Logf("peak of the hot customer in the %v up to %s: %d, allowed %.0f", window, windowEnd.Format("05.000"), maxRuns, allowed)
 	if float64(maxRuns) > allowed {
 		s.reporter.Errorf("the hot customer got %d in %v, allowed %.0f", maxRuns, window, allowed)
 	}
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// revoke is how long a withdrawn key may work.
+	// revocationDelay is the longest time that a withdrawn key may still be accepted.
 	revocationDelay = 4 * time.Second
-	// evacuate is how long after its evacuation a zone may still get requests.
+	// evacuationDelay is the longest time that a zone may still get requests after its
+	// evacuation was declared.
 	evacuationDelay = 5 * time.Second
-	// freshKeys rotate: one is withdrawn while the next is in use.
+	// rotatedKeys is the number of API keys that faults withdraw one by one.
 	rotatedKeys = 3
 )
 
-// process is one daemon.
+// daemonProcess is one entry host, whose process is restarted on the same address.
 type daemonProcess struct {
 	name          string
 	zone          string
@@ -35,15 +36,16 @@
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// done is closed when the present process has ended.
+	// exited is closed when the current process has ended.
 	exited chan struct{}
-	// faults and stops are when it was last killed, paused or cut off, and when
-	// it was asked to stop.
+	// faultedAt is when the process was last killed or suspended, stoppedAt when it last
+	// received SIGTERM.
 	faultedAt time.Time
 	stoppedAt time.Time
 }
 
-// back end of a service, with its address.
+// upstream is a stand-in upstream with its server. faultedUntil is the end of its last
+// disruption.
 type upstream struct {
 	worker       *standin.PlatformUpstream
 	server       *httptest.Server
@@ -52,7 +54,7 @@
 	faultedUntil time.Time
 }
 
-// evacuation is a time in which a zone was to get nothing.
+// evacuation is a period during which a zone was declared evacuated.
 type evacuation struct {
 	zone       string
 	start, end time.Time
@@ -70,33 +72,34 @@
 	processes []*daemonProcess
 	upstreams []*upstream
 	version   int
-	// withdrawn is when each key was withdrawn; granted ones are not in it.
+	// withdrawn maps each withdrawn API key to the time of its withdrawal.
 	withdrawn         map[string]time.Time
 	activeEvacuations map[string]time.Time
-	// emptied are the evacuations that have ended.
+	// endedEvacuations are the evacuations that were declared and lifted again.
 	endedEvacuations []evacuation
-	// history is what was injected, told when a check fails.
+	// faultLog lists the injected faults. It is logged when a check fails.
 	faultLog []string
 }
 
-// note adds a line to the history.
+// logFault adds a line to faultLog.
 func (s *cluster) logFault(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultLog = append(s.faultLog, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// hostKind is where a host stands and how fast its link is; 0: it does not say.
+// hostConfig is the zone and the declared link speed of a host; linkMbps 0 declares none.
 type hostConfig struct {
 	zone     string
 	linkMbps int
 }
 
-// mixedFrom is the seed from which the fleet is mixedFleet.
+// mixedFleetSeed is the lowest seed that uses mixedFleet.
 const mixedFleetSeed = 1000
 
-// equalFleet has three hosts that all take callers; in mixedFleet the last one
-// stands by, and most hosts of a region go by what its watcher tells them.
+// equalFleet has three active hosts. In mixedFleet the last host, which has a slow link,
+// is a standby, and most hosts of region a learn of changes in the store from the host that
+// watches the store for the region.
 var (
 	equalFleet = []hostConfig{{"a1", 0}, {"a2", 0}, {"b1", 0}}
 	mixedFleet = []hostConfig{{"a1", 200}, {"a2", 200}, {"b1", 200}, {"a1", 200}, {"a2", 10}}
@@ -125,7 +128,8 @@
 	return s
 }
 
-// declare writes the configuration with the keys that are granted.
+// writeConfig writes the next version of the configuration, with all API keys that are
+// not withdrawn, to the store.
 func (s *cluster) writeConfig() {
 	s.version++
 	keys := []string{"steady"}
@@ -166,11 +170,10 @@
 	s.startProcess(h)
 }
 
-// freeAddress is one that the system has just given out: a daemon keeps its
-// address over restarts, so the system cannot pick it at the start. It is on a
-// loopback IP of the host's own. On 127.0.0.1 another daemon's listener was given
-// the same port before this daemon had started; it then answered with 404 in its
-// place, for good.
+// freeAddress returns an address whose port the system has just assigned and released.
+// A daemon keeps its address over restarts, so it cannot listen on port 0. Each host has a
+// loopback IP of its own: on 127.0.0.1, another daemon's listener was assigned the same
+// port before this daemon had started, and answered its requests with 404 from then on.
 func freeAddress(t *testing.T, host int) string {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.0.1.%d:0", host+1))
 	if err != nil {
@@ -180,8 +183,7 @@
 	return l.Addr().String()
 }
 
-// start starts the daemon, and again whenever it ends, until done is set to nil
-// by closing.
+// startProcess starts the daemon once. Its exited channel is closed when the process ends.
 func (s *cluster) startProcess(h *daemonProcess) {
 	out, err := os.OpenFile(filepath.Join(s.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -203,7 +205,7 @@
 	}()
 }
 
-// signal sends a signal to the present process, which the soak has started.
+// signal sends a signal to the current process, unless that has already ended.
 func (h *daemonProcess) signal(sig syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// await waits until the present process has ended.
+// awaitExit waits until the current process has ended.
 func (h *daemonProcess) awaitExit() {
 	h.mu.Lock()
 	done := h.exited
@@ -243,8 +245,10 @@
 	s.server.Close()
 }
 
-// cut ends every connection of an upstream, and its answers with them.
+// closeConnections closes every connection of an upstream, which also aborts its
+// responses.
 func (u *upstream) closeConnections() { u.server.CloseClientConnections() }
 
-// failing makes an upstream cut each answer after it has run the request.
+// abortResponse is a handler that closes the connection without a response, after the
+// upstream has recorded the request as run.
 func abortResponse(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,5 @@
-// Package soak holds a randomized soak: real daemons as processes of their own,
-// on stand-ins of the platform, with faults injected from outside. Its tests check
-// what callers and upstreams see against what is promised. docs/DEVELOPMENT.md
-// says how to run more of it.
+// Package soak contains a randomized soak test. It runs entry hosts as separate
+// processes against stand-ins of the platform and injects faults from outside. Its
+// checks compare what callers and upstreams observe with the guarantees of the system.
+// docs/DEVELOPMENT.md describes how to run it for longer.
 package soak
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// mode is what a proxy does to what passes.
+// proxyMode selects how a proxy treats the traffic through it.
 type proxyMode int
 
 const (
+	// modePass forwards everything without delay.
 	modePass proxyMode = iota
-	// delay holds every piece back for a while.
+	// modeDelay delays each chunk by 150 ms.
 	modeDelay
-	// silent takes connections and bytes and passes nothing on.
+	// modeBlackhole accepts connections and data and forwards nothing.
 	modeBlackhole
-	// oneWay passes requests on and no answers.
+	// modeDropResponses forwards requests and drops responses.
 	modeDropResponses
-	// reset closes connections, old and new.
+	// modeReset closes all open connections and each new one.
 	modeReset
 	modeCount
 )
 
-// proxy stands between a daemon and the store, on loopback.
+// proxy is a TCP proxy on loopback between a daemon and the store.
 type proxy struct {
 	target   string
 	listener net.Listener
@@ -112,8 +113,8 @@
 	}
 }
 
-// forward passes one piece on as the mode says; false ends the connection. A
-// piece that was held back in silence is lost: its connection never recovers.
+// forward writes one chunk as the mode requires, and returns false if the connection is
+// to be closed. A dropped chunk is lost, so its connection is closed once the mode changes.
 func (p *proxy) forward(to io.Writer, data []byte, isRequest bool) bool {
 	switch m := p.currentMode(); {
 	case m == modeDelay:
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,19 +21,19 @@
 var (
 	seedCount      = flag.Int("soak.seeds", 1, "number of seeds to run")
 	firstSeed      = flag.Uint64("soak.first", 1, "first seed")
-	callerDuration = flag.Duration("soak.span", 8*time.Second, "how long callers ask, per seed")
+	callerDuration = flag.Duration("soak.span", 8*time.Second, "how long callers send requests, per seed")
 )
 
-// regressions are seeds that failed once, each with its cause.
+// regressionSeeds are seeds that failed before, each with the cause.
 var regressionSeeds = []uint64{
-	2, // hosts that started together did not know each other, and each gave out the whole rate
+	2, // hosts that started at the same time did not know of each other, and each admitted the full rate
 }
 
-// settle is how long before a request nothing may have happened to a host or an
-// upstream for the request to be held against it.
+// faultSettleTime is the time after a fault of a host or an upstream during which its
+// requests are not checked for interruptions.
 const faultSettleTime = 4 * time.Second
 
-// sent is one request of a caller, and what it was told.
+// callerRequest is one request of a caller, with the response that the caller received.
 type callerRequest struct {
 	id        string
 	key       string
@@ -46,10 +46,10 @@
 	err       error
 }
 
-// TestSoak: callers ask, hosts are stopped, killed, paused and cut off from the
-// store, upstreams break off their answers, operators withdraw keys and empty
-// zones, in series and at once. What callers and upstreams see must be as
-// promised throughout.
+// TestSoak sends requests while hosts are stopped, killed, suspended and partitioned from
+// the store, upstreams abort their responses, and operators withdraw API keys and evacuate
+// zones. Faults are injected one after another and may overlap. What callers and upstreams
+// observe must keep to the guarantees throughout.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "balsambarrowd")
 	if out, err := exec.Command("go", "build", "-o", binary, "balsambarrow/cmd/balsambarrowd").CombinedOutput(); err != nil {
@@ -65,7 +65,7 @@
 }
 
 func runSoak(t *testing.T, binary string, seed uint64) {
-	t.Logf("seed %d, callers for %v", seed, *callerDuration)
+	t.Logf("seed %d, callers run for %v", seed, *callerDuration)
 	s := newCluster(t, binary, fleetForSeed(seed))
 	defer s.close()
 	s.awaitServing()
@@ -94,7 +94,7 @@
 	callers.Wait()
 	close(stop)
 	tasks.Wait()
-	// What was given up by a host may still run at an upstream.
+	// A request that its host has abandoned may still be running at an upstream.
 	time.Sleep(300 * time.Millisecond)
 	s.check(requests)
 }
@@ -108,7 +108,7 @@
 				break
 			}
 			if time.Now().After(end) {
-				s.t.Fatalf("%s does not serve: %d %v", h.name, r.status, r.err)
+				s.t.Fatalf("%s did not start to serve: status %d, error %v", h.name, r.status, r.err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -130,8 +130,8 @@
 	}
 }
 
-// caller sends requests one after the other, on kept connections that it uses
-// until they are closed.
+// runCaller sends requests one after another over keep-alive connections, and returns
+// them with their responses.
 func (s *cluster) runCaller(rng *rand.Rand, number int, d time.Duration) []callerRequest {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
@@ -178,11 +178,11 @@
 	return r
 }
 
-// faults injects one after the other until stop, some of which last on while the
-// next ones begin.
-// kinds names what inject does, for the log.
-var faultNames = []string{"SIGTERM", "SIGKILL", "SIGSTOP", "store link", "SIGHUP", "key withdrawn", "evacuation", "upstream cuts answers"}
+// faultNames are the kinds of faults that injectFault knows, by number, as logged.
+var faultNames = []string{"SIGTERM", "SIGKILL", "SIGSTOP", "store link", "SIGHUP", "key withdrawn", "evacuation", "upstream aborts responses"}
 
+// injectFaults starts one random fault after another until stop is closed. Some are still
+// active when the next ones start.
 func (s *cluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
 	var activeFaults sync.WaitGroup
 	defer activeFaults.Wait()
@@ -204,7 +204,7 @@
 }
 
 func (s *cluster) injectFault(kind int, h *daemonProcess, u *upstream, key string, m proxyMode, length time.Duration) {
-	s.logFault("%s of %s or %s, mode %d, for %v", faultNames[kind], h.name, u.worker.ID, m, length)
+	s.logFault("%s: host %s, upstream %s, proxy mode %d, for %v", faultNames[kind], h.name, u.worker.ID, m, length)
 	switch kind {
 	case 0:
 		s.stopAndRestart(h)
@@ -234,7 +234,7 @@
 	}
 }
 
-// stop is a planned stop, and a new start.
+// stopAndRestart stops a host as planned, with SIGTERM, and starts it again.
 func (s *cluster) stopAndRestart(h *daemonProcess) {
 	h.mu.Lock()
 	h.stoppedAt = time.Now()
@@ -243,8 +243,8 @@
 	s.restart(h)
 }
 
-// restart waits for the end of the present process and starts the next one. Of
-// several that wait only one does.
+// restart waits for the end of the current process and starts the next one. If several
+// goroutines wait for the same process, only one of them starts the next one.
 func (s *cluster) restart(h *daemonProcess) {
 	h.mu.Lock()
 	ending := h.exited
@@ -270,7 +270,8 @@
 	s.writeConfig()
 	s.withdrawn[key] = time.Now()
 	s.mu.Unlock()
-	// A key that is withdrawn stays so: what runs with it later is a fault.
+	// A withdrawn key is never granted again: a request that runs with it later than
+	// revocationDelay is a violation.
 	_ = length
 }
 
@@ -291,7 +292,8 @@
 	s.mu.Unlock()
 }
 
-// disturb makes an upstream cut its answers, or all of its connections once.
+// disruptUpstream makes an upstream abort its responses for half of length, and then
+// closes all of its connections once.
 func (s *cluster) disruptUpstream(u *upstream, length time.Duration) {
 	s.mu.Lock()
 	u.faultedUntil = time.Now().Add(length)
--- a/internal/soak/violations_test.go
+++ b/internal/soak/violations_test.go
@@ -14,7 +14,7 @@
 	"balsambarrow/internal/standin"
 )
 
-// recorder keeps what checks find.
+// recordingReporter records the errors that the checks report.
 type recordingReporter struct{ errors []string }
 
 func (r *recordingReporter) Errorf(format string, args ...any) {
@@ -23,7 +23,7 @@
 func (r *recordingReporter) Logf(string, ...any) {}
 func (r *recordingReporter) Failed() bool        { return len(r.errors) > 0 }
 
-// run has an upstream run a request, as a host would send it.
+// runAtUpstream sends a request to an upstream with the headers that an entry host sets.
 func runAtUpstream(u *upstream, method, id, customer, key string) {
 	r := httptest.NewRequest(method, standin.ReadPath, nil)
 	r.Header.Set("X-Request-Id", id)
@@ -34,9 +34,9 @@
 	u.worker.ServeHTTP(httptest.NewRecorder(), r)
 }
 
-// A check that cannot fail finds nothing. Each is shown what a broken fleet would
-// have made callers and upstreams see, one promise broken at a time, and has to find
-// that and nothing else; and it is shown an hour in which all is well.
+// Guards against checks that cannot fail. Each case simulates what callers and
+// upstreams would observe if the fleet violated one guarantee; the checks must report
+// that violation and nothing else. Cases without a violation must report nothing.
 func TestChecksDetectViolations(t *testing.T) {
 	now := time.Now()
 	withResponse := func(r callerRequest) callerRequest {
@@ -45,12 +45,12 @@
 	}
 	cases := []struct {
 		name string
-		// play makes requests, and has the upstream run what reached it.
+		// simulate runs requests at the upstream and returns what callers observed.
 		simulate func(s *cluster, u *upstream, r callerRequest) []callerRequest
-		// finds is part of what the check has to say; "": nothing.
+		// wantError is a substring of the expected error; empty if none is expected.
 		wantError string
 	}{
-		{"all is well", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"no violation", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, ""},
@@ -60,27 +60,27 @@
 			runAtUpstream(u, "POST", r.id, standin.UnlimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, "a posting ran 2 times"},
-		{"a read may", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a read may run twice", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, ""},
-		{"refused and run", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a rejected request ran", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r.status = http.StatusServiceUnavailable
 			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
 		}, "refused with 503"},
-		{"another request's answer", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"response to another request", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r = withResponse(r)
 			r.body = "i-0 ran c9"
 			return []callerRequest{r}
 		}, "got"},
-		{"the key reaches an upstream", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"the API key reaches an upstream", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "steady")
 			return []callerRequest{withResponse(r)}
 		}, "saw the key"},
-		{"runs for another customer", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a request runs for another customer", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.RateLimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, `ran for "hot"`},
@@ -94,12 +94,12 @@
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, "after key fresh-0 was withdrawn"},
-		{"a planned stop cuts a request off", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a planned stop interrupts a request", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r.host.stoppedAt, r.err = now, errors.New("closed")
 			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
 		}, "cut off"},
-		{"a kill may", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a killed host may interrupt a request", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			r.host.faultedAt, r.err = now, errors.New("closed")
 			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
@@ -110,20 +110,20 @@
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, "after its evacuation"},
-		{"another zone does", func(s *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a zone that is not evacuated gets requests", func(s *cluster, u *upstream, r callerRequest) []callerRequest {
 			u.zone = "a2"
 			s.endedEvacuations = []evacuation{{"a1", now.Add(-evacuationDelay - time.Second), now.Add(time.Second)}}
 			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
 			return []callerRequest{withResponse(r)}
 		}, ""},
-		{"nobody is served", func(_ *cluster, _ *upstream, r callerRequest) []callerRequest {
+		{"no request succeeds", func(_ *cluster, _ *upstream, r callerRequest) []callerRequest {
 			var out []callerRequest
 			for i := range 20 {
 				out = append(out, callerRequest{id: fmt.Sprint("n", i), key: "steady", host: r.host, status: http.StatusServiceUnavailable})
 			}
 			return out
 		}, "only 0 of 20"},
-		{"a customer gets more than its rate", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+		{"a customer exceeds its rate", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
 			for i := range 300 {
 				runAtUpstream(u, "GET", fmt.Sprint("h", i), standin.RateLimitedCustomer, "")
 			}
