--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the outside systems: the platform
-// (store, leases, watches, host list), an upstream, and callers. balsamlab
-// serves them as processes; tests use them in place. They cause the faults
-// that the real systems are known for: lost answers, outages, slowness, lapsed
-// leases, stale lists, cold starts and load reports that lie.
+// Package standin provides test doubles of the outside systems: the platform (store,
+// leases, watches, host list), upstreams and callers. balsamlab serves them as processes,
+// and tests use them in-process. They can produce the faults of the real systems: lost
+// responses, outages, slowness, expired leases, stale lists, cold starts and inaccurate
+// load reports.
 package standin
--- a/internal/standin/kvhandler.go
+++ b/internal/standin/kvhandler.go
@@ -31,15 +31,15 @@
 	case StoreReset:
 		panic(http.ErrAbortHandler)
 	case StoreUnresponsive:
-		// The server notices that the caller has left only once it has read
-		// the body.
+		// The HTTP server detects that the client has disconnected only after the
+		// body was read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return
 	case StoreHealthy, StoreResponseLost:
 	}
-	// The body is read first: a slow store has received the call, and does it even
-	// if the caller has given up meanwhile.
+	// The body is read before the delay: a slow store has received the call, and executes
+	// it even if the client has disconnected meanwhile.
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 2*kv.MaxValueBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
@@ -54,7 +54,7 @@
 	s.handle(w, r, path)
 }
 
-// meet counts a call and tells how it goes wrong.
+// nextFault counts a call and returns the fault and the delay that apply to it.
 func (s *KVStore) nextFault(r *http.Request, path string) (StoreFault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 
 func allowsStale(r *http.Request) bool { return r.URL.Query().Get("allow-stale") == "1" }
 
-// discard is a ResponseWriter whose answer nobody gets.
+// discardWriter is a ResponseWriter that drops the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header         { return d.header }
@@ -116,7 +116,7 @@
 	respond(w, i)
 }
 
-// readable is what a listing shows. Callers hold mu.
+// visibleItems returns the items that a listing contains. The caller must hold s.mu.
 func (s *KVStore) visibleItems(stale bool) map[string]storeItem {
 	switch {
 	case !stale:
@@ -247,7 +247,8 @@
 	s.respondToWrite(w, map[string]any{"revision": s.revision})
 }
 
-// answerWrite answers a write that took effect, or loses the answer.
+// respondToWrite responds to a write that took effect, or closes the connection if the
+// response is to be lost.
 func (s *KVStore) respondToWrite(w http.ResponseWriter, response any) {
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
@@ -302,6 +303,6 @@
 
 func respond(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A failed write means that the caller has left.
+	// A write fails only if the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/standin/kvstore.go
+++ b/internal/standin/kvstore.go
@@ -8,60 +8,62 @@
 	"time"
 )
 
-// StoreFault is how a call to a KVStore goes wrong.
+// StoreFault is the fault of one call to a KVStore.
 type StoreFault int
 
 // Faults of a call to the store.
 const (
-	// StoreHealthy: the call is answered.
+	// StoreHealthy executes the call and responds.
 	StoreHealthy StoreFault = iota
-	// StoreUnavailable: 503, nothing done.
+	// StoreUnavailable responds with 503 without executing the call.
 	StoreUnavailable
-	// StoreTooManyRequests: 429, nothing done.
+	// StoreTooManyRequests responds with 429 without executing the call.
 	StoreTooManyRequests
-	// StoreReset: the connection is closed, nothing done.
+	// StoreReset closes the connection without executing the call.
 	StoreReset
-	// StoreUnresponsive: nothing is done or answered until the caller leaves.
+	// StoreUnresponsive neither executes the call nor responds; it waits until the client
+	// disconnects.
 	StoreUnresponsive
-	// StoreResponseLost: the call is done and not answered.
+	// StoreResponseLost executes the call and closes the connection without a response.
 	StoreResponseLost
 )
 
-// Faults is what a KVStore does wrong, whatever is called. The zero value is a
-// healthy store.
+// Faults are the faults of a KVStore that apply to all calls. The zero value is a healthy
+// store.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down rejects every call with 503.
 	Down bool
-	// StaleOnly refuses every call but listings that may be stale.
+	// StaleOnly rejects every call with 503, except reads that allow stale results.
 	StaleOnly bool
-	// Delay holds every call back.
+	// Delay is added to every call.
 	Delay time.Duration
-	// LoseResponses drops the connection after this many further writes took effect,
-	// instead of answering them.
+	// LoseResponses is the number of further writes that take effect and whose connection
+	// is closed without a response.
 	LoseResponses int
-	// StaleAge is the age of the listings that may be stale.
+	// StaleAge is the maximum age of listings that allow stale results.
 	StaleAge time.Duration
 }
 
 // KVStore stands in for the key-value store of the users' platform, over HTTP.
 // It is safe for concurrent use.
 type KVStore struct {
-	// PageItems bounds one page of a listing. Default 500.
+	// PageItems is the maximum number of items in one page of a listing. Default 500.
 	PageItems int
-	// Now tells the time by which leases lapse. Default time.Now.
+	// Now is the clock for the expiry of leases and the age of stale listings. Default
+	// time.Now.
 	Now       func() time.Time
 	faultFunc func(path string) StoreFault
 
 	mu     sync.Mutex
 	faults Faults
-	// behind makes listings that may be stale show nothing.
+	// staleReadsEmpty makes listings that allow stale results empty.
 	staleReadsEmpty bool
-	// shown is what listings that may be stale show, as of shownAt.
+	// staleItems is the content of listings that allow stale results, as of staleItemsAt.
 	staleItems   map[string]storeItem
 	staleItemsAt time.Time
 	revision     uint64
 	items        map[string]storeItem
-	// events holds the history after forgotten.
+	// events is the history of changes after compactedRevision.
 	events            []storeItem
 	compactedRevision uint64
 	leases            map[uint64]*storeLease
@@ -92,28 +94,30 @@
 	}
 }
 
-// SetFaultFunc changes how calls go wrong; nil: none does.
+// SetFaultFunc sets the function that selects the fault of each call by its path; nil
+// selects none.
 func (s *KVStore) SetFaultFunc(fault func(path string) StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultFunc = fault
 }
 
-// SetFaults replaces what the store does wrong from now on.
+// SetFaults replaces the faults that apply to all calls.
 func (s *KVStore) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults, s.staleItems = f, nil
 }
 
-// SetStaleReadsEmpty makes answers that may be stale as old as the empty store.
+// SetStaleReadsEmpty makes listings that allow stale results empty, as if they were as old
+// as the store.
 func (s *KVStore) SetStaleReadsEmpty(empty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleReadsEmpty = empty
 }
 
-// Put writes a key as an operator or an upstream does.
+// Put writes a key without a lease, as an operator or an upstream does.
 func (s *KVStore) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +131,8 @@
 	s.remove(key)
 }
 
-// CompactHistory drops the history up to now.
+// CompactHistory discards the history of changes, so that watches from an earlier revision
+// fail with 410.
 func (s *KVStore) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,15 +155,15 @@
 	return out
 }
 
-// Revision of the last change of a key; 0: there is none.
+// Revision returns the revision of the last change of a key; 0 if the key does not exist.
 func (s *KVStore) Revision(key string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Revision
 }
 
-// Calls is the number of calls by path, without ids; " stale" follows it where the
-// answer may be stale.
+// Calls returns the number of calls by path, without IDs. Calls that allow stale results are
+// counted under the path followed by " stale".
 func (s *KVStore) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +197,7 @@
 	s.changed = make(chan struct{})
 }
 
-// lapse ends leases whose time has come, with their keys.
+// expireLeases removes expired leases, with their keys.
 func (s *KVStore) expireLeases() {
 	now := s.Now()
 	for id, lease := range s.leases {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -24,43 +24,43 @@
 	"balsambarrow/internal/wire"
 )
 
-// Load describes an open-loop load: requests start at their times whether or
-// not earlier ones have been answered.
+// Load describes an open-loop load: requests are sent at their scheduled times, whether or
+// not earlier ones have completed.
 type Load struct {
-	// EntryAddress is the callers' address of any daemon.
+	// EntryAddress is the address for callers of any daemon.
 	EntryAddress string
-	// Config tells customers, rates and services.
+	// Config is the configuration with the customers, their rates and the services.
 	Config *config.Config
-	// APIKey gives a customer's key.
+	// APIKey returns a customer's API key.
 	APIKey func(customer string) string
-	// RateFraction of each customer's rate that is sent.
+	// RateFraction is the fraction of each customer's rate that is sent.
 	RateFraction float64
-	// CustomerRateFractions names it for single customers.
+	// CustomerRateFractions overrides RateFraction for single customers.
 	CustomerRateFractions map[string]float64
-	// ChooseEntry chooses the entry host of each request, at a time since the start.
-	// Default: any of the entry hosts that the lookup gave, at random.
+	// ChooseEntry returns the entry host of each request; since is the time since the start
+	// of the load. By default one of entries is chosen at random.
 	ChooseEntry func(customer string, entries []lookup.Entry, since time.Duration, rng *rand.Rand) lookup.Entry
 	// PostServices are the services that are called with POST.
 	PostServices map[string]bool
-	// BulkResponseBytes is the answer size asked of bulk services.
+	// BulkResponseBytes is the response size that is requested from bulk services.
 	BulkResponseBytes int
 	Duration          time.Duration
 	Seed              uint64
 }
 
-// Report is what the callers received.
+// Report summarizes the responses that the callers received.
 type Report struct {
 	mu sync.Mutex
-	// Outcomes counts answers by outcome or problem type.
+	// Outcomes counts responses by outcome or problem type.
 	Outcomes map[string]int
-	// WrongResponses counts answers that were not the whole answer to the request.
+	// WrongResponses counts responses that were incomplete or belonged to another request.
 	WrongResponses int
-	// RateRejections counts over-rate refusals, Wrongful those that one bucket over
-	// the whole fleet would have admitted.
+	// RateRejections counts rejections because of a customer's rate. WrongfulRejections
+	// counts those that a single token bucket for the full fleet would have admitted.
 	RateRejections, WrongfulRejections int
 	Sent                               int
-	// PerSecond counts requests and wrongful refusals by the second they were
-	// sent in.
+	// PerSecond counts requests and wrongful rejections by the second of the load in which
+	// they were sent.
 	PerSecond        []SecondCounts
 	startedAt        time.Time
 	perCustomer      map[string]*customerCounts
@@ -68,14 +68,14 @@
 	referenceBuckets map[string]*quota.Bucket
 }
 
-// SecondCounts is what was sent in one second of a load.
+// SecondCounts counts the requests that were sent in one second of a load.
 type SecondCounts struct{ Sent, WrongfulRejections int }
 
 type customerCounts struct{ sent, ran int }
 
 const maxLatencyMicros = 60_000_000
 
-// Run sends the load and returns what came back.
+// Run sends the load and returns a report of the responses.
 func Run(ctx context.Context, l Load) (*Report, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
@@ -103,12 +103,12 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "look entry hosts up")
+		return nil, errors.Wrap(err, "standin: fetch entry hosts")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var response lookup.Answer
 	if err := json.NewDecoder(resp.Body).Decode(&response); err != nil {
-		return nil, errors.Wrap(err, "entry hosts")
+		return nil, errors.Wrap(err, "standin: decode entry hosts")
 	}
 	if len(response.Entries) == 0 {
 		return nil, errNoEntries
@@ -228,7 +228,8 @@
 	return req
 }
 
-// whole tells whether body is the whole answer to the request.
+// isCompleteResponse reports whether body is the complete response to the request.
+// Responses other than 200 are not checked.
 func isCompleteResponse(resp *http.Response, p plannedRequest, body []byte) bool {
 	if resp.StatusCode != http.StatusOK {
 		return true
@@ -278,12 +279,13 @@
 	return &r.PerSecond[p.sentSecond]
 }
 
-// Quantile of the latency of requests that ran; q in percent.
+// Quantile returns a quantile of the latency of requests that ran; q is in percent.
 func (r *Report) Quantile(q float64) time.Duration {
 	return time.Duration(r.latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// WorstServed names the worst-served customer and the share of its requests that ran.
+// WorstServed returns the customer with the lowest fraction of requests that ran, and that
+// fraction.
 func (r *Report) WorstServed() (string, float64) {
 	worst, share := "", 2.0
 	for _, name := range slices.Sorted(maps.Keys(r.perCustomer)) {
--- a/internal/standin/platformconfig.go
+++ b/internal/standin/platformconfig.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// The customers and the service of a Declaration.
+// The routes, service and customers of a PlatformConfig.
 const (
-	// CallerHost is the host name of both routes.
+	// CallerHost is the host name that both routes match.
 	CallerHost = "x.example"
-	// ReadPath may be asked for again, PostPath may not.
+	// ReadPath is the path prefix of the route whose requests may be retried, PostPath of
+	// the route whose requests must not run twice.
 	ReadPath = "/read/"
 	PostPath = "/post/"
-	// Service has all upstreams.
+	// Service is the name of the only service.
 	Service = "s"
-	// UnlimitedCustomer has no rate, HotCustomer has one and a burst; HotKey is its key.
+	// UnlimitedCustomer has no rate limit. RateLimitedCustomer has RateLimit requests per
+	// second with a burst of RateBurst, and RateLimitedKey is its API key.
 	UnlimitedCustomer   = "calm"
 	RateLimitedCustomer = "hot"
 	RateLimitedKey      = "hot"
@@ -23,21 +25,21 @@
 	RateBurst           = 30
 )
 
-// PlatformConfig is what operators of the users' platform declare: a route for reads
-// and one for postings, a customer without a rate and one with HotRate.
+// PlatformConfig is a configuration in the format of the users' platform: a route for
+// reads and one for postings, a customer without a rate limit and one with RateLimit.
 type PlatformConfig struct {
 	Version int
-	// Keys of the customer without a rate.
+	// Keys are the API keys of UnlimitedCustomer.
 	Keys []string
 }
 
-// columns is a table as the platform spells it.
+// platformTable is a table in the platform's encoding.
 type platformTable struct {
 	Columns []string `json:"columns"`
 	Rows    [][]any  `json:"rows"`
 }
 
-// Encode is the declaration's value in the store.
+// Encode returns the configuration's value in the store.
 func (d PlatformConfig) Encode() []byte {
 	value, err := json.Marshal(map[string]any{
 		"version": fmt.Sprintf("r%d", d.Version),
@@ -60,25 +62,26 @@
 	return value
 }
 
-// Zones gives the region of each zone of a stand-in deployment.
+// Zones maps each zone of a stand-in deployment to its region.
 var Zones = map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 
-// EntryHostSettings is the settings of one entry host of a stand-in deployment.
+// EntryHostSettings are the settings of one entry host of a stand-in deployment.
 type EntryHostSettings struct {
 	Name string
 	Zone string
-	// CallerAddress and Directory are its listeners; port 0 lets the system pick.
+	// CallerAddress and DirectoryAddress are listening addresses; with port 0 the system
+	// picks the port.
 	CallerAddress    string
 	DirectoryAddress string
 	// StoreAddress is the address of the store.
 	StoreAddress string
-	// LinkMbps is the speed of its link; 0: it does not say.
+	// LinkMbps is the declared speed of the host's link; 0 declares none.
 	LinkMbps        int
 	GracePeriod     time.Duration
 	RevocationDelay time.Duration
 }
 
-// Encode is the text of its settings file.
+// Encode returns the text of the settings file.
 func (h EntryHostSettings) Encode() []byte {
 	text, err := json.MarshalIndent(map[string]any{
 		"host": h.Name, "zone": h.Zone, "zones": Zones,
--- a/internal/standin/platformupstream.go
+++ b/internal/standin/platformupstream.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// PlatformRun is one request that a Worker has run.
+// PlatformRun is one request that a PlatformUpstream has run.
 type PlatformRun struct {
 	ID       string
 	Method   string
@@ -20,12 +20,13 @@
 	At       time.Time
 }
 
-// PlatformUpstream stands in for an upstream of the users' platform: it echoes the
-// request's id, signs its answer, tells its load and refuses what is meant for
-// another instance. It is safe for concurrent use.
+// PlatformUpstream stands in for an upstream of the users' platform. It echoes the request
+// ID, signs its responses, reports its load, and rejects requests for another instance
+// with 421. It is safe for concurrent use.
 type PlatformUpstream struct {
-	// ID of the instance at its start, and how long a request takes.
+	// ID is the initial instance ID.
 	ID          string
+	// ServiceTime is the time that each request takes.
 	ServiceTime time.Duration
 
 	mu         sync.Mutex
@@ -35,42 +36,43 @@
 	runs       []PlatformRun
 }
 
-// workerSlots is how many requests a Worker says that it runs at once.
+// platformUpstreamSlots is the concurrency that a PlatformUpstream reports.
 const platformUpstreamSlots = 4
 
-// Runs returns what it has run.
-func (k *PlatformUpstream) Runs() []PlatformRun {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return append([]PlatformRun(nil), k.runs...)
+// Runs returns the requests that the upstream has run.
+func (u *PlatformUpstream) Runs() []PlatformRun {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return append([]PlatformRun(nil), u.runs...)
 }
 
-// SetHandler replaces the usual answer; nil brings it back. It is asked after the
-// request was noted.
-func (k *PlatformUpstream) SetHandler(handler func(w http.ResponseWriter, r *http.Request)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.handler = handler
+// SetHandler replaces the handler that writes the response; nil restores the default. The
+// request is recorded as run before the handler is called.
+func (u *PlatformUpstream) SetHandler(handler func(w http.ResponseWriter, r *http.Request)) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.handler = handler
 }
 
-// SetInstanceID makes another instance of it, at the same address.
-func (k *PlatformUpstream) SetInstanceID(id string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.instanceID = id
+// SetInstanceID changes the instance ID, as if another instance had started at the same
+// address.
+func (u *PlatformUpstream) SetInstanceID(id string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.instanceID = id
 }
 
-func (k *PlatformUpstream) currentID() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.instanceID != "" {
-		return k.instanceID
+func (u *PlatformUpstream) currentID() string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.instanceID != "" {
+		return u.instanceID
 	}
-	return k.ID
+	return u.ID
 }
 
-// RegistryEntry is what the worker registers under its id.
-func (k *PlatformUpstream) RegistryEntry(service, address, zone, state string, sequence int) []byte {
+// RegistryEntry returns the value that the upstream registers in the store under its ID.
+func (u *PlatformUpstream) RegistryEntry(service, address, zone, state string, sequence int) []byte {
 	entry, err := json.Marshal(map[string]any{
 		"service": service, "address": address, "zone": zone, "version": "v1", "slots": platformUpstreamSlots,
 		"state": state, "cold-remaining": "0ms", "sequence": sequence, "born": 1_700_000_000_000,
@@ -82,9 +84,9 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (k *PlatformUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *PlatformUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != k.currentID() {
+	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != u.currentID() {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -92,29 +94,29 @@
 	if err != nil {
 		return
 	}
-	k.mu.Lock()
-	k.running++
-	k.runs = append(k.runs, PlatformRun{
+	u.mu.Lock()
+	u.running++
+	u.runs = append(u.runs, PlatformRun{
 		ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI, Body: string(body), At: time.Now(),
 		Customer: r.Header.Get("X-Tenant-Id"), Key: r.Header.Get("Authorization"),
 	})
-	handler := k.handler
-	k.mu.Unlock()
+	handler := u.handler
+	u.mu.Unlock()
 	defer func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.running--
+		u.mu.Lock()
+		defer u.mu.Unlock()
+		u.running--
 	}()
 	if handler != nil {
 		handler(w, r)
 		return
 	}
-	time.Sleep(k.ServiceTime)
-	k.mu.Lock()
-	running := k.running
-	k.mu.Unlock()
-	w.Header().Set("X-Response-Signature", "signed-by-"+k.ID)
+	time.Sleep(u.ServiceTime)
+	u.mu.Lock()
+	running := u.running
+	u.mu.Unlock()
+	w.Header().Set("X-Response-Signature", "signed-by-"+u.ID)
 	w.Header().Set("X-Server-Load", fmt.Sprintf("%d,0,%d", running, platformUpstreamSlots))
-	// A failed write means that the caller has left.
-	_, _ = fmt.Fprintf(w, "%s ran %s", k.ID, r.Header.Get("X-Request-Id"))
+	// A write fails only if the client has disconnected.
+	_, _ = fmt.Fprintf(w, "%s ran %s", u.ID, r.Header.Get("X-Request-Id"))
 }
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -14,31 +14,31 @@
 	"balsambarrow/internal/wire"
 )
 
-// Headers and query names that the stand-in upstream understands.
+// Headers and query parameters of the stand-in upstream.
 const (
-	// HeaderBodySum is the SHA-256 of the answer's body, so that a caller can
-	// tell a whole answer from a part.
+	// HeaderBodySum is the SHA-256 of the response body, so that a caller can detect a
+	// truncated response.
 	HeaderBodySum = "X-Body-Sum"
-	// QuerySize asks for an answer of so many bytes.
+	// QuerySize is the requested size of the response body in bytes.
 	QuerySize = "size"
-	// HeaderPosting names a posting; an upstream counts how often each ran.
+	// HeaderPosting is the name of a posting. An upstream counts how often each one ran.
 	HeaderPosting = "X-Posting"
 )
 
-// UpstreamOptions shapes a stand-in upstream.
+// UpstreamOptions configures a stand-in upstream.
 type UpstreamOptions struct {
-	// Slots is how many requests it runs at once; more are shed with 503.
+	// Slots is the number of requests that run concurrently; more are shed with 503.
 	Slots int
-	// ServiceTime is the mean of the time one request takes.
+	// ServiceTime is the mean service time of a request.
 	ServiceTime time.Duration
-	// ColdRequests is how many first requests take four times as long.
+	// ColdRequests is the number of first requests that take four times as long.
 	ColdRequests int
-	// RecordArrivals keeps the time and customer of each request.
+	// RecordArrivals records the time and the customer of each request.
 	RecordArrivals bool
 }
 
-// Upstream is a stand-in for one worker. It answers any path with bytes that
-// follow from the path, and remembers what it ran.
+// Upstream stands in for one upstream of the fleet. It responds to any path with bytes
+// that are derived from the path, and counts the requests that it ran.
 type Upstream struct {
 	options UpstreamOptions
 
@@ -58,8 +58,7 @@
 	At       time.Time
 }
 
-// Arrivals returns the requests that the upstream ran, if RecordArrivals is
-// set.
+// Arrivals returns the requests that the upstream began to run, if RecordArrivals is set.
 func (u *Upstream) Arrivals() []Arrival {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -71,7 +70,9 @@
 	return &Upstream{options: o, postings: map[string]int{}, byCustomer: map[string]int{}}
 }
 
-// UpstreamStats is what an upstream saw.
+// UpstreamStats counts the requests that an upstream received. Total is the number that it
+// ran, KeysSeen the number with an API key, and DuplicatePostings the number of postings
+// that ran more than once.
 type UpstreamStats struct {
 	Total             int            `json:"total"`
 	Shed              int            `json:"shed"`
@@ -81,7 +82,7 @@
 	Postings          map[string]int `json:"postings"`
 }
 
-// Stats returns what the upstream saw so far.
+// Stats returns the counts so far.
 func (u *Upstream) Stats() UpstreamStats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -171,8 +172,8 @@
 	_, _ = w.Write(body)
 }
 
-// bodyOf makes size bytes that follow from path, so that an answer to another
-// request is recognised.
+// responseBody returns size bytes that are derived from path, so that a response to
+// another request can be recognized.
 func responseBody(path string, size int) []byte {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(path))
