--- a/internal/standin/platformupstream.go
+++ b/internal/standin/platformupstream.go
@@ -25,7 +25,7 @@
 // with 421. It is safe for concurrent use.
 type PlatformUpstream struct {
 	// ID is the initial instance ID.
-	ID          string
+	ID string
 	// ServiceTime is the time that each request takes.
 	ServiceTime time.Duration
 
