--- a/internal/compare/doc.go
+++ b/internal/compare/doc.go
@@ -1,7 +1,8 @@
-// Package compare judges a change of policy by pairs of plays: the version before and the
-// version after on the same deployment, day and seed.
+// Package compare evaluates a change of policy with paired benchmark runs: the version
+// before and the version after on the same deployment, day and seed.
 //
-// One seed proves nothing: the same change can gain on one and lose on the next. So the
-// mean difference stands beside its standard error, and a difference that is smaller than
-// twice that is called inside the spread.
+// A single seed is not conclusive, because the same change can improve the score on one
+// seed and lower it on the next. So the mean difference is reported with its standard
+// error, and a difference of at most two standard errors is reported as "inside the
+// spread".
 package compare
--- a/internal/compare/pairs.go
+++ b/internal/compare/pairs.go
@@ -9,27 +9,28 @@
 	"text/tabwriter"
 )
 
-// BenchRun is one play of one version.
+// BenchRun is the result of one benchmark run of one version.
 type BenchRun struct {
 	Deployment string
 	Day        string
 	Seed       int
-	// Score is the figure that is compared.
+	// Score is the value that is compared; higher is better.
 	Score float64
-	// BrokenRules are the rules that were broken, and Fault why the play does not count; "".
-	BrokenRules   []string
+	// BrokenRules are the benchmark rules that the run violated.
+	BrokenRules []string
+	// InvalidReason is the reason why the run does not count; empty if it counts.
 	InvalidReason string
 }
 
-// key is what a pair has in common.
+// pairKey identifies the two runs of a pair.
 type pairKey struct {
 	deployment, day string
 	seed            int
 }
 
-func (p BenchRun) pairKey() pairKey { return pairKey{p.Deployment, p.Day, p.Seed} }
+func (r BenchRun) pairKey() pairKey { return pairKey{r.Deployment, r.Day, r.Seed} }
 
-// Verdict on a difference.
+// Verdict is the conclusion from a difference.
 type Verdict string
 
 // Verdicts.
@@ -41,31 +42,32 @@
 )
 
 const (
-	// spreadFactor is the number of standard errors within which a mean difference says
-	// nothing.
-	significantErrors = 2.0
-	// minPairs is the number of pairs from which the standard error is worth something.
+	// significanceFactor is the number of standard errors that a mean difference must
+	// exceed to be conclusive.
+	significanceFactor = 2.0
+	// minPairs is the minimum number of pairs for a usable standard error.
 	minPairs = 5
 )
 
-// Summary is what the pairs of one deployment, or of one of its days, say.
+// Summary is the comparison over all pairs of one deployment, or of one of its days.
 type Summary struct {
 	Deployment, Day string
 	Pairs           int
-	// Before and After are the means of both versions.
+	// Before and After are the mean scores of the two versions.
 	Before, After float64
-	// Difference is the mean of the pairs' differences, and Error its standard error.
+	// Difference is the mean difference of the pairs, and StandardError its standard error.
 	Difference, StandardError float64
-	// Improved and Down count the pairs in which the later version is better or worse.
+	// Improved and Regressed count the pairs in which the second version scored higher or
+	// lower.
 	Improved, Regressed int
 }
 
-// Verdict says whether the difference is larger than its spread.
+// Verdict reports whether the difference is significant, and its direction.
 func (s Summary) Verdict() Verdict {
 	switch {
 	case s.Pairs < minPairs:
 		return TooFewPairs
-	case math.Abs(s.Difference) <= significantErrors*s.StandardError:
+	case math.Abs(s.Difference) <= significanceFactor*s.StandardError:
 		return Inconclusive
 	case s.Difference > 0:
 		return Better
@@ -73,11 +75,11 @@
 	return Worse
 }
 
-// allDays stands for a day in the summary of a deployment.
+// allDays is the Day of a summary over all days of a deployment.
 const allDays = "all"
 
-// Summarize pairs the plays of two versions, and returns a summary of each day and of each
-// deployment. Plays without a partner are left out.
+// Summarize pairs the runs of two versions, and returns a summary of each day and of each
+// deployment. Runs without a counterpart are ignored.
 func Summarize(before, after []BenchRun) []Summary {
 	beforeRuns := map[pairKey]BenchRun{}
 	for _, p := range before {
--- a/internal/compare/pairs_test.go
+++ b/internal/compare/pairs_test.go
@@ -23,17 +23,17 @@
 		before, after []float64
 		want          compare.Verdict
 	}{
-		{"one pair proves nothing", []float64{.5}, []float64{.7}, compare.TooFewPairs},
-		{"nor do four that agree", []float64{.5, .6, .7, .4}, []float64{.51, .612, .709, .411}, compare.TooFewPairs},
-		{"up and down", []float64{.5, .6, .5, .6, .5}, []float64{.6, .5, .6, .5, .5}, compare.Inconclusive},
-		{"always a little up", []float64{.5, .6, .7, .4, .5}, []float64{.51, .612, .709, .411, .512}, compare.Better},
-		{"always a little down", []float64{.51, .612, .709, .411, .512}, []float64{.5, .6, .7, .4, .5}, compare.Worse},
-		{"the same", []float64{.5, .6, .7, .4, .5}, []float64{.5, .6, .7, .4, .5}, compare.Inconclusive},
+		{"one pair", []float64{.5}, []float64{.7}, compare.TooFewPairs},
+		{"four pairs that agree", []float64{.5, .6, .7, .4}, []float64{.51, .612, .709, .411}, compare.TooFewPairs},
+		{"mixed differences", []float64{.5, .6, .5, .6, .5}, []float64{.6, .5, .6, .5, .5}, compare.Inconclusive},
+		{"consistently slightly higher", []float64{.5, .6, .7, .4, .5}, []float64{.51, .612, .709, .411, .512}, compare.Better},
+		{"consistently slightly lower", []float64{.51, .612, .709, .411, .512}, []float64{.5, .6, .7, .4, .5}, compare.Worse},
+		{"equal scores", []float64{.5, .6, .7, .4, .5}, []float64{.5, .6, .7, .4, .5}, compare.Inconclusive},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := compare.Summarize(runsOf("d", c.before...), runsOf("d", c.after...))
-			g.Expect(s).To(HaveLen(2), "the day and the deployment")
+			g.Expect(s).To(HaveLen(2), "one summary for the day and one for the deployment")
 			g.Expect(s[0].Verdict()).To(Equal(c.want))
 		})
 	}
--- a/internal/compare/run.go
+++ b/internal/compare/run.go
@@ -15,52 +15,53 @@
 	"github.com/pkg/errors"
 )
 
-// Plan says what is played.
+// Plan describes the benchmark runs of a comparison.
 type Plan struct {
-	// Bench is the program that plays a day: BENCH run SITE DAY --seed N --report FILE.
+	// Bench is the benchmark program: BENCH run FILE DAY --seed N --report FILE.
 	Bench string
-	// Versions are the checkouts that are played on the same days and seeds. The others
-	// are compared with the first.
+	// Versions are the checkouts that run on the same days and seeds. The first one is the
+	// baseline of the others.
 	Versions    []string
 	Deployments []Deployment
 	Seeds       []int
-	// Jobs is the number of plays at once.
+	// Jobs is the number of concurrent runs.
 	Jobs int
-	// ChargeCPU says that processor time is charged; plays then differ a little each time.
+	// ChargeCPU makes the benchmark charge processor time, which makes scores vary slightly
+	// between runs with the same seed.
 	ChargeCPU bool
-	// Note is noted with each play.
+	// Note is recorded with each run.
 	Note string
-	// OnRun is told of each play. Default nil.
-	OnRun func(version string, p BenchRun)
+	// OnRun, if set, is called after each run, by one goroutine at a time.
+	OnRun func(version string, r BenchRun)
 }
 
-// Deployment is a deployment and the days of it that are played.
+// Deployment is a deployment file and the days to run on it.
 type Deployment struct {
 	File string
 	Days []string
 }
 
-// Name is the file's, without directories and extension.
-func (s Deployment) Name() string {
-	return strings.TrimSuffix(filepath.Base(s.File), filepath.Ext(s.File))
+// Name returns the file name without directory and extension.
+func (d Deployment) Name() string {
+	return strings.TrimSuffix(filepath.Base(d.File), filepath.Ext(d.File))
 }
 
-// ParseDeployment reads FILE:DAY,DAY. The error is a *DeploymentError.
+// ParseDeployment parses FILE:DAY,DAY. The error is a *DeploymentError.
 func ParseDeployment(text string) (Deployment, error) {
 	file, days, ok := strings.Cut(text, ":")
-	s := Deployment{File: file, Days: strings.Split(days, ",")}
-	if !ok || file == "" || slices.Contains(s.Days, "") {
+	d := Deployment{File: file, Days: strings.Split(days, ",")}
+	if !ok || file == "" || slices.Contains(d.Days, "") {
 		return Deployment{}, errors.WithStack(&DeploymentError{text})
 	}
-	return s, nil
+	return d, nil
 }
 
-// DeploymentError says that an argument does not name a deployment and days.
+// DeploymentError reports an argument that does not name a deployment and its days.
 type DeploymentError struct{ Text string }
 
 func (e *DeploymentError) Error() string { return fmt.Sprintf("%q is not FILE:DAY,DAY", e.Text) }
 
-// ReportError says that a play left no report that can be read.
+// ReportError reports a run that did not write a valid report.
 type ReportError struct {
 	Run    BenchRun
 	Output string
@@ -74,15 +75,15 @@
 // Unwrap returns the cause.
 func (e *ReportError) Unwrap() error { return e.Cause }
 
-// task is one play to be made.
+// task is one run to be done.
 type task struct {
 	version string
 	file    string
 	run     BenchRun
 }
 
-// Run makes all plays, and returns them by version. What belongs together is played one
-// after the other.
+// Run executes all benchmark runs and returns the results by version. The runs of a pair
+// are queued one after the other. The first failed run cancels the rest.
 func (p Plan) Run(ctx context.Context) (runs map[string][]BenchRun, err error) {
 	runs = map[string][]BenchRun{}
 	ctx, cancel := context.WithCancel(ctx)
@@ -125,12 +126,12 @@
 
 func (p Plan) tasks() []task {
 	var out []task
-	for _, s := range p.Deployments {
+	for _, d := range p.Deployments {
 		for _, seed := range p.Seeds {
-			for _, day := range s.Days {
-				run := BenchRun{Deployment: s.Name(), Day: day, Seed: seed}
+			for _, day := range d.Days {
+				run := BenchRun{Deployment: d.Name(), Day: day, Seed: seed}
 				for _, version := range p.Versions {
-					out = append(out, task{version, s.File, run})
+					out = append(out, task{version, d.File, run})
 				}
 			}
 		}
@@ -138,14 +139,15 @@
 	return out
 }
 
-// report is the part of a play's report that is read.
+// benchReport is the part of the benchmark's report that is used.
 type benchReport struct {
-	Worth  *float64       `json:"G"`
-	Fault  any            `json:"fault"`
-	Broken map[string]any `json:"breaks"`
+	Score         *float64       `json:"G"`
+	InvalidReason any            `json:"fault"`
+	BrokenRules   map[string]any `json:"breaks"`
 }
 
-// play makes one play. The error is a *ReportError.
+// runBench executes one benchmark run. The error is a *ReportError if the report is missing
+// or invalid.
 func (p Plan) runBench(ctx context.Context, t task) (BenchRun, error) {
 	file, err := os.CreateTemp("", "play-*.json")
 	if err != nil {
@@ -163,7 +165,7 @@
 	output, runErr := cmd.CombinedOutput()
 	data, err := os.ReadFile(file.Name())
 	if err == nil {
-		err = t.run.read(data)
+		err = t.run.parseReport(data)
 	}
 	if err != nil {
 		if runErr != nil {
@@ -174,24 +176,24 @@
 	return t.run, nil
 }
 
-// errNoWorth says that a report has no figure.
-var errNoScore = errors.New("report without a figure")
+// errNoScore reports a report without a score.
+var errNoScore = errors.New("compare: report has no score")
 
-func (p *BenchRun) read(data []byte) error {
-	var r benchReport
-	if err := json.Unmarshal(data, &r); err != nil {
+func (r *BenchRun) parseReport(data []byte) error {
+	var report benchReport
+	if err := json.Unmarshal(data, &report); err != nil {
 		return errors.WithStack(err)
 	}
-	if r.Worth == nil {
+	if report.Score == nil {
 		return errors.WithStack(errNoScore)
 	}
-	p.Score = *r.Worth
-	if r.Fault != nil {
-		p.InvalidReason = fmt.Sprint(r.Fault)
+	r.Score = *report.Score
+	if report.InvalidReason != nil {
+		r.InvalidReason = fmt.Sprint(report.InvalidReason)
 	}
-	for rule := range r.Broken {
-		p.BrokenRules = append(p.BrokenRules, rule)
+	for rule := range report.BrokenRules {
+		r.BrokenRules = append(r.BrokenRules, rule)
 	}
-	slices.Sort(p.BrokenRules)
+	slices.Sort(r.BrokenRules)
 	return nil
 }
--- a/internal/compare/run_test.go
+++ b/internal/compare/run_test.go
@@ -12,8 +12,7 @@
 	"balsambarrow/internal/compare"
 )
 
-// bench writes a program that reports the seed as the figure, and one more in checkouts
-// named after.
+// writeBench writes a shell script with the given body and returns its path.
 func writeBench(t *testing.T, body string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "bench")
@@ -37,6 +36,8 @@
 	}
 }
 
+// The benchmark program of this test reports the seed as the score, and one more in the
+// checkout "after".
 func TestRunsAllVersionsOnTheSameSeeds(t *testing.T) {
 	g := NewWithT(t)
 	p := newPlan(t, `extra=0; case "$PWD" in */after) extra=1;; esac
@@ -50,10 +51,10 @@
 	g.Expect(after[0].BrokenRules).To(Equal([]string{"LOST"}))
 }
 
-// Guards against a play that failed and is taken for one worth nothing.
+// Guards against a failed run that is counted as a run with score 0.
 func TestRunWithoutReportFails(t *testing.T) {
 	for name, body := range map[string]string{
-		"the program fails": "echo no such day; exit 2\n", "no figure": `echo '{}' > "$7"` + "\n", "no JSON": `echo text > "$7"` + "\n",
+		"the program fails": "echo no such day; exit 2\n", "no score": `echo '{}' > "$7"` + "\n", "no JSON": `echo text > "$7"` + "\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
