--- a/cmd/balsambarrowd/entry.go
+++ b/cmd/balsambarrowd/entry.go
@@ -15,11 +15,12 @@
 	"balsambarrow/internal/telemetry"
 )
 
-// settingsVariable names the settings file where the command line does not.
+// settingsVariable is the environment variable with the path of the settings file. It is
+// used if the command line has no path.
 const settingsVariable = "BALSAMBARROW_BOOT"
 
-// settingsEvery is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPollInterval is the interval between checks of the settings file, which may
+// change without a SIGHUP.
 const settingsPollInterval = time.Second
 
 func entryCommand() *cobra.Command {
@@ -27,7 +28,7 @@
 	cmd := &cobra.Command{
 		Use:           "entry [SETTINGS]",
 		Short:         "Serve as one entry host on the users' platform",
-		Long:          "Serve as one entry host on the users' platform.\nWithout SETTINGS the file is the one that " + settingsVariable + " names.",
+		Long:          "Serve as one entry host on the users' platform.\nWithout SETTINGS, the environment variable " + settingsVariable + " holds the path of the file.",
 		Args:          cobra.MaximumNArgs(1),
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -48,16 +49,18 @@
 }
 
 const (
-	// collectPercent is the growth of the heap between two collections. Most hosts have
-	// a small part of a core and far more memory than the live heap takes.
+	// gcPercent is the GOGC value: the growth of the heap between two garbage collections.
+	// It is above the default of 100, because most hosts have a small fraction of a core
+	// and far more memory than the live heap needs.
 	gcPercent = 200
-	// heapPart of the memory is the size of the heap from which collections come more
-	// often.
+	// memoryLimitFraction is the fraction of the host's memory that is set as the memory
+	// limit of the Go runtime, above which garbage collections become more frequent.
 	memoryLimitFraction = 0.5
 	bytesPerMB          = 1 << 20
 )
 
-// boundHeap trades memory that the host has for processor time.
+// configureGC reduces the processor time of garbage collections at the cost of memory, if
+// the settings declare the memory of the host.
 func configureGC(s *entryhost.Settings) {
 	if s.Capacity.MemoryMB <= 0 {
 		return
@@ -67,8 +70,8 @@
 }
 
 func serveEntry(path string, s *entryhost.Settings) error {
-	// The platform restarts a process that ends by SIGHUP, so the signal is
-	// taken before anything else.
+	// The signal handler is installed before anything else: the default action of SIGHUP
+	// ends the process, and the platform would restart it.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	configureGC(s)
@@ -103,7 +106,7 @@
 				file.reload()
 				continue
 			}
-			// Further signals change nothing: requests are not cut off by them.
+			// Further signals are ignored, so that they do not interrupt requests.
 			d.Stop()
 			return nil
 		}
--- a/cmd/balsambarrowd/main.go
+++ b/cmd/balsambarrowd/main.go
@@ -72,7 +72,7 @@
 		return errors.Wrap(err, "listener failed")
 	case <-signals:
 	}
-	// A second signal changes nothing: requests are never cut off by it.
+	// A second signal is ignored, so that it does not interrupt requests.
 	ctx, cancel := context.WithTimeout(context.Background(), s.ShutdownTimeout())
 	defer cancel()
 	return d.Stop(ctx)
--- a/cmd/balsambarrowd/settingsfile.go
+++ b/cmd/balsambarrowd/settingsfile.go
@@ -10,7 +10,7 @@
 	"balsambarrow/internal/telemetry"
 )
 
-// settingsFile follows the settings file of a running daemon.
+// settingsFile applies changes of the settings file to a running daemon.
 type settingsFile struct {
 	path   string
 	daemon *entryhost.Daemon
@@ -24,7 +24,7 @@
 	return &settingsFile{path: path, daemon: d, events: events, modifiedAt: modTime(path)}
 }
 
-// follow reloads the file when it changes, until ctx ends.
+// watch reloads the file when its modification time changes, until ctx ends.
 func (f *settingsFile) watch(ctx context.Context) {
 	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
@@ -43,7 +43,8 @@
 	}
 }
 
-// reload takes the file over, or keeps the settings in force and says why.
+// reload applies the settings in the file. If they are invalid, it keeps the current
+// settings and logs the error.
 func (f *settingsFile) reload() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,8 +57,8 @@
 	f.daemon.Reload(s)
 }
 
-// modified is when the file was written last; the zero time if that cannot be
-// told, which reload then reports.
+// modTime returns the modification time of the file, or the zero time if the file cannot be
+// read. In that case reload logs the error.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/cmd/balsambarrowd/stop_test.go
+++ b/cmd/balsambarrowd/stop_test.go
@@ -23,7 +23,7 @@
 	"balsambarrow/internal/standin"
 )
 
-// daemonProcess is a balsambarrowd in a process of its own.
+// daemonProcess is a balsambarrowd that runs as a separate process.
 type daemonProcess struct {
 	cmd                            *exec.Cmd
 	callerAddress, operatorAddress string
@@ -60,9 +60,9 @@
 	return p
 }
 
-// An operator stops a host, gets impatient and sends SIGTERM again while a
-// farmer's request still runs. The farmer must get the whole answer, and the
-// process must end with exit code 0.
+// Guards against a second SIGTERM that interrupts a running request. An operator may send
+// SIGTERM again while a drain waits for a slow request. The caller must get the full
+// response, and the process must end with exit code 0.
 func TestSecondSIGTERMKeepsRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	platform := httptest.NewServer(standin.NewKVStore())
@@ -85,7 +85,7 @@
 
 	responseSizes := make(chan int, 1)
 	go func() { responseSizes <- requestUntilServed("http://" + p.callerAddress + "/svc/lookup/x?size=5000") }()
-	time.Sleep(3 * time.Second) // the request is at the upstream for 8 s and more
+	time.Sleep(3 * time.Second) // the upstream runs the request for at least 8 s
 	g.Expect(p.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
 	time.Sleep(time.Second)
 	g.Expect(p.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
@@ -93,8 +93,9 @@
 	g.Eventually(p.exited, time.Minute).Should(Receive(BeNil()))
 }
 
-// askUntilServed returns the size of the first answer that an upstream gave,
-// or -1 if its body broke off. Before that the daemon may not be ready yet.
+// requestUntilServed repeats a request until an upstream responds, because the daemon may
+// not be ready yet. It returns the size of the response body, or -1 if the request failed
+// or the body was truncated.
 func requestUntilServed(url string) int {
 	for {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
