--- a/cmd/balsamlab/calm.go
+++ b/cmd/balsamlab/calm.go
@@ -25,25 +25,27 @@
 )
 
 const (
-	// calmHosts and calmUpstreams stand in the zones of standin.Zones, in turn.
+	// calmHosts and calmUpstreams are the numbers of entry hosts and upstreams, which are
+	// assigned to the zones of standin.Zones in turn.
 	calmHosts     = 4
 	calmUpstreams = 6
-	// calmWork is how long an upstream takes.
+	// calmServiceTime is the time that an upstream takes for a request.
 	calmServiceTime = 15 * time.Millisecond
-	// calmGrace bounds a planned stop, and calmStart the wait for all hosts.
+	// calmGracePeriod is the maximum duration of a planned stop, and calmStartTimeout the
+	// maximum time until all hosts serve.
 	calmGracePeriod  = 3 * time.Second
 	calmStartTimeout = 20 * time.Second
 	calmKey          = "calm"
-	// calmRefused is the part of the requests that may be refused or fail.
+	// calmMaxFailedFraction is the fraction of requests that may be rejected or fail.
 	calmMaxFailedFraction = 0.01
 )
 
-// calmDay is entry hosts as processes on a stand-in of the users' platform.
+// calmRun runs entry hosts as processes against stand-ins of the users' platform, without
+// faults.
 type calmRun struct {
-	daemon string
-	dir    string
-	store  *standin.KVStore
-	// address is the store's.
+	daemon          string
+	dir             string
+	store           *standin.KVStore
 	storeAddress    string
 	upstreams       []*standin.PlatformUpstream
 	registrations   []func(sequence int)
@@ -55,7 +57,7 @@
 	wrongResponses int
 }
 
-var errCalmFailed = errors.New("balsamlab: the calm day was not as it should be")
+var errCalmFailed = errors.New("balsamlab: calm: a check failed; see the report")
 
 func calmCommand() *cobra.Command {
 	calm := &calmRun{store: standin.NewKVStore(), statusCounts: map[string]int{}}
@@ -63,23 +65,23 @@
 	var perSecond int
 	cmd := &cobra.Command{
 		Use:   "calm",
-		Short: "Play a calm day: entry hosts as processes on a stand-in of the users' platform",
-		Long: "Plays a calm day: starts a store, upstreams and entry hosts, which are processes, on\n" +
-			"loopback, sends reads and postings for a while, stops the hosts, and says what callers\n" +
-			"and upstreams saw. Exits non-zero if an answer was wrong, a posting ran twice, a key\n" +
-			"reached an upstream, over one request in a hundred was refused, or a stop was not clean.",
+		Short: "Run entry hosts as processes against stand-ins of the users' platform, without faults",
+		Long: "Starts a store, upstreams and entry hosts on loopback, the hosts as separate processes.\n" +
+			"Sends reads and postings, stops the hosts, and reports what callers and upstreams saw.\n" +
+			"Exits non-zero if a response was wrong, a posting ran twice, a key reached an upstream,\n" +
+			"more than one request in a hundred failed, or a host did not stop cleanly.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
 			if calm.dir, err = os.MkdirTemp("", "calm"); err != nil {
-				return errors.Wrap(err, "calm day")
+				return errors.Wrap(err, "calm")
 			}
 			defer func() { _ = os.RemoveAll(calm.dir) }()
 			return calm.run(cmd.Context(), duration, perSecond)
 		},
 	}
-	cmd.Flags().StringVar(&calm.daemon, "daemon", ".bin/balsambarrowd", "the daemon's program")
-	cmd.Flags().DurationVar(&duration, "duration", 5*time.Second, "how long to send")
+	cmd.Flags().StringVar(&calm.daemon, "daemon", ".bin/balsambarrowd", "path of the daemon's executable")
+	cmd.Flags().DurationVar(&duration, "duration", 5*time.Second, "how long to send requests")
 	cmd.Flags().IntVar(&perSecond, "rate", 100, "requests per second")
 	return cmd
 }
@@ -100,7 +102,7 @@
 	return d.printReport(clean)
 }
 
-// open starts the store, the upstreams and the hosts.
+// startAll starts the store, the upstreams and the hosts.
 func (d *calmRun) startAll() error {
 	var err error
 	if d.storeAddress, err = serve("127.0.0.1:0", d.store); err != nil {
@@ -148,10 +150,10 @@
 	}
 }
 
-// listening finds the callers' address in a host's log.
+// startedLine matches the log line with a host's address for callers.
 var startedLine = regexp.MustCompile(`msg=started .*callers=(\S+)`)
 
-// start starts one host and waits until it listens.
+// startHost starts one host and waits until it listens.
 func (d *calmRun) startHost(name, zone string) error {
 	file := filepath.Join(d.dir, name+".jsonc")
 	settings := standin.EntryHostSettings{
@@ -176,11 +178,11 @@
 			continue
 		}
 		d.callerAddresses = append(d.callerAddresses, match[1])
-		// The rest of the log is of no use, but somebody has to read it.
+		// The rest of the log is discarded, so that the process never blocks on a full pipe.
 		go func() { _, _ = io.Copy(io.Discard, out) }()
 		return nil
 	}
-	return errors.Errorf("%s ended before it listened", name)
+	return errors.Errorf("%s exited before it listened", name)
 }
 
 func (d *calmRun) awaitReady() error {
@@ -188,7 +190,7 @@
 	for _, host := range d.callerAddresses {
 		for d.sendRequest(host, "ready-"+host, false) != http.StatusOK {
 			if time.Now().After(end) {
-				return errors.Errorf("%s does not serve", host)
+				return errors.Errorf("%s did not start to serve", host)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// send sends requests at their times, whether or not earlier ones were answered.
+// send sends requests at a fixed rate, whether or not earlier ones have completed.
 func (d *calmRun) send(duration time.Duration, perSecond int) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var inFlight sync.WaitGroup
@@ -214,7 +216,8 @@
 	inFlight.Wait()
 }
 
-// ask sends one request and returns the status of its answer, 0: there was none.
+// sendRequest sends one request and returns the status of the response, or 0 if there was
+// none.
 func (d *calmRun) sendRequest(host, id string, post bool) int {
 	method, path := http.MethodGet, standin.ReadPath
 	if post {
@@ -246,7 +249,8 @@
 	return resp.StatusCode
 }
 
-// stop ends all hosts by a planned stop and tells whether all ended well.
+// stopHosts stops all hosts as planned, with SIGTERM, and reports whether all exited with
+// code 0.
 func (d *calmRun) stopHosts() bool {
 	for _, p := range d.processes {
 		_ = p.Process.Signal(syscall.SIGTERM)
@@ -259,7 +263,7 @@
 	return clean
 }
 
-// kill ends what is left after a failure.
+// killHosts kills the hosts that still run after a failure.
 func (d *calmRun) killHosts() {
 	for _, p := range d.processes {
 		_ = p.Process.Kill()
@@ -267,9 +271,9 @@
 	}
 }
 
-// calmReport is what a calm day came to.
+// calmReport is the report of a run.
 type calmReport struct {
-	// Statuses counts answers; "0" stands for none.
+	// Statuses counts responses by status; "0" counts requests without a response.
 	Statuses          map[string]int `json:"statuses"`
 	WrongResponses    int            `json:"wrong"`
 	DuplicatePostings int            `json:"doubled"`
--- a/cmd/balsamlab/compare.go
+++ b/cmd/balsamlab/compare.go
@@ -14,7 +14,7 @@
 	var first, seeds int
 	cmd := &cobra.Command{
 		Use:   "compare BEFORE,AFTER[,AFTER...] FILE:DAY,DAY...",
-		Short: "Play checkouts on the same deployments, days and seeds, and compare them in pairs",
+		Short: "Run the benchmark with several checkouts on the same deployments, days and seeds, and compare the scores in pairs",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p.Versions = strings.Split(args[0], ",")
@@ -47,12 +47,12 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&p.Bench, "bench", "", "program that plays a day")
+	f.StringVar(&p.Bench, "bench", "", "benchmark program, which runs one day")
 	f.IntVar(&first, "first", 1, "first seed")
 	f.IntVar(&seeds, "seeds", 5, "number of seeds")
-	f.IntVar(&p.Jobs, "jobs", 2, "plays at once")
-	f.BoolVar(&p.ChargeCPU, "processor", false, "charge processor time; plays then differ a little each time")
-	f.StringVar(&p.Note, "why", "", "what the change is expected to do; noted with each play")
+	f.IntVar(&p.Jobs, "jobs", 2, "concurrent runs")
+	f.BoolVar(&p.ChargeCPU, "processor", false, "charge processor time; scores then vary slightly between runs")
+	f.StringVar(&p.Note, "why", "", "expected effect of the change; recorded with each run")
 	_ = cmd.MarkFlagRequired("bench")
 	return cmd
 }
--- a/cmd/balsamlab/main.go
+++ b/cmd/balsamlab/main.go
@@ -1,5 +1,5 @@
-// Command balsamlab serves the stand-ins of the outside systems as processes
-// and sends load. It is for development only.
+// Command balsamlab serves stand-ins of the outside systems as processes, sends load to a
+// fleet and runs comparisons. It is for development only.
 package main
 
 import (
--- a/cmd/balsamlab/overhead.go
+++ b/cmd/balsamlab/overhead.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 )
 
-var errUnexpectedStatus = errors.New("balsamlab: request was not answered with 200")
+var errUnexpectedStatus = errors.New("balsamlab: response status is not 200")
 
 // overhead compares calls through a daemon with direct calls to an upstream.
 type overhead struct {
@@ -41,13 +41,13 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&o.entry, "entry", "", "callers' address of a daemon")
+	f.StringVar(&o.entry, "entry", "", "address for callers of a daemon")
 	f.StringVar(&o.upstream, "upstream", "", "address of an upstream")
 	f.StringVar(&o.service, "service", "lookup", "service to call")
 	f.StringVar(&o.stage, "stage", "pairs", "what to measure: pairs, requests or lookups")
 	f.StringVar(&o.key, "key", "", "a customer's key")
-	f.IntVar(&o.pairCount, "pairs", 3000, "pairs of calls")
-	f.IntVar(&o.clients, "clients", 16, "callers at once for the throughput")
+	f.IntVar(&o.pairCount, "pairs", 3000, "number of pairs of calls")
+	f.IntVar(&o.clients, "clients", 16, "concurrent callers for the throughput")
 	f.DurationVar(&o.throughputDuration, "duration", 5*time.Second, "how long to measure the throughput")
 	return cmd
 }
@@ -69,20 +69,20 @@
 func (o *overhead) directURL() string { return "http://" + o.upstream + "/animal/7" }
 func (o *overhead) entryURL() string  { return "http://" + o.entry + "/svc/" + o.service + "/animal/7" }
 
-// pairsOf alternates direct calls and calls through the daemon, so that both
-// meet the same state of the machine.
+// measurePairs alternates direct calls and calls through the daemon, so that both are
+// measured under the same load of the machine.
 func (o *overhead) measurePairs(ctx context.Context) error {
 	direct, through := newLatency(), newLatency()
 	for i := range o.pairCount {
-		first, second := o.directURL, o.entryURL
-		a, b := direct, through
+		firstURL, secondURL := o.directURL, o.entryURL
+		firstLatency, secondLatency := direct, through
 		if i%2 == 1 {
-			first, second, a, b = second, first, b, a
+			firstURL, secondURL, firstLatency, secondLatency = secondURL, firstURL, secondLatency, firstLatency
 		}
-		if err := o.measureCall(ctx, first(), a); err != nil {
+		if err := o.measureCall(ctx, firstURL(), firstLatency); err != nil {
 			return err
 		}
-		if err := o.measureCall(ctx, second(), b); err != nil {
+		if err := o.measureCall(ctx, secondURL(), secondLatency); err != nil {
 			return err
 		}
 	}
@@ -119,7 +119,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return errors.Wrapf(errUnexpectedStatus, "status %d", resp.StatusCode)
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// throughput sends as fast as the callers get answers, for a bounded time.
+// measureThroughput runs a closed loop of calls for throughputDuration: each client sends
+// its next call when the previous one has completed.
 func (o *overhead) measureThroughput(ctx context.Context, url string) error {
 	var tasks sync.WaitGroup
 	var ran, failed atomic.Int64
@@ -164,7 +165,7 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&address, "operators", "", "operators' address of a daemon")
+	cmd.Flags().StringVar(&address, "operators", "", "address for operators of a daemon")
 	return cmd
 }
 
--- a/cmd/balsamlab/serve.go
+++ b/cmd/balsamlab/serve.go
@@ -24,7 +24,7 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// storeBound bounds one call to the stand-in of the store.
+	// storeTimeout is the timeout of one call to the stand-in store.
 	storeTimeout = 5 * time.Second
 )
 
@@ -43,7 +43,8 @@
 	return l.Addr().String(), nil
 }
 
-// announce writes the address to a file that a script waits for, or prints it.
+// announce writes text to a file that a script waits for, or prints it if file is empty.
+// The file is renamed into place, so that the script never reads a partial file.
 func announce(file, text string) error {
 	if file == "" {
 		fmt.Println(text)
@@ -86,7 +87,7 @@
 	host := membership.Host{State: membership.HostLive}
 	cmd := &cobra.Command{
 		Use:   "host",
-		Short: "Write one line of the host list into the platform's store",
+		Short: "Write one entry of the host list to the platform's store",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), storeTimeout)
@@ -98,7 +99,7 @@
 	cmd.Flags().StringVar(&url, "platform", "", "the platform's URL")
 	cmd.Flags().StringVar(&host.Name, "name", "", "the host's name")
 	cmd.Flags().StringVar(&host.Zone, "zone", "", "the host's zone")
-	cmd.Flags().StringVar(&host.Peers, "peers", "", "the host's peers address")
+	cmd.Flags().StringVar(&host.Peers, "peers", "", "the host's address for peers")
 	return cmd
 }
 
@@ -110,7 +111,7 @@
 		Use:   "upstreams CONFIG",
 		Short: "Serve the upstreams of a configuration on ports that the system picks",
 		Long: "Serves the upstreams of a configuration on ports that the system picks, and writes a\n" +
-			"merge patch with their addresses. Upstreams beyond --per-service are taken out by it.",
+			"merge patch with their addresses. The patch removes upstreams beyond --per-service.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			ctx, stop := signalContext()
@@ -130,10 +131,10 @@
 			return reportUpstreams(file, workers)
 		},
 	}
-	cmd.Flags().StringVar(&file, "report", "", "file to write what the upstreams saw to, at the end")
+	cmd.Flags().StringVar(&file, "report", "", "file to write the request counts of the upstreams to, at exit")
 	cmd.Flags().StringVar(&patch, "announce", "", "file to write the merge patch to")
-	cmd.Flags().IntVar(&perService, "per-service", 12, "how many upstreams of each service to serve")
-	cmd.Flags().DurationVar(&serviceTime, "service-time", 5*time.Millisecond, "mean time of one request")
+	cmd.Flags().IntVar(&perService, "per-service", 12, "number of upstreams to serve for each service")
+	cmd.Flags().DurationVar(&serviceTime, "service-time", 5*time.Millisecond, "mean service time of a request")
 	return cmd
 }
 
