--- a/spec/confirm.pml
+++ b/spec/confirm.pml
@@ -1,26 +1,26 @@
 /*
- * How hosts confirm to each other what the store holds.
+ * How hosts confirm the state of the store to each other.
  *
- * The store's version rises by one with each withdrawal of a key. A watcher reads
- * the store and knows as of when its reading certainly holds: when it asked. Another
- * host asks the watcher for what it knows and its age. Where that is the same as it
- * knows itself, it takes the answer for the time of the question less the age. Any
- * message may be on its way for as long as it likes, and the host may be killed and
- * start again with the same address while an answer is on its way to it.
+ * The store's version increases by one with each withdrawal of a key. A watcher reads
+ * the store; its state is valid as of the time at which it sent the read. Another host
+ * requests the digest of the watcher's state and the age of that state. If the digest
+ * matches the host's own state, the host's state is valid as of the time at which it sent
+ * the request, less the age. Messages may be delayed without limit, and the host may be
+ * killed and restarted at the same address while a response to it is in flight.
  *
- * Checked by assertions: a host that says that it knows what the store held at some
- * time knows every version that the store had by then.
+ * Checked by assertions: a host whose state is valid as of some time has every version
+ * that the store had by then.
  *
  * Broken variants, which must be refuted:
- *   AS_OF_ANSWER  the host takes an answer for the time at which it comes;
- *   NO_AGE        it takes it for the time of the question;
- *   READ_AT_END   the watcher takes its reading for the time at which it comes;
- *   ID_FROM_ONE   each process numbers its questions from one.
+ *   AS_OF_ANSWER  the host's state is valid as of the time at which a response arrives;
+ *   NO_AGE        the host's state is valid as of the time of the request, without the age;
+ *   READ_AT_END   the watcher's state is valid as of the time at which its read completes;
+ *   ID_FROM_ONE   each process numbers its requests from one.
  */
 #define LENGTH 4    /* ticks */
 #define VERSIONS 2
 #define PROCESSES 1 /* kills */
-#define QUESTIONS 3 /* of all processes together */
+#define QUESTIONS 3 /* requests of all processes together */
 #define NONE 255
 
 byte now;
@@ -32,14 +32,14 @@
 
 byte hostHas = 1;
 byte hostAt;
-byte process;          /* how often the host was killed */
-byte asked = NONE;     /* when the question left that has no answer yet */
-byte question;         /* its id */
-byte last;             /* the id given out last */
+byte process;          /* number of times that the host was killed */
+byte asked = NONE;     /* when the pending request was sent */
+byte question;         /* ID of the pending request */
+byte last;             /* last ID that was assigned */
 byte questions;
-bool told;             /* the question was answered; the answer may be on its way */
+bool told;             /* the watcher has responded; the response may be in flight */
 
-/* at most two answers are on their way: id, digest, age */
+/* At most two responses are in flight: ID, digest, age. */
 chan answers = [2] of { byte, byte, byte };
 
 inline holds(has, at) {
@@ -72,7 +72,7 @@
   od
 }
 
-/* The changes that the host lacks come from the watcher, whenever they like. */
+/* The host receives missing changes from the watcher at any time. */
 proctype Changes() {
 end:
   do
@@ -86,7 +86,7 @@
   do
   :: atomic { asked == NONE && questions < QUESTIONS -> questions++; last++; question = last; asked = now; told = false }
   :: atomic { asked != NONE && nfull(answers) && !told -> told = true; answers!question, watcherHas, now - watcherAt }
-  :: atomic { asked != NONE && now > asked + 1 -> asked = NONE } /* given up */
+  :: atomic { asked != NONE && now > asked + 1 -> asked = NONE } /* the request times out */
   :: atomic {
        answers??id, digest, age ->
        if
@@ -110,7 +110,7 @@
        process < PROCESSES ->
        process++;
        asked = NONE;
-       hostHas = watcherHas; /* read anew */
+       hostHas = watcherHas; /* the restarted host reads its state again */
        hostAt = 0;
 #ifdef ID_FROM_ONE
        last = 0;
--- a/spec/loans.pml
+++ b/spec/loans.pml
@@ -1,11 +1,13 @@
-/* A quota of two tokens over two slots. Daemon A holds one under a lease and
- * lends its part to B, which holds the other. H takes A's slot over once the
- * lease has lapsed. Messages may be lost, repeated and late; A may crash or be
- * paused past its lease; B's reading of the clock may be a tick old when it
- * spends. ref is one bucket for the whole quota: every spend must be covered
- * by it, and the tokens of all together must be no more than it holds.
+/* A quota of two tokens over two slots. Daemon A holds one slot under a lease
+ * and lends its share to B, which holds the other slot. H takes A's slot after
+ * the lease has expired. Messages may be lost, duplicated and delayed; A may
+ * crash or be suspended past its lease; B's clock value may be one tick old
+ * when B spends a token. ref is a single token bucket for the full quota: every
+ * spent token must be available in it, and the tokens of all daemons together
+ * must not exceed its level.
  *
- * The refuted variants each take one guard away; see broken.txt.
+ * Each broken variant, which must be refuted, removes one safeguard; see
+ * broken.txt.
  */
 #define QUOTA 2
 #define HORIZON 6
@@ -24,22 +26,24 @@
 
 byte now, ref = QUOTA;
 
-/* A: its lease as it counts it, its bucket, and what it has lent. */
+/* A: the end of its lease by its own clock, the level of its bucket, and the
+ * loan that it has granted. */
 bool aAlive = true;
 byte aLease = LEASE, aLevel = 1;
 bool lent;
 byte lentId, lentUntil, lentWorth;
 
-/* B: its bucket, its reading of the clock, what it borrowed and asked for. */
+/* B: its clock value, the level of its bucket, the loan that it has borrowed,
+ * and the pending request. */
 byte bRead, bLevel = 1;
 bool borrowed;
 byte loanId, loanUntil, pending, asked, lastId;
 
-/* H: the slot after A. */
+/* H: the next holder of A's slot. */
 bool taken;
 byte hFrom, hLevel;
 
-/* Messages; each stays and may be received again until it is lost. */
+/* Messages. Each may be received repeatedly until it is lost. */
 bool ask, grant, repay;
 byte askId, askSent;
 byte grantId, grantTokens, grantSent;
@@ -58,7 +62,7 @@
 inline earn(level) { level++; if :: ref < QUOTA -> ref++ :: else fi }
 inline spend(level) { assert(ref > 0); level--; ref-- }
 
-/* settle drops what lies above the capacities and ends A's loan. */
+/* settle ends expired loans and discards tokens above the bucket capacities. */
 inline settle() {
   if :: lent && now >= lentUntil -> lent = false; lentId = 0; lentUntil = 0; lentWorth = 0 :: else fi;
   if :: !aCap -> aLevel = 0 :: else fi;
@@ -72,8 +76,9 @@
   if :: now - bRead > 1 -> bRead = now - 1 :: else fi
 }
 
-/* lend answers an ask: the free part, if any, and the token in it. An ask for
- * the loan that runs extends it, unless the slot under it is lost. */
+/* lend responds to a loan request: it grants A's share, if that is not lent,
+ * with the token in it. A request for the current loan extends the loan,
+ * unless A has lost the slot. */
 inline lend() {
   if
 #ifdef LOANS_EXTEND_LOST_SHARE
@@ -90,8 +95,9 @@
   fi
 }
 
-/* receiveGrant takes the answer to the last ask about a loan that B has not
- * closed since, if its term, counted from before the ask left, still runs. */
+/* receiveGrant accepts a grant only if it responds to the last request, for a
+ * loan that B has not closed since, and if the loan's term, which starts when
+ * the request was sent, has not ended. */
 inline receiveGrant() {
   if
 #ifndef LOANS_ANY_ANSWER
@@ -110,8 +116,8 @@
   fi
 }
 
-/* close gives the loan back with the token above B's own part; B never uses
- * its id again, nor hears an answer for it. */
+/* close returns the loan with the token above B's own share. B never uses the
+ * loan's ID again, and ignores later responses for it. */
 inline close() {
   repay = true; repayId = loanId; repayTokens = (bLevel > 1 -> 1 : 0);
   bLevel = bLevel - repayTokens; borrowed = false; loanId = 0; loanUntil = 0; pending = 0
--- a/spec/posting.pml
+++ b/spec/posting.pml
@@ -1,81 +1,82 @@
 /*
- * Postings run at most once, over entry hosts.
+ * Postings run at most once across all entry hosts.
  *
- * One posting id. Its prefix names host OWNER and epoch 0. Two callers (the
- * same customer's phone and its retry, say) ask at any host, each a few times.
- * A host that is not the named one relays to it, or to the host that took its
- * memory over; if neither is reached the answer is outcome-unknown.
+ * The model has one posting ID. Its prefix names host OWNER and epoch 0. Two
+ * callers (for example a client and its retry) send the posting to any host,
+ * each several times. A host that is not the owner relays the posting to the
+ * owner, or to the host to which the owner's table was transferred. If it
+ * reaches neither, the response is outcome-unknown.
  *
- *   crash      the owner dies at any moment; its memory is gone
- *   stop       the owner closes its table (no new runs), waits until what runs
- *              has ended, hands the table to NEXT, dies
- *   restart    a new instance appears on the owner's host, with another name
- *   lost       any answer, of the upstream or of a relay, may be lost; then
- *              the asker is told may-have-run
- *   epochs     time passes: an epoch is forgotten, with its records
+ *   crash      the owner crashes at any time and loses its table
+ *   stop       the owner closes its table (no new runs), waits until running
+ *              postings have ended, transfers the table to NEXT and exits
+ *   restart    a new instance starts on the owner's host, under another name
+ *   lost       any response of the upstream or of a relay may be lost; then
+ *              the caller receives may-have-run
+ *   epochs     an epoch expires, and its records are removed
  *
  * Checked:
  *   - the upstream runs the posting at most once;
- *   - a not-run answer is true for ever: the attempt that was answered not-run
- *     has not run it and never will; and where the owner's memory (or its
- *     successor) calls the id not-run, no attempt has run it nor will.
+ *   - a not-run response stays true: the attempt that got it has not run the
+ *     posting and never will; and if the owner's table (or its successor's)
+ *     reports the ID as not run, no attempt has run it or will run it.
  *
  * Broken variants, each of which must be refuted:
- *   PREFIX_IGNORED    a host runs the posting itself if the owner is gone
- *   RESTART_RUNS      the new instance takes the old one's prefix for its own
- *   ABANDON_IN_DOUBT  a run whose answer was lost is taken out of the table
- *   EARLY_HANDOVER    the table goes over, without what still runs, before
- *                     the running ones have ended
- *   FORGOTTEN_RUNS    an id of a forgotten epoch counts as new
- *   OPEN_TABLE        the table is not closed before it is handed over
+ *   PREFIX_IGNORED    a host runs the posting itself if the owner is absent
+ *   RESTART_RUNS      the new instance treats the old instance's prefix as its own
+ *   ABANDON_IN_DOUBT  a run whose response was lost is removed from the table
+ *   EARLY_HANDOVER    the table is transferred before running postings have
+ *                     ended, and without them
+ *   FORGOTTEN_RUNS    an ID of an expired epoch counts as new
+ *   OPEN_TABLE        the table is not closed before it is transferred
  */
 
 #define TRIES 2
 
-mtype = { absent, running, ended, doubt };       /* record of the id */
-mtype = { ran, notRun, mayHaveRun };             /* what a caller is told */
+mtype = { absent, running, ended, doubt };       /* record of the ID */
+mtype = { ran, notRun, mayHaveRun };             /* outcome that a caller receives */
 
-mtype record = absent;       /* the owner's memory */
-mtype archive = absent;      /* what NEXT was handed */
+mtype record = absent;       /* the owner's table */
+mtype archive = absent;      /* the record that was transferred to NEXT */
 bool ownerAlive = true;
 bool sealed = false;
-bool taken = false;          /* NEXT answers for the owner */
+bool taken = false;          /* NEXT has the owner's table */
 bool restarted = false;
-bool forgotten = false;      /* the id's epoch is older than is remembered */
-byte runs = 0;               /* how often the upstream ran the posting */
-byte dispatching = 0;        /* dispatches on their way to the upstream */
-bool denied = false;         /* someone was told that the id never ran */
+bool forgotten = false;      /* the ID's epoch has expired */
+byte runs = 0;               /* number of times that the upstream ran the posting */
+byte dispatching = 0;        /* dispatches in flight to the upstream */
+bool denied = false;         /* a caller was told that the ID never ran */
 
-/* The upstream runs a dispatch some time after it was sent, or never. */
+/* The upstream runs a dispatch at some time after it was sent, or never. */
 inline dispatch(outcome) {
 	dispatching++;
 	if
-	:: atomic {                    /* refused before anything was sent */
+	:: atomic {                    /* rejected before anything was sent */
 		dispatching--;
 		outcome = notRun
 	}
-	:: atomic {                    /* it runs, the answer comes back */
+	:: atomic {                    /* it runs, the response arrives */
 		runs++;
 		dispatching--;
 		assert(runs <= 1);
 		assert(!denied);
 		outcome = ran
 	}
-	:: atomic {                    /* it runs, the answer is lost */
+	:: atomic {                    /* it runs, the response is lost */
 		runs++;
 		dispatching--;
 		assert(runs <= 1);
 		assert(!denied);
 		outcome = mayHaveRun
 	}
-	:: atomic {                    /* the answer is lost before it runs */
+	:: atomic {                    /* the sender gives up before it runs */
 		outcome = mayHaveRun;
 		late = true
 	}
 	fi
 }
 
-/* A dispatch whose sender has given up may still run. */
+/* A dispatch that its sender has abandoned may still run. */
 inline runLate() {
 	if
 	:: atomic {
@@ -104,7 +105,7 @@
 		mine = false;
 		told = mayHaveRun;
 		if
-		/* The request reaches the named instance, directly or relayed. */
+		/* The request reaches the owner, directly or through a relay. */
 		:: atomic {
 			ownerAlive ->
 			if
@@ -116,12 +117,12 @@
 #endif
 			:: !forgotten && record == absent && sealed ->
 				told = notRun; denied = true; assert(runs == 0 && dispatching == 0)
-			:: record == running -> told = mayHaveRun   /* waits, gives up */
+			:: record == running -> told = mayHaveRun   /* waits until a timeout */
 			:: record == ended -> told = ran
 			:: record == doubt -> told = mayHaveRun
 			fi
 		}
-		/* The owner is gone and NEXT answers for it. */
+		/* The owner has exited and NEXT has its table. */
 		:: atomic {
 			!ownerAlive && taken ->
 			if
@@ -132,7 +133,7 @@
 			:: !forgotten && archive == doubt -> told = mayHaveRun
 			fi
 		}
-		/* Nobody is reached, or the new instance is. */
+		/* No host with the table is reached, or only the new instance is. */
 		:: atomic {
 #ifdef PREFIX_IGNORED
 			!ownerAlive && !taken -> mine = true
@@ -148,7 +149,7 @@
 		if
 		:: mine ->
 			dispatch(got);
-			/* The dispatching host keeps how it ended, if it still lives. */
+			/* The dispatching host records the outcome, if it still runs. */
 			atomic {
 				if
 				:: ownerAlive && record == running && got == ran -> record = ended
@@ -177,7 +178,7 @@
 	od
 }
 
-/* The owner crashes, or is stopped as planned. */
+/* The owner crashes, or stops as planned. */
 proctype Owner() {
 	if
 	:: ownerAlive = false
@@ -188,12 +189,12 @@
 #ifndef EARLY_HANDOVER
 		if
 		:: record != running
-		/* The bound of the stop is over, or it crashes meanwhile. */
+		/* The timeout of the stop expires, or the owner crashes meanwhile. */
 		:: true -> skip
 		fi;
 #endif
 		if
-		:: ownerAlive = false; goto end     /* nobody takes it */
+		:: ownerAlive = false; goto end     /* no host receives the table */
 		:: atomic {
 #ifdef EARLY_HANDOVER
 			archive = (record == running -> absent : record);
@@ -204,7 +205,7 @@
 		}
 		fi;
 		ownerAlive = false
-	:: skip                              /* it lives on */
+	:: skip                              /* the owner keeps running */
 	fi;
 end:
 	if
@@ -214,13 +215,13 @@
 	fi
 }
 
-/* The id's epoch passes out of memory, with its record. */
+/* The ID's epoch expires, and its record is removed. */
 proctype Time() {
 	atomic {
 		forgotten = true;
 		if
 		:: record != running -> record = absent
-		:: else -> record = absent         /* the run goes on without it */
+		:: else -> record = absent         /* the run continues without a record */
 		fi;
 		archive = absent
 	}
--- a/spec/slots.pml
+++ b/spec/slots.pml
@@ -1,25 +1,26 @@
-/* Custody of one quota slot by two daemons of one availability zone.
+/* Ownership of one quota slot by two daemons of one availability zone.
  *
- * The store's entry names the slot's holder and is not tied to a lease: it
- * outlives store outages. A daemon spends only after a compare-and-swap of
- * its own, sent since its last suspension, named it (again). It takes the
- * slot of another only after that one was silent in the zone for a long time
- * (longer than the bound on a late control tick). Whoever finds its tick late
- * (pause), or hears nobody at all (cut off), suspends itself before that.
- * Calls may take effect late, also after the caller gave up on the answer. An
- * outage of the store needs no state of its own: every read and every call may
- * wait for ever.
+ * The store's entry names the slot's holder and is not tied to a lease, so that
+ * it outlives store outages. A daemon spends tokens of the slot only after its
+ * own compare-and-swap, sent since its last suspension, has named it as the
+ * holder. It takes another daemon's slot only after that daemon has been
+ * unresponsive in the zone for the holder timeout, which is longer than the
+ * delay of a control tick that counts as a pause. A daemon that detects a late
+ * tick (pause), or receives no heartbeats at all (isolation), suspends itself
+ * before that. Calls may take effect late, also after the caller has stopped
+ * waiting for the response. A store outage needs no state of its own, because
+ * every read and every call may be delayed without limit.
  *
- * Assumption: daemons of a zone hear each other unless dead, paused or cut
- * off from everything.
+ * Assumption: daemons of a zone receive each other's heartbeats unless they
+ * have crashed, are paused, or are isolated from all other daemons.
  *
- * Broken variants:
- *  NO_LATE_TICK   a paused holder goes on when it wakes
- *  NO_CUT_CHECK   a holder that hears nobody goes on
- *  NO_WAIT        a taker does not wait out the silence
- *  LOST_IS_UNDONE a grant without an answer counts as not made
- *  READ_CONFIRMS  a woken holder goes on after a read instead of a swap
- *  STALE_ANSWER   an answer to a call from before the suspension counts
+ * Broken variants, which must be refuted:
+ *  NO_LATE_TICK   a paused holder keeps spending when it resumes
+ *  NO_CUT_CHECK   an isolated holder keeps spending
+ *  NO_WAIT        a daemon takes a slot without waiting for the holder timeout
+ *  LOST_IS_UNDONE a slot transfer without a response counts as not executed
+ *  READ_CONFIRMS  a resumed holder spends after a read instead of a swap
+ *  STALE_ANSWER   a response to a call from before the suspension counts
  */
 #define DAEMONS 2
 #define NOBODY 2
@@ -29,21 +30,21 @@
 mtype = { RUN, PAUSED, CUT, DEAD }
 
 typedef Call {
-	bool sent;   /* on its way, or taken and not yet answered */
-	bool taken;  /* the store acted on it */
+	bool sent;   /* in flight, or executed and without a response so far */
+	bool taken;  /* the store has executed it */
 	bool ok;
-	byte at;     /* revision that is to be replaced */
+	byte at;     /* expected revision */
 	byte to      /* new holder; NOBODY deletes the entry */
 }
 
 mtype mode[DAEMONS];
-bool silent[DAEMONS];  /* unheard for the taker's bound */
+bool silent[DAEMONS];  /* unresponsive for the holder timeout */
 bool spends[DAEMONS];
 bool fresh[DAEMONS];   /* the current call was sent since the last suspension */
 byte seenHolder[DAEMONS];
 byte seenAt[DAEMONS];
-Call now[DAEMONS];     /* the call that is waited for */
-Call late;             /* a call given up on, which may yet take effect */
+Call now[DAEMONS];     /* the call whose response is pending */
+Call late;             /* an abandoned call, which may still take effect */
 
 byte holder = NOBODY;
 byte revision = 0;     /* 0: no entry */
@@ -101,7 +102,7 @@
 proctype daemon(byte d) {
 	byte other;
 	do
-	/* Read the store; drop a slot that is another's. */
+	/* Read the store; stop spending if another daemon holds the slot. */
 	:: atomic { mode[d] == RUN && !now[d].sent ->
 		seenHolder[d] = holder;
 		seenAt[d] = revision;
@@ -116,10 +117,10 @@
 		fi;
 #endif
 		check() }
-	/* Claim a free slot, or confirm one that is this daemon's by the store. */
+	/* Claim a free slot, or confirm a slot that this daemon holds in the store. */
 	:: atomic { mode[d] == RUN && !now[d].sent && !spends[d] &&
 		seenAt[d] != UNREAD && (seenHolder[d] == NOBODY || seenHolder[d] == d) -> send(d, d) }
-	/* Take the slot of a daemon that was silent for the bound. */
+	/* Take the slot of a daemon that was unresponsive for the holder timeout. */
 	:: atomic { mode[d] == RUN && !now[d].sent && seenHolder[d] != NOBODY && seenHolder[d] != d ->
 		other = seenHolder[d];
 #ifdef NO_WAIT
@@ -132,7 +133,7 @@
 		:: else -> skip
 		fi;
 		other = 0 }
-	/* Stop spending, then grant the slot to another or delete the entry. */
+	/* Stop spending, then transfer the slot to the other daemon or delete the entry. */
 	:: atomic { mode[d] == RUN && !now[d].sent && spends[d] && seenHolder[d] == d ->
 		if
 		:: other = 1 - d
@@ -141,7 +142,7 @@
 		spends[d] = false;
 		send(d, other);
 		other = 0 }
-	/* The answer arrives. */
+	/* The response arrives. */
 	:: atomic { mode[d] == RUN && now[d].taken ->
 		if
 		:: now[d].ok && now[d].to == d && fresh[d] -> spends[d] = true
@@ -149,7 +150,7 @@
 		fi;
 		clear(now[d]);
 		check() }
-	/* The answer is lost or too late; the call may yet take effect. */
+	/* The response is lost or too late; the call may still take effect. */
 	:: atomic { mode[d] == RUN && now[d].sent && !late.sent ->
 #ifdef LOST_IS_UNDONE
 		if
--- a/spec/spread.pml
+++ b/spec/spread.pml
@@ -1,20 +1,22 @@
 /*
- * How accepted versions of the configuration spread.
+ * How accepted versions of the configuration propagate.
  *
- * The store's version rises by one with each change (see submit.pml). Three
- * daemons read the store, with answers that may be old by the time they
- * arrive, pull from each other, crash and start cold. The store can go out at
- * any time. A cold daemon is ready after it has the store's version or, while
- * the store is out, after it has asked every peer.
+ * The store's version increases by one with each change (see submit.pml).
+ * Three daemons read the store, with responses that may be outdated when they
+ * arrive, pull versions from each other, crash, and restart without a version.
+ * The store can become unavailable at any time. A restarted daemon becomes
+ * ready after it has read the store's version or, while the store is
+ * unavailable, after it has queried every peer.
  *
- * Checked by assertions: a version in force never goes back, and a daemon
- * that becomes ready is not below what the store held or, while that is out,
- * what any running peer had when it began to ask.
+ * Checked by assertions: the active version of a daemon never decreases; and
+ * a daemon that becomes ready has at least the version that the store had or,
+ * while the store is unavailable, that any running peer had, when the daemon
+ * sent its first query.
  *
  * Broken variants, which must be refuted:
- *   ADOPT_ANY      a daemon adopts whatever version it reads;
- *   READY_AT_ONCE  a daemon is ready with the first version that it hears;
- *   ASK_ONE        a daemon that starts while the store is out asks one peer.
+ *   ADOPT_ANY      a daemon applies whatever version it reads;
+ *   READY_AT_ONCE  a daemon is ready with the first version that it receives;
+ *   ASK_ONE        a daemon that starts during a store outage queries one peer.
  */
 #define DAEMONS 3
 #define VERSIONS 3
@@ -24,7 +26,7 @@
 byte outages = 1;
 byte crashes = 2;
 byte have[DAEMONS];
-byte highest[DAEMONS]; /* what each has had since it started */
+byte highest[DAEMONS]; /* highest version of each daemon since its start */
 bool up[DAEMONS];
 bool ready[DAEMONS];
 
@@ -43,8 +45,9 @@
   highest[d] = have[d]
 }
 
-/* What d must reach of each peer, and (at its own place) of the store, as of
- * when it began to ask. A peer that crashes meanwhile cannot be reached. */
+/* The version that d must reach before it is ready: of each peer, and at index
+ * d of the store, as of d's first query. A peer that crashes meanwhile is
+ * excluded. */
 byte need[DAEMONS * DAEMONS];
 #define NEED(d, p) need[(d) * DAEMONS + (p)]
 
@@ -84,7 +87,7 @@
   :: up[d] && !ready[d] ->
     atomic { require(d); answer = 0 }
     if
-    :: atomic { !out -> answer = version } /* the store's answer leaves */
+    :: atomic { !out -> answer = version } /* the store sends its response */
        atomic { adopt(d, answer); serve(d); answer = 0 }
     :: atomic { out -> require(d) }
        atomic { if :: up[PEER1(d)] -> adopt(d, have[PEER1(d)]) :: else -> skip fi }
--- a/spec/submit.pml
+++ b/spec/submit.pml
@@ -1,21 +1,22 @@
 /*
- * One submission of a configuration change: a value in a store with
- * compare-and-swap, and operators that race each other.
+ * Submission of configuration changes by concurrent operators to a store with
+ * compare-and-swap.
  *
  * Two operators submit one change each. A submission reads the store and
- * writes version base+1 with the change's id. The write may be lost, its answer
- * may be lost, and a write may arrive late. While it does not know, the
- * operator submits again with the same id. The store can go out. How the
- * versions then spread is in spread.pml.
+ * writes version base+1 with the change's ID. The write may be lost, its
+ * response may be lost, and a write may arrive late. While the outcome is
+ * unknown, the operator submits again with the same ID. The store can become
+ * unavailable. spread.pml models how versions propagate afterwards.
  *
- * change[v] is whose change made version v, so the document at version n holds
- * change[1..n]. Checked by assertions: an acknowledged change is at its version
- * for ever and at no other; a change answered as refused never takes effect.
+ * change[v] is the operator whose change made version v, so the document at
+ * version n contains change[1..n]. Checked by assertions: an acknowledged
+ * change stays at its version and occurs at no other; a change that was
+ * reported as rejected never takes effect.
  *
  * Broken variants, which must be refuted:
- *   NO_CHANGE_ID   a submission does not look for its own id;
- *   DOUBT_DROPPED  a submission after an unknown outcome that finds the store
- *                  out is answered as not applied;
+ *   NO_CHANGE_ID   a submission does not search for its own ID;
+ *   DOUBT_DROPPED  a submission after an unknown outcome is reported as not
+ *                  applied if the store is unavailable;
  *   NO_COMPARE     the store writes without comparing the version.
  */
 #define OPERATORS 2
@@ -25,12 +26,12 @@
 byte version;
 byte change[VERSIONS + 1];
 bool out;
-bool inFlight[OPERATORS]; /* a write that may still arrive */
-byte acked[OPERATORS];    /* the version acknowledged, 0: none */
+bool inFlight[OPERATORS]; /* a delayed write that may still arrive */
+byte acked[OPERATORS];    /* the acknowledged version; 0: none */
 bool refused[OPERATORS];
 byte outages = 2;
 
-/* The base of both operators: the version they read before they began. */
+/* The base of both operators: the version that they read before submitting. */
 #define BASE 0
 
 inline write(who, took) {
@@ -89,7 +90,7 @@
          if
          :: at > 0 -> acked[op] = at
          :: at == 0 && version != BASE -> refused[op] = true
-         :: at == 0 && version == BASE -> skip /* open: write below */
+         :: at == 0 && version == BASE -> skip /* not decided: write below */
          fi;
          check()
        }
