--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# make demo   runs the whole path on stand-ins, for both deployments
-# make calm   plays a calm day of the users' platform on stand-ins
-# make check  runs everything that CI runs
+# make demo   runs a full fleet against stand-ins, for both deployments
+# make calm   runs entry hosts against stand-ins of the users' platform, without faults
+# make check  runs the same checks as CI
 .PHONY: calm demo check format vet lint build test model bench fuzz measure soak
 
 BIN := .bin
@@ -43,7 +43,7 @@
 measure:
 	BALSAM_MEASURE=1 go test -count=1 -p 1 -v -timeout 60m -run 'Measure' ./...
 
-# make soak SEEDS=50 FIRST=100 SPAN=8s
+# Example: make soak SEEDS=50 FIRST=100 SPAN=8s
 SEEDS ?= 50
 FIRST ?= 1
 SPAN ?= 8s
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the whole path on stand-ins: a platform, upstreams, one daemon in each
-# zone of a configuration, balsamctl, callers. Prints what callers received and
-# exits non-zero if any answer was wrong.
+# Runs a full fleet against stand-ins: a platform, upstreams, one daemon in each
+# zone of a configuration, balsamctl and callers. Prints a report of the responses
+# that callers received, and exits non-zero if a response was wrong, a posting ran
+# twice, a key reached an upstream, or a daemon did not stop cleanly.
 #
 # usage: scripts/demo.sh CONFIG [SECONDS]
 set -euo pipefail
@@ -13,7 +14,7 @@
 
 echo "== $config"
 start_fleet "$config"
-sleep 3 # buckets start empty and fill
+sleep 3 # token buckets start empty and need time to fill
 "$bin/balsamctl" --operators "$operators" fleet status
 status=0
 "$bin/balsamlab" callers "$config" --entry "$callers" --duration "${seconds}s" || status=$?
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,12 +1,14 @@
-# Starts and stops a fleet of stand-ins and daemons; sourced by demo.sh and
-# the measuring scripts. After start_fleet CONFIG [MERGE...], where each MERGE
-# is a merge patch to lay over the configuration, and with the flags of
-# `balsamlab upstreams` in upstream_flags; tracing=1 writes each daemon's spans
-# to $work/ZONE.spans:
-#   $work       folder with logs, removed by stop_fleet
+# Starts and stops a fleet of daemons and stand-ins. It is sourced by demo.sh and
+# the measurement scripts.
+#
+# start_fleet CONFIG [MERGE...] starts the fleet. Each MERGE is a merge patch that
+# is applied to the configuration. Before the call, upstream_flags may be set to
+# flags of `balsamlab upstreams`, and tracing=1 makes each daemon write its spans
+# to $work/ZONE.spans. After the call these variables are set:
+#   $work       directory with logs, removed by stop_fleet
 #   $platform   URL of the platform
 #   $zones      zones, one daemon in each
-#   $daemons    process ids of the daemons
+#   $daemons    process IDs of the daemons
 #   $operators, $callers   addresses of the first daemon
 bin="$PWD/.bin"
 pids=()
@@ -20,7 +22,7 @@
   rm -rf "$work"
 }
 
-# await FILE TEXT: waits until a file holds a text.
+# await FILE TEXT: waits until a file contains a text.
 await() {
   local _
   for _ in $(seq 200); do
@@ -31,7 +33,7 @@
   exit 1
 }
 
-# field NAME FILE: one value of a daemon's listening event.
+# field NAME FILE: prints one value of a daemon's "listening" log event.
 field() { grep -m1 'msg=listening' "$2" | tr ' ' '\n' | sed -n "s/^$1=//p"; }
 
 start_daemon() {
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs every fuzz target for a bounded time; new inputs that fail are written to
-# the package's testdata/fuzz, to be committed. CI runs the committed inputs
-# only (go test does), so that its verdict is the same on every run.
+# Runs every fuzz target for a limited time. New failing inputs are written to the
+# package's testdata/fuzz, to be committed. CI runs only the committed inputs, as
+# part of go test, so that its result is reproducible.
 #
 # usage: scripts/fuzz.sh [TIME]
 set -euo pipefail
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Regenerates the committed code of all messages. Needs protoc, and both
-# generators in .bin (see docs/DEVELOPMENT.md). The build does not need it.
+# Regenerates the committed Go code of all protobuf messages. Requires protoc, and
+# both generators in .bin (see docs/DEVELOPMENT.md). The build does not run it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 PATH="$PWD/.bin:$PATH"
--- a/scripts/model.sh
+++ b/scripts/model.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Checks the Promela models in spec/, four at a time. Each NAME.pml must hold.
-# For each line of spec/broken.txt ("NAME DEFINE") the model built with -DDEFINE
-# must be refuted, which shows that the check is able to fail.
+# Checks the Promela models in spec/ with spin, four at a time. Each NAME.pml must
+# hold. For each line of spec/broken.txt ("NAME DEFINE") the model built with
+# -DDEFINE must be refuted, which shows that the check can fail.
 #
 # usage: scripts/model.sh                check them all
-#        scripts/model.sh NAME [DEFINE]  check one
+#        scripts/model.sh NAME [DEFINE]  check one of them
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-# search NAME [DEFINE]: prints the report of a full search. pan exits 0 either
-# way, so the report is read.
+# search NAME [DEFINE]: prints the report of a full search. The callers match the
+# report, because pan exits with 0 also if it found an error.
 search() {
   local model="$PWD/spec/$1.pml" work
   work="$(mktemp -d)"
@@ -18,7 +18,7 @@
   rm -rf "$work"
 }
 
-# holds NAME: no error, and the search was not cut short.
+# holds NAME: checks that the search found no error and was complete.
 holds() {
   local report
   report="$(search "$1")"
@@ -30,6 +30,7 @@
   echo "model $1: holds, $(grep -m1 'states, stored' <<<"$report" | awk '{print $1}') states"
 }
 
+# refuted NAME DEFINE: checks that the search found an error.
 refuted() {
   local report
   report="$(search "$1" "$2")"
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures what a daemon adds to a call, against direct calls to the same
-# stand-in upstreams in the same run, and how many requests a core carries.
+# Measures the latency that a daemon adds to a call, compared with direct calls to
+# the same stand-in upstreams in the same run, and the throughput and processor time
+# of the daemon.
 #
 # usage: scripts/overhead.sh
 set -euo pipefail
@@ -14,7 +15,7 @@
 rm "$unbounded"
 sleep 3
 
-# cpu ADDRESS: processor seconds that the daemon has used.
+# cpu ADDRESS: prints the processor time that the daemon has used, in seconds.
 cpu() { "$bin/balsamlab" metric --operators "$1" process_cpu_seconds_total; }
 
 upstream="$(grep -o '"lookup-01":{"address":"[^"]*' "$work/addresses.json" | cut -d'"' -f6)"
--- a/scripts/style.sh
+++ b/scripts/style.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fails on what a linter does not see: comments that tell how a value was found or what was
-# measured, and the platform's words outside platform/.
+# Checks for style faults that the linters do not detect: comments that contain
+# measurements, and terms of the platform outside platform/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 code() { git ls-files '*.go' | grep -v '\.pb\.go$'; }
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. Tests named in KNOWN-RED.txt (one a
-# line: package, test, then the cause) are printed and passed over; nothing
-# else is.
+# Runs all tests with the race detector. Only tests that are listed in KNOWN-RED.txt
+# (one per line: package, test, then the cause) are skipped, and they are printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 skip=""
