--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -106,7 +106,7 @@
 		return nil, errors.Wrap(err, "standin: fetch entry hosts")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var response lookup.Answer
+	var response lookup.Response
 	if err := json.NewDecoder(resp.Body).Decode(&response); err != nil {
 		return nil, errors.Wrap(err, "standin: decode entry hosts")
 	}
