--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -28,7 +28,7 @@
 	runs := map[string][]upstreamRun{}
 	var limitedRuns []time.Time
 	for _, u := range s.upstreams {
-		for _, r := range u.worker.Runs() {
+		for _, r := range u.standIn.Runs() {
 			runs[r.ID] = append(runs[r.ID], upstreamRun{r, u})
 			if r.Customer == standin.RateLimitedCustomer {
 				limitedRuns = append(limitedRuns, r.At)
@@ -70,9 +70,9 @@
 	if r.key == standin.RateLimitedKey {
 		customer = standin.RateLimitedCustomer
 	}
-	for _, x := range runs {
-		if x.Customer != customer {
-			s.reporter.Errorf("%s: ran for %q", r.id, x.Customer)
+	for _, run := range runs {
+		if run.Customer != customer {
+			s.reporter.Errorf("%s: ran for %q", r.id, run.Customer)
 		}
 	}
 	if r.post && len(runs) > 1 {
@@ -88,9 +88,9 @@
 	case r.err != nil && len(runs) > 0 && s.undisturbed(r, runs):
 		s.reporter.Errorf("%s: cut off at %s after it had run, without an unplanned fault: %v", r.id, r.host.name, r.err)
 	}
-	for _, x := range runs {
-		if e := s.violatedEvacuation(x); e != nil && s.undisturbed(r, runs) {
-			s.reporter.Errorf("%s: ran in %s %v after its evacuation", r.id, e.zone, x.At.Sub(e.start))
+	for _, run := range runs {
+		if e := s.violatedEvacuation(run); e != nil && s.undisturbed(r, runs) {
+			s.reporter.Errorf("%s: ran in %s %v after its evacuation", r.id, e.zone, run.At.Sub(e.start))
 		}
 	}
 	if at := s.withdrawn[r.key]; !at.IsZero() && r.startedAt.Sub(at) > revocationDelay && len(runs) > 0 {
@@ -101,9 +101,9 @@
 // violatedEvacuation returns the evacuation that a run violated: the run was in the
 // evacuated zone, and later than evacuationDelay after the start. It returns nil if there
 // is none.
-func (s *cluster) violatedEvacuation(x upstreamRun) *evacuation {
+func (s *cluster) violatedEvacuation(run upstreamRun) *evacuation {
 	for i, e := range s.endedEvacuations {
-		if e.zone == x.upstream.zone && x.At.After(e.start.Add(evacuationDelay)) && x.At.Before(e.end) {
+		if e.zone == run.upstream.zone && run.At.After(e.start.Add(evacuationDelay)) && run.At.Before(e.end) {
 			return &s.endedEvacuations[i]
 		}
 	}
@@ -114,14 +114,14 @@
 // and the upstreams that ran it had no fault, and it took less than 1.9 s, so that the
 // route's timeout of 2 s did not end it.
 func (s *cluster) undisturbed(r callerRequest, runs []upstreamRun) bool {
-	duringRequest := func(at time.Time) bool {
+	nearRequest := func(at time.Time) bool {
 		return !at.IsZero() && at.After(r.startedAt.Add(-faultSettleTime)) && at.Before(r.endedAt.Add(time.Second))
 	}
-	if duringRequest(r.host.faultedAt) || r.endedAt.Sub(r.startedAt) > 1900*time.Millisecond {
+	if nearRequest(r.host.faultedAt) || r.endedAt.Sub(r.startedAt) > 1900*time.Millisecond {
 		return false
 	}
-	for _, x := range runs {
-		if duringRequest(x.upstream.faultedUntil) || !x.upstream.faultedUntil.IsZero() {
+	for _, run := range runs {
+		if nearRequest(run.upstream.faultedUntil) || !run.upstream.faultedUntil.IsZero() {
 			return false
 		}
 	}
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -47,7 +47,7 @@
 // upstream is a stand-in upstream with its server. faultedUntil is the end of its last
 // disruption.
 type upstream struct {
-	worker       *standin.PlatformUpstream
+	standIn      *standin.PlatformUpstream
 	server       *httptest.Server
 	zone         string
 	sequence     int
@@ -60,6 +60,7 @@
 	start, end time.Time
 }
 
+// cluster is a fleet of entry hosts with its store and its upstreams.
 type cluster struct {
 	t        *testing.T
 	reporter reporter
@@ -122,8 +123,8 @@
 	for i, zone := range []string{"a1", "a2", "b1", "b1", "a1"} {
 		s.addUpstream(fmt.Sprint("i-", i), zone)
 	}
-	for i, kind := range fleet {
-		s.addProcess(fmt.Sprint("h", i), kind)
+	for i, host := range fleet {
+		s.addProcess(fmt.Sprint("h", i), host)
 	}
 	return s
 }
@@ -142,25 +143,25 @@
 }
 
 func (s *cluster) addUpstream(id, zone string) {
-	u := &upstream{worker: &standin.PlatformUpstream{ID: id, ServiceTime: 15 * time.Millisecond}, zone: zone}
-	u.server = httptest.NewServer(u.worker)
+	u := &upstream{standIn: &standin.PlatformUpstream{ID: id, ServiceTime: 15 * time.Millisecond}, zone: zone}
+	u.server = httptest.NewServer(u.standIn)
 	s.upstreams = append(s.upstreams, u)
 	s.writeRegistration(u)
 }
 
 func (s *cluster) writeRegistration(u *upstream) {
 	u.sequence++
-	s.store.Put("servers/"+u.worker.ID, u.worker.RegistryEntry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
+	s.store.Put("servers/"+u.standIn.ID, u.standIn.RegistryEntry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
 }
 
-func (s *cluster) addProcess(name string, kind hostConfig) {
+func (s *cluster) addProcess(name string, host hostConfig) {
 	p, err := newProxy(s.server.Listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	h := &daemonProcess{name: name, zone: kind.zone, proxy: p, settingsFile: filepath.Join(s.dir, name+".jsonc"), callerAddress: freeAddress(s.t, len(s.processes))}
+	h := &daemonProcess{name: name, zone: host.zone, proxy: p, settingsFile: filepath.Join(s.dir, name+".jsonc"), callerAddress: freeAddress(s.t, len(s.processes))}
 	text := standin.EntryHostSettings{
-		Name: name, Zone: kind.zone, CallerAddress: h.callerAddress, DirectoryAddress: "127.0.0.1:0", StoreAddress: p.address(), LinkMbps: kind.linkMbps,
+		Name: name, Zone: host.zone, CallerAddress: h.callerAddress, DirectoryAddress: "127.0.0.1:0", StoreAddress: p.address(), LinkMbps: host.linkMbps,
 		GracePeriod: 5 * time.Second, RevocationDelay: revocationDelay,
 	}.Encode()
 	if err := os.WriteFile(h.settingsFile, text, 0o600); err != nil {
@@ -194,14 +195,14 @@
 	if err := cmd.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	done := make(chan struct{})
+	exited := make(chan struct{})
 	h.mu.Lock()
-	h.cmd, h.exited = cmd, done
+	h.cmd, h.exited = cmd, exited
 	h.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
 		_ = out.Close()
-		close(done)
+		close(exited)
 	}()
 }
 
@@ -219,9 +220,9 @@
 // awaitExit waits until the current process has ended.
 func (h *daemonProcess) awaitExit() {
 	h.mu.Lock()
-	done := h.exited
+	exited := h.exited
 	h.mu.Unlock()
-	<-done
+	<-exited
 }
 
 func (h *daemonProcess) recordFault(now time.Time) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,7 +30,7 @@
 }
 
 // faultSettleTime is the time after a fault of a host or an upstream during which its
-// requests are not checked for interruptions.
+// requests are exempt from the checks for interruptions and evacuations.
 const faultSettleTime = 4 * time.Second
 
 // callerRequest is one request of a caller, with the response that the caller received.
@@ -203,8 +203,10 @@
 	}
 }
 
+// injectFault injects one fault and returns when it has ended. The kind decides which of
+// the other parameters are used.
 func (s *cluster) injectFault(kind int, h *daemonProcess, u *upstream, key string, m proxyMode, length time.Duration) {
-	s.logFault("%s: host %s, upstream %s, proxy mode %d, for %v", faultNames[kind], h.name, u.worker.ID, m, length)
+	s.logFault("%s: host %s, upstream %s, proxy mode %d, for %v", faultNames[kind], h.name, u.standIn.ID, m, length)
 	switch kind {
 	case 0:
 		s.stopAndRestart(h)
@@ -270,8 +272,8 @@
 	s.writeConfig()
 	s.withdrawn[key] = time.Now()
 	s.mu.Unlock()
-	// A withdrawn key is never granted again: a request that runs with it later than
-	// revocationDelay is a violation.
+	// A withdrawn key is never granted again, so length is not used. A request that runs
+	// with it later than revocationDelay is a violation.
 	_ = length
 }
 
@@ -298,8 +300,8 @@
 	s.mu.Lock()
 	u.faultedUntil = time.Now().Add(length)
 	s.mu.Unlock()
-	u.worker.SetHandler(abortResponse)
+	u.standIn.SetHandler(abortResponse)
 	time.Sleep(length / 2)
-	u.worker.SetHandler(nil)
+	u.standIn.SetHandler(nil)
 	u.closeConnections()
 }
--- a/internal/soak/violations_test.go
+++ b/internal/soak/violations_test.go
@@ -31,7 +31,7 @@
 	if key != "" {
 		r.Header.Set("Authorization", "Bearer "+key)
 	}
-	u.worker.ServeHTTP(httptest.NewRecorder(), r)
+	u.standIn.ServeHTTP(httptest.NewRecorder(), r)
 }
 
 // Guards against checks that cannot fail. Each case simulates what callers and
@@ -134,7 +134,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			reported := &recordingReporter{}
-			u := &upstream{worker: &standin.PlatformUpstream{ID: "i-0"}}
+			u := &upstream{standIn: &standin.PlatformUpstream{ID: "i-0"}}
 			s := &cluster{t: t, reporter: reported, upstreams: []*upstream{u}, withdrawn: map[string]time.Time{}}
 			s.check(c.simulate(s, u, callerRequest{id: "c1", key: "steady", host: &daemonProcess{name: "h0"}, startedAt: now, endedAt: now.Add(20 * time.Millisecond)}))
 			if c.wantError == "" {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -131,6 +131,7 @@
 	return r
 }
 
+// customerLoad sends the load of one customer.
 type customerLoad struct {
 	Load
 	client   *http.Client
@@ -163,6 +164,7 @@
 	return c.entries[c.rng.IntN(len(c.entries))]
 }
 
+// plannedRequest is one request of a load; sentSecond counts from the start of the load.
 type plannedRequest struct {
 	sentSecond int
 	entry      lookup.Entry
@@ -196,15 +198,15 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	took := time.Since(start)
+	latency := time.Since(start)
 	outcome := wire.Outcome(resp.Header.Get(wire.HeaderOutcome))
 	if outcome == wire.OutcomeRan {
-		c.report.recordResult(c.customer, string(outcome), p, took, err != nil || !isCompleteResponse(resp, p, body))
+		c.report.recordResult(c.customer, string(outcome), p, latency, err != nil || !isCompleteResponse(resp, p, body))
 		return
 	}
 	var problem wire.Problem
 	wrong := json.Unmarshal(body, &problem) != nil
-	c.report.recordResult(c.customer, problem.Type, p, took, wrong)
+	c.report.recordResult(c.customer, problem.Type, p, latency, wrong)
 	if problem.Type == wire.TypeOverRate {
 		c.report.recordRateRejection(p, admitted)
 	}
@@ -256,7 +258,7 @@
 	}
 }
 
-func (r *Report) recordResult(customer, outcome string, p plannedRequest, took time.Duration, wrong bool) {
+func (r *Report) recordResult(customer, outcome string, p plannedRequest, latency time.Duration, wrong bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Sent++
@@ -268,7 +270,7 @@
 	}
 	if outcome == string(wire.OutcomeRan) {
 		r.perCustomer[customer].ran++
-		_ = r.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros))
+		_ = r.latency.RecordValue(min(latency.Microseconds(), maxLatencyMicros))
 	}
 }
 
@@ -287,14 +289,14 @@
 // WorstServed returns the customer with the lowest fraction of requests that ran, and that
 // fraction.
 func (r *Report) WorstServed() (string, float64) {
-	worst, share := "", 2.0
+	worst, fraction := "", 2.0
 	for _, name := range slices.Sorted(maps.Keys(r.perCustomer)) {
 		s := r.perCustomer[name]
-		if s.sent > 0 && float64(s.ran)/float64(s.sent) < share {
-			worst, share = name, float64(s.ran)/float64(s.sent)
+		if s.sent > 0 && float64(s.ran)/float64(s.sent) < fraction {
+			worst, fraction = name, float64(s.ran)/float64(s.sent)
 		}
 	}
-	return worst, share
+	return worst, fraction
 }
 
 // Print writes the report as text.
@@ -305,8 +307,8 @@
 		line("  %-18s %d", outcome, r.Outcomes[outcome])
 	}
 	line("latency p50, p99     %v, %v", r.Quantile(50), r.Quantile(99))
-	name, share := r.WorstServed()
-	line("worst-served         %s: %.1f%% of its requests ran", name, 100*share)
+	name, fraction := r.WorstServed()
+	line("worst-served         %s: %.1f%% of its requests ran", name, 100*fraction)
 	line("wrongful refusals    %d of %d refusals for rate", r.WrongfulRejections, r.RateRejections)
 	line("wrong answers        %d", r.WrongResponses)
 }
