--- a/cmd/balsamlab/calm.go
+++ b/cmd/balsamlab/calm.go
@@ -86,29 +86,29 @@
 	return cmd
 }
 
-func (d *calmRun) run(ctx context.Context, duration time.Duration, perSecond int) error {
+func (c *calmRun) run(ctx context.Context, duration time.Duration, perSecond int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer d.killHosts()
-	if err := d.startAll(); err != nil {
+	defer c.killHosts()
+	if err := c.startAll(); err != nil {
 		return err
 	}
-	go d.runHeartbeats(ctx)
-	if err := d.awaitReady(); err != nil {
+	go c.runHeartbeats(ctx)
+	if err := c.awaitReady(); err != nil {
 		return err
 	}
-	d.send(duration, perSecond)
-	clean := d.stopHosts()
-	return d.printReport(clean)
+	c.send(duration, perSecond)
+	clean := c.stopHosts()
+	return c.printReport(clean)
 }
 
 // startAll starts the store, the upstreams and the hosts.
-func (d *calmRun) startAll() error {
+func (c *calmRun) startAll() error {
 	var err error
-	if d.storeAddress, err = serve("127.0.0.1:0", d.store); err != nil {
+	if c.storeAddress, err = serve("127.0.0.1:0", c.store); err != nil {
 		return err
 	}
-	d.store.Put("op/config", standin.PlatformConfig{Version: 1, Keys: []string{calmKey}}.Encode())
+	c.store.Put("op/config", standin.PlatformConfig{Version: 1, Keys: []string{calmKey}}.Encode())
 	zones := []string{"a1", "a2", "b1"}
 	for i := range calmUpstreams {
 		w := &standin.PlatformUpstream{ID: fmt.Sprint("i-", i), ServiceTime: calmServiceTime}
@@ -117,27 +117,27 @@
 			return err
 		}
 		zone := zones[i%len(zones)]
-		d.upstreams = append(d.upstreams, w)
-		d.registrations = append(d.registrations, func(sequence int) {
-			d.store.Put("servers/"+w.ID, w.RegistryEntry(standin.Service, address, zone, "ready", sequence))
+		c.upstreams = append(c.upstreams, w)
+		c.registrations = append(c.registrations, func(sequence int) {
+			c.store.Put("servers/"+w.ID, w.RegistryEntry(standin.Service, address, zone, "ready", sequence))
 		})
 	}
-	d.writeRegistrations(1)
+	c.writeRegistrations(1)
 	for i := range calmHosts {
-		if err := d.startHost(fmt.Sprint("host-", i), zones[i%len(zones)]); err != nil {
+		if err := c.startHost(fmt.Sprint("host-", i), zones[i%len(zones)]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *calmRun) writeRegistrations(sequence int) {
-	for _, register := range d.registrations {
+func (c *calmRun) writeRegistrations(sequence int) {
+	for _, register := range c.registrations {
 		register(sequence)
 	}
 }
 
-func (d *calmRun) runHeartbeats(ctx context.Context) {
+func (c *calmRun) runHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for sequence := 2; ; sequence++ {
@@ -145,7 +145,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.writeRegistrations(sequence)
+			c.writeRegistrations(sequence)
 		}
 	}
 }
@@ -154,15 +154,15 @@
 var startedLine = regexp.MustCompile(`msg=started .*callers=(\S+)`)
 
 // startHost starts one host and waits until it listens.
-func (d *calmRun) startHost(name, zone string) error {
-	file := filepath.Join(d.dir, name+".jsonc")
+func (c *calmRun) startHost(name, zone string) error {
+	file := filepath.Join(c.dir, name+".jsonc")
 	settings := standin.EntryHostSettings{
-		Name: name, Zone: zone, CallerAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0", StoreAddress: d.storeAddress, GracePeriod: calmGracePeriod, RevocationDelay: 5 * time.Second,
+		Name: name, Zone: zone, CallerAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0", StoreAddress: c.storeAddress, GracePeriod: calmGracePeriod, RevocationDelay: 5 * time.Second,
 	}.Encode()
 	if err := os.WriteFile(file, settings, 0o600); err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "write settings file")
 	}
-	cmd := exec.Command(d.daemon, "entry", file)
+	cmd := exec.Command(c.daemon, "entry", file)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return errors.Wrap(err, name)
@@ -170,14 +170,14 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, name)
 	}
-	d.processes = append(d.processes, cmd)
+	c.processes = append(c.processes, cmd)
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		match := startedLine.FindStringSubmatch(lines.Text())
 		if match == nil {
 			continue
 		}
-		d.callerAddresses = append(d.callerAddresses, match[1])
+		c.callerAddresses = append(c.callerAddresses, match[1])
 		// The rest of the log is discarded, so that the process never blocks on a full pipe.
 		go func() { _, _ = io.Copy(io.Discard, out) }()
 		return nil
@@ -185,10 +185,10 @@
 	return errors.Errorf("%s exited before it listened", name)
 }
 
-func (d *calmRun) awaitReady() error {
+func (c *calmRun) awaitReady() error {
 	end := time.Now().Add(calmStartTimeout)
-	for _, host := range d.callerAddresses {
-		for d.sendRequest(host, "ready-"+host, false) != http.StatusOK {
+	for _, host := range c.callerAddresses {
+		for c.sendRequest(host, "ready-"+host, false) != http.StatusOK {
 			if time.Now().After(end) {
 				return errors.Errorf("%s did not start to serve", host)
 			}
@@ -199,17 +199,17 @@
 }
 
 // send sends requests at a fixed rate, whether or not earlier ones have completed.
-func (d *calmRun) send(duration time.Duration, perSecond int) {
+func (c *calmRun) send(duration time.Duration, perSecond int) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var inFlight sync.WaitGroup
 	n := int(duration.Seconds() * float64(perSecond))
 	for i := range n {
-		host := d.callerAddresses[rng.IntN(len(d.callerAddresses))]
+		host := c.callerAddresses[rng.IntN(len(c.callerAddresses))]
 		inFlight.Go(func() {
-			status := d.sendRequest(host, fmt.Sprint("c-", i), i%4 == 0)
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.statusCounts[fmt.Sprint(status)]++
+			status := c.sendRequest(host, fmt.Sprint("c-", i), i%4 == 0)
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.statusCounts[fmt.Sprint(status)]++
 		})
 		time.Sleep(duration / time.Duration(n))
 	}
@@ -218,7 +218,7 @@
 
 // sendRequest sends one request and returns the status of the response, or 0 if there was
 // none.
-func (d *calmRun) sendRequest(host, id string, post bool) int {
+func (c *calmRun) sendRequest(host, id string, post bool) int {
 	method, path := http.MethodGet, standin.ReadPath
 	if post {
 		method, path = http.MethodPost, standin.PostPath
@@ -242,30 +242,30 @@
 		return 0
 	}
 	if resp.StatusCode == http.StatusOK && !strings.HasSuffix(string(body), " ran "+id) {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.wrongResponses++
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.wrongResponses++
 	}
 	return resp.StatusCode
 }
 
 // stopHosts stops all hosts as planned, with SIGTERM, and reports whether all exited with
 // code 0.
-func (d *calmRun) stopHosts() bool {
-	for _, p := range d.processes {
+func (c *calmRun) stopHosts() bool {
+	for _, p := range c.processes {
 		_ = p.Process.Signal(syscall.SIGTERM)
 	}
 	clean := true
-	for _, p := range d.processes {
+	for _, p := range c.processes {
 		clean = p.Wait() == nil && clean
 	}
-	d.processes = nil
+	c.processes = nil
 	return clean
 }
 
 // killHosts kills the hosts that still run after a failure.
-func (d *calmRun) killHosts() {
-	for _, p := range d.processes {
+func (c *calmRun) killHosts() {
+	for _, p := range c.processes {
 		_ = p.Process.Kill()
 		_ = p.Wait()
 	}
@@ -282,10 +282,10 @@
 	StoreCalls        map[string]int `json:"store_calls"`
 }
 
-func (d *calmRun) printReport(clean bool) error {
-	r := calmReport{Statuses: d.statusCounts, WrongResponses: d.wrongResponses, CleanStops: clean, StoreCalls: d.store.Calls()}
+func (c *calmRun) printReport(clean bool) error {
+	r := calmReport{Statuses: c.statusCounts, WrongResponses: c.wrongResponses, CleanStops: clean, StoreCalls: c.store.Calls()}
 	runs := map[string]int{}
-	for _, w := range d.upstreams {
+	for _, w := range c.upstreams {
 		for _, run := range w.Runs() {
 			if run.Key != "" {
 				r.KeysSeen++
@@ -297,14 +297,14 @@
 	}
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "encode report")
 	}
 	fmt.Println(string(text))
 	total := 0
-	for _, n := range d.statusCounts {
+	for _, n := range c.statusCounts {
 		total += n
 	}
-	tooManyFailed := float64(total-d.statusCounts["200"]) > calmMaxFailedFraction*float64(total)
+	tooManyFailed := float64(total-c.statusCounts["200"]) > calmMaxFailedFraction*float64(total)
 	if r.WrongResponses+r.DuplicatePostings+r.KeysSeen > 0 || tooManyFailed || !clean {
 		return errCalmFailed
 	}
--- a/cmd/balsamlab/compare.go
+++ b/cmd/balsamlab/compare.go
@@ -19,11 +19,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p.Versions = strings.Split(args[0], ",")
 			for _, text := range args[1:] {
-				s, err := compare.ParseDeployment(text)
+				deployment, err := compare.ParseDeployment(text)
 				if err != nil {
 					return err
 				}
-				p.Deployments = append(p.Deployments, s)
+				p.Deployments = append(p.Deployments, deployment)
 			}
 			for seed := first; seed < first+seeds; seed++ {
 				p.Seeds = append(p.Seeds, seed)
--- a/cmd/balsamlab/overhead.go
+++ b/cmd/balsamlab/overhead.go
@@ -110,7 +110,7 @@
 func (o *overhead) call(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+o.key)
 	resp, err := o.client.Do(req)
@@ -174,7 +174,7 @@
 func readMetric(ctx context.Context, address, name string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
-		return "", errors.Wrap(err, "request")
+		return "", errors.Wrap(err, "create request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -24,17 +24,17 @@
 
 // check compares the responses that callers received with the requests that the
 // upstreams ran.
-func (s *cluster) check(requests []callerRequest) {
+func (c *cluster) check(requests []callerRequest) {
 	runs := map[string][]upstreamRun{}
 	var limitedRuns []time.Time
-	for _, u := range s.upstreams {
+	for _, u := range c.upstreams {
 		for _, r := range u.standIn.Runs() {
 			runs[r.ID] = append(runs[r.ID], upstreamRun{r, u})
 			if r.Customer == standin.RateLimitedCustomer {
 				limitedRuns = append(limitedRuns, r.At)
 			}
 			if r.Key != "" {
-				s.reporter.Errorf("%s: an upstream saw the key", r.ID)
+				c.reporter.Errorf("%s: an upstream saw the key", r.ID)
 			}
 		}
 	}
@@ -46,65 +46,65 @@
 				succeeded++
 			}
 		}
-		s.checkRequest(r, runs[r.id])
+		c.checkRequest(r, runs[r.id])
 	}
-	s.reporter.Logf("%d requests; %d with the steady key, of which %d succeeded", len(requests), steady, succeeded)
+	c.reporter.Logf("%d requests; %d with the steady key, of which %d succeeded", len(requests), steady, succeeded)
 	if succeeded < steady/10 {
-		s.reporter.Errorf("only %d of %d requests with the steady key succeeded", succeeded, steady)
+		c.reporter.Errorf("only %d of %d requests with the steady key succeeded", succeeded, steady)
 	}
-	s.checkRate(limitedRuns)
-	if s.reporter.Failed() {
+	c.checkRate(limitedRuns)
+	if c.reporter.Failed() {
 		perSecond := map[string]int{}
 		for _, r := range requests {
 			if r.key == standin.RateLimitedKey && r.status == http.StatusOK {
 				perSecond[r.startedAt.Format("05")+" "+r.host.name]++
 			}
 		}
-		s.reporter.Logf("responses to the hot customer by second and host: %v", perSecond)
-		s.reporter.Logf("injected faults:\n%s", strings.Join(s.faultLog, "\n"))
+		c.reporter.Logf("responses to the hot customer by second and host: %v", perSecond)
+		c.reporter.Logf("injected faults:\n%s", strings.Join(c.faultLog, "\n"))
 	}
 }
 
-func (s *cluster) checkRequest(r callerRequest, runs []upstreamRun) {
+func (c *cluster) checkRequest(r callerRequest, runs []upstreamRun) {
 	customer := standin.UnlimitedCustomer
 	if r.key == standin.RateLimitedKey {
 		customer = standin.RateLimitedCustomer
 	}
 	for _, run := range runs {
 		if run.Customer != customer {
-			s.reporter.Errorf("%s: ran for %q", r.id, run.Customer)
+			c.reporter.Errorf("%s: ran for %q", r.id, run.Customer)
 		}
 	}
 	if r.post && len(runs) > 1 {
-		s.reporter.Errorf("%s: a posting ran %d times", r.id, len(runs))
+		c.reporter.Errorf("%s: a posting ran %d times", r.id, len(runs))
 	}
 	switch {
 	case r.err == nil && (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && len(runs) > 0:
-		s.reporter.Errorf("%s: refused with %d (%s) at %s, but it ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
+		c.reporter.Errorf("%s: refused with %d (%s) at %s, but it ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
 	case r.err == nil && r.status == http.StatusOK && !strings.HasSuffix(r.body, " ran "+r.id):
-		s.reporter.Errorf("%s: got an unexpected response: %q", r.id, r.body)
+		c.reporter.Errorf("%s: got an unexpected response: %q", r.id, r.body)
 	case r.err == nil && r.status == http.StatusUnauthorized && (r.key == "steady" || r.key == standin.RateLimitedKey):
-		s.reporter.Errorf("%s: key %s denied", r.id, r.key)
-	case r.err != nil && len(runs) > 0 && s.undisturbed(r, runs):
-		s.reporter.Errorf("%s: cut off at %s after it had run, without an unplanned fault: %v", r.id, r.host.name, r.err)
+		c.reporter.Errorf("%s: key %s denied", r.id, r.key)
+	case r.err != nil && len(runs) > 0 && c.undisturbed(r, runs):
+		c.reporter.Errorf("%s: cut off at %s after it had run, without an unplanned fault: %v", r.id, r.host.name, r.err)
 	}
 	for _, run := range runs {
-		if e := s.violatedEvacuation(run); e != nil && s.undisturbed(r, runs) {
-			s.reporter.Errorf("%s: ran in %s %v after its evacuation", r.id, e.zone, run.At.Sub(e.start))
+		if e := c.violatedEvacuation(run); e != nil && c.undisturbed(r, runs) {
+			c.reporter.Errorf("%s: ran in %s %v after its evacuation", r.id, e.zone, run.At.Sub(e.start))
 		}
 	}
-	if at := s.withdrawn[r.key]; !at.IsZero() && r.startedAt.Sub(at) > revocationDelay && len(runs) > 0 {
-		s.reporter.Errorf("%s: ran %v after key %s was withdrawn", r.id, r.startedAt.Sub(at), r.key)
+	if at := c.withdrawn[r.key]; !at.IsZero() && r.startedAt.Sub(at) > revocationDelay && len(runs) > 0 {
+		c.reporter.Errorf("%s: ran %v after key %s was withdrawn", r.id, r.startedAt.Sub(at), r.key)
 	}
 }
 
 // violatedEvacuation returns the evacuation that a run violated: the run was in the
 // evacuated zone, and later than evacuationDelay after the start. It returns nil if there
 // is none.
-func (s *cluster) violatedEvacuation(run upstreamRun) *evacuation {
-	for i, e := range s.endedEvacuations {
+func (c *cluster) violatedEvacuation(run upstreamRun) *evacuation {
+	for i, e := range c.endedEvacuations {
 		if e.zone == run.upstream.zone && run.At.After(e.start.Add(evacuationDelay)) && run.At.Before(e.end) {
-			return &s.endedEvacuations[i]
+			return &c.endedEvacuations[i]
 		}
 	}
 	return nil
@@ -113,7 +113,7 @@
 // undisturbed reports whether a request was exposed to planned operations only: its host
 // and the upstreams that ran it had no fault, and it took less than 1.9 s, so that the
 // route's timeout of 2 s did not end it.
-func (s *cluster) undisturbed(r callerRequest, runs []upstreamRun) bool {
+func (c *cluster) undisturbed(r callerRequest, runs []upstreamRun) bool {
 	nearRequest := func(at time.Time) bool {
 		return !at.IsZero() && at.After(r.startedAt.Add(-faultSettleTime)) && at.Before(r.endedAt.Add(time.Second))
 	}
@@ -130,7 +130,7 @@
 
 // checkRate checks the number of requests that ran for the rate-limited customer, over
 // all hosts, in each window of five seconds.
-func (s *cluster) checkRate(times []time.Time) {
+func (c *cluster) checkRate(times []time.Time) {
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
 	const window = 5 * time.Second
 	allowed := (standin.RateLimit*window.Seconds()+standin.RateBurst)*1.1 + 20
@@ -143,8 +143,8 @@
 			maxRuns, windowEnd = n, times[i]
 		}
 	}
-	s.reporter.Logf("peak of the hot customer in the %v up to %s: %d, allowed %.0f", window, windowEnd.Format("05.000"), maxRuns, allowed)
+	c.reporter.Logf("peak of the hot customer in the %v up to %s: %d, allowed %.0f", window, windowEnd.Format("05.000"), maxRuns, allowed)
 	if float64(maxRuns) > allowed {
-		s.reporter.Errorf("the hot customer got %d in %v, allowed %.0f", maxRuns, window, allowed)
+		c.reporter.Errorf("the hot customer got %d in %v, allowed %.0f", maxRuns, window, allowed)
 	}
 }
--- a/internal/soak/cluster_test.go
+++ b/internal/soak/cluster_test.go
@@ -83,10 +83,10 @@
 }
 
 // logFault adds a line to faultLog.
-func (s *cluster) logFault(format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faultLog = append(s.faultLog, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+func (c *cluster) logFault(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultLog = append(c.faultLog, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
 // hostConfig is the zone and the declared link speed of a host; linkMbps 0 declares none.
@@ -114,61 +114,61 @@
 }
 
 func newCluster(t *testing.T, binary string, fleet []hostConfig) *cluster {
-	s := &cluster{
+	c := &cluster{
 		t: t, reporter: t, binary: binary, dir: t.TempDir(), store: standin.NewKVStore(), version: 1,
 		withdrawn: map[string]time.Time{}, activeEvacuations: map[string]time.Time{},
 	}
-	s.server = httptest.NewServer(s.store)
-	s.writeConfig()
+	c.server = httptest.NewServer(c.store)
+	c.writeConfig()
 	for i, zone := range []string{"a1", "a2", "b1", "b1", "a1"} {
-		s.addUpstream(fmt.Sprint("i-", i), zone)
+		c.addUpstream(fmt.Sprint("i-", i), zone)
 	}
 	for i, host := range fleet {
-		s.addProcess(fmt.Sprint("h", i), host)
+		c.addProcess(fmt.Sprint("h", i), host)
 	}
-	return s
+	return c
 }
 
 // writeConfig writes the next version of the configuration, with all API keys that are
 // not withdrawn, to the store.
-func (s *cluster) writeConfig() {
-	s.version++
+func (c *cluster) writeConfig() {
+	c.version++
 	keys := []string{"steady"}
 	for i := range rotatedKeys {
-		if key := fmt.Sprint("fresh-", i); s.withdrawn[key].IsZero() {
+		if key := fmt.Sprint("fresh-", i); c.withdrawn[key].IsZero() {
 			keys = append(keys, key)
 		}
 	}
-	s.store.Put("op/config", standin.PlatformConfig{Version: s.version, Keys: keys}.Encode())
+	c.store.Put("op/config", standin.PlatformConfig{Version: c.version, Keys: keys}.Encode())
 }
 
-func (s *cluster) addUpstream(id, zone string) {
+func (c *cluster) addUpstream(id, zone string) {
 	u := &upstream{standIn: &standin.PlatformUpstream{ID: id, ServiceTime: 15 * time.Millisecond}, zone: zone}
 	u.server = httptest.NewServer(u.standIn)
-	s.upstreams = append(s.upstreams, u)
-	s.writeRegistration(u)
+	c.upstreams = append(c.upstreams, u)
+	c.writeRegistration(u)
 }
 
-func (s *cluster) writeRegistration(u *upstream) {
+func (c *cluster) writeRegistration(u *upstream) {
 	u.sequence++
-	s.store.Put("servers/"+u.standIn.ID, u.standIn.RegistryEntry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
+	c.store.Put("servers/"+u.standIn.ID, u.standIn.RegistryEntry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
 }
 
-func (s *cluster) addProcess(name string, host hostConfig) {
-	p, err := newProxy(s.server.Listener.Addr().String())
+func (c *cluster) addProcess(name string, host hostConfig) {
+	p, err := newProxy(c.server.Listener.Addr().String())
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	h := &daemonProcess{name: name, zone: host.zone, proxy: p, settingsFile: filepath.Join(s.dir, name+".jsonc"), callerAddress: freeAddress(s.t, len(s.processes))}
+	h := &daemonProcess{name: name, zone: host.zone, proxy: p, settingsFile: filepath.Join(c.dir, name+".jsonc"), callerAddress: freeAddress(c.t, len(c.processes))}
 	text := standin.EntryHostSettings{
 		Name: name, Zone: host.zone, CallerAddress: h.callerAddress, DirectoryAddress: "127.0.0.1:0", StoreAddress: p.address(), LinkMbps: host.linkMbps,
 		GracePeriod: 5 * time.Second, RevocationDelay: revocationDelay,
 	}.Encode()
 	if err := os.WriteFile(h.settingsFile, text, 0o600); err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	s.processes = append(s.processes, h)
-	s.startProcess(h)
+	c.processes = append(c.processes, h)
+	c.startProcess(h)
 }
 
 // freeAddress returns an address whose port the system has just assigned and released.
@@ -185,15 +185,15 @@
 }
 
 // startProcess starts the daemon once. Its exited channel is closed when the process ends.
-func (s *cluster) startProcess(h *daemonProcess) {
-	out, err := os.OpenFile(filepath.Join(s.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (c *cluster) startProcess(h *daemonProcess) {
+	out, err := os.OpenFile(filepath.Join(c.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	cmd := exec.Command(s.binary, "entry", h.settingsFile)
+	cmd := exec.Command(c.binary, "entry", h.settingsFile)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	exited := make(chan struct{})
 	h.mu.Lock()
@@ -231,19 +231,19 @@
 	h.faultedAt = now
 }
 
-func (s *cluster) close() {
-	for _, h := range s.processes {
+func (c *cluster) close() {
+	for _, h := range c.processes {
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
 		h.awaitExit()
 		h.proxy.close()
 	}
-	for _, u := range s.upstreams {
+	for _, u := range c.upstreams {
 		u.server.CloseClientConnections()
 		u.server.Close()
 	}
-	s.server.CloseClientConnections()
-	s.server.Close()
+	c.server.CloseClientConnections()
+	c.server.Close()
 }
 
 // closeConnections closes every connection of an upstream, which also aborts its
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -66,9 +66,9 @@
 
 func runSoak(t *testing.T, binary string, seed uint64) {
 	t.Logf("seed %d, callers run for %v", seed, *callerDuration)
-	s := newCluster(t, binary, fleetForSeed(seed))
-	defer s.close()
-	s.awaitServing()
+	c := newCluster(t, binary, fleetForSeed(seed))
+	defer c.close()
+	c.awaitServing()
 	stop := make(chan struct{})
 	var tasks, callers sync.WaitGroup
 	spawn := func(group *sync.WaitGroup, task func()) {
@@ -78,14 +78,14 @@
 			task()
 		}()
 	}
-	spawn(&tasks, func() { s.runHeartbeats(stop) })
-	spawn(&tasks, func() { s.injectFaults(rand.New(rand.NewPCG(seed, 1)), stop) })
+	spawn(&tasks, func() { c.runHeartbeats(stop) })
+	spawn(&tasks, func() { c.injectFaults(rand.New(rand.NewPCG(seed, 1)), stop) })
 	var mu sync.Mutex
 	var requests []callerRequest
 	for i := range 9 {
 		rng := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		spawn(&callers, func() {
-			sent := s.runCaller(rng, i, *callerDuration)
+			sent := c.runCaller(rng, i, *callerDuration)
 			mu.Lock()
 			defer mu.Unlock()
 			requests = append(requests, sent...)
@@ -96,26 +96,26 @@
 	tasks.Wait()
 	// A request that its host has abandoned may still be running at an upstream.
 	time.Sleep(300 * time.Millisecond)
-	s.check(requests)
+	c.check(requests)
 }
 
-func (s *cluster) awaitServing() {
-	for _, h := range s.processes {
+func (c *cluster) awaitServing() {
+	for _, h := range c.processes {
 		end := time.Now().Add(30 * time.Second)
 		for {
-			r := s.sendRequest(http.DefaultClient, callerRequest{id: "warm-up-" + h.name, key: "steady", host: h})
+			r := c.sendRequest(http.DefaultClient, callerRequest{id: "warm-up-" + h.name, key: "steady", host: h})
 			if r.status == http.StatusOK {
 				break
 			}
 			if time.Now().After(end) {
-				s.t.Fatalf("%s did not start to serve: status %d, error %v", h.name, r.status, r.err)
+				c.t.Fatalf("%s did not start to serve: status %d, error %v", h.name, r.status, r.err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-func (s *cluster) runHeartbeats(stop <-chan struct{}) {
+func (c *cluster) runHeartbeats(stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -123,8 +123,8 @@
 		case <-stop:
 			return
 		case <-tick.C:
-			for _, u := range s.upstreams {
-				s.writeRegistration(u)
+			for _, u := range c.upstreams {
+				c.writeRegistration(u)
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 
 // runCaller sends requests one after another over keep-alive connections, and returns
 // them with their responses.
-func (s *cluster) runCaller(rng *rand.Rand, number int, d time.Duration) []callerRequest {
+func (c *cluster) runCaller(rng *rand.Rand, number int, d time.Duration) []callerRequest {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 4 * time.Second}
@@ -140,7 +140,7 @@
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		r := callerRequest{
 			id: fmt.Sprintf("c%d-%d", number, len(out)), post: rng.IntN(2) == 0,
-			host: s.processes[rng.IntN(len(s.processes))], key: "steady",
+			host: c.processes[rng.IntN(len(c.processes))], key: "steady",
 		}
 		switch {
 		case number < 4:
@@ -148,20 +148,20 @@
 		case number < 7:
 			r.key = fmt.Sprint("fresh-", rng.IntN(rotatedKeys))
 		}
-		out = append(out, s.sendRequest(client, r))
+		out = append(out, c.sendRequest(client, r))
 		time.Sleep(time.Duration(rng.IntN(25)) * time.Millisecond)
 	}
 	return out
 }
 
-func (s *cluster) sendRequest(client *http.Client, r callerRequest) callerRequest {
+func (c *cluster) sendRequest(client *http.Client, r callerRequest) callerRequest {
 	method, path, body := "GET", standin.ReadPath+"1", ""
 	if r.post {
 		method, path, body = "POST", standin.PostPath+"1", "weight"
 	}
 	req, err := http.NewRequest(method, "http://"+r.host.callerAddress+path, strings.NewReader(body))
 	if err != nil {
-		s.t.Error(err)
+		c.t.Error(err)
 		return r
 	}
 	req.Host = standin.CallerHost
@@ -183,17 +183,17 @@
 
 // injectFaults starts one random fault after another until stop is closed. Some are still
 // active when the next ones start.
-func (s *cluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
+func (c *cluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
 	var activeFaults sync.WaitGroup
 	defer activeFaults.Wait()
 	for {
-		h, u := s.processes[rng.IntN(len(s.processes))], s.upstreams[rng.IntN(len(s.upstreams))]
+		h, u := c.processes[rng.IntN(len(c.processes))], c.upstreams[rng.IntN(len(c.upstreams))]
 		length := time.Duration(300+rng.IntN(3500)) * time.Millisecond
 		kind, key, m := rng.IntN(len(faultNames)), fmt.Sprint("fresh-", rng.IntN(rotatedKeys)), proxyMode(1+rng.IntN(int(modeCount)-1))
 		activeFaults.Add(1)
 		go func() {
 			defer activeFaults.Done()
-			s.injectFault(kind, h, u, key, m, length)
+			c.injectFault(kind, h, u, key, m, length)
 		}()
 		select {
 		case <-stop:
@@ -205,16 +205,16 @@
 
 // injectFault injects one fault and returns when it has ended. The kind decides which of
 // the other parameters are used.
-func (s *cluster) injectFault(kind int, h *daemonProcess, u *upstream, key string, m proxyMode, length time.Duration) {
-	s.logFault("%s: host %s, upstream %s, proxy mode %d, for %v", faultNames[kind], h.name, u.standIn.ID, m, length)
+func (c *cluster) injectFault(kind int, h *daemonProcess, u *upstream, key string, m proxyMode, length time.Duration) {
+	c.logFault("%s: host %s, upstream %s, proxy mode %d, for %v", faultNames[kind], h.name, u.standIn.ID, m, length)
 	switch kind {
 	case 0:
-		s.stopAndRestart(h)
+		c.stopAndRestart(h)
 	case 1:
 		h.recordFault(time.Now())
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
-		s.restart(h)
+		c.restart(h)
 	case 2:
 		h.recordFault(time.Now())
 		h.signal(syscall.SIGSTOP)
@@ -228,78 +228,78 @@
 	case 4:
 		h.signal(syscall.SIGHUP)
 	case 5:
-		s.withdrawKey(key, length)
+		c.withdrawKey(key, length)
 	case 6:
-		s.evacuateZone(u.zone, length+revocationDelay)
+		c.evacuateZone(u.zone, length+revocationDelay)
 	case 7:
-		s.disruptUpstream(u, length)
+		c.disruptUpstream(u, length)
 	}
 }
 
 // stopAndRestart stops a host as planned, with SIGTERM, and starts it again.
-func (s *cluster) stopAndRestart(h *daemonProcess) {
+func (c *cluster) stopAndRestart(h *daemonProcess) {
 	h.mu.Lock()
 	h.stoppedAt = time.Now()
 	h.mu.Unlock()
 	h.signal(syscall.SIGTERM)
-	s.restart(h)
+	c.restart(h)
 }
 
 // restart waits for the end of the current process and starts the next one. If several
 // goroutines wait for the same process, only one of them starts the next one.
-func (s *cluster) restart(h *daemonProcess) {
+func (c *cluster) restart(h *daemonProcess) {
 	h.mu.Lock()
 	ending := h.exited
 	h.mu.Unlock()
 	<-ending
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	h.mu.Lock()
 	same := h.exited == ending
 	h.mu.Unlock()
 	if same {
-		s.startProcess(h)
+		c.startProcess(h)
 	}
 }
 
-func (s *cluster) withdrawKey(key string, length time.Duration) {
-	s.mu.Lock()
-	if !s.withdrawn[key].IsZero() {
-		s.mu.Unlock()
+func (c *cluster) withdrawKey(key string, length time.Duration) {
+	c.mu.Lock()
+	if !c.withdrawn[key].IsZero() {
+		c.mu.Unlock()
 		return
 	}
-	s.withdrawn[key] = time.Now()
-	s.writeConfig()
-	s.withdrawn[key] = time.Now()
-	s.mu.Unlock()
+	c.withdrawn[key] = time.Now()
+	c.writeConfig()
+	c.withdrawn[key] = time.Now()
+	c.mu.Unlock()
 	// A withdrawn key is never granted again, so length is not used. A request that runs
 	// with it later than revocationDelay is a violation.
 	_ = length
 }
 
-func (s *cluster) evacuateZone(zone string, length time.Duration) {
-	s.mu.Lock()
-	if !s.activeEvacuations[zone].IsZero() {
-		s.mu.Unlock()
+func (c *cluster) evacuateZone(zone string, length time.Duration) {
+	c.mu.Lock()
+	if !c.activeEvacuations[zone].IsZero() {
+		c.mu.Unlock()
 		return
 	}
-	s.store.Put("op/evacuate/"+zone, []byte("{}"))
-	s.activeEvacuations[zone] = time.Now()
-	s.mu.Unlock()
+	c.store.Put("op/evacuate/"+zone, []byte("{}"))
+	c.activeEvacuations[zone] = time.Now()
+	c.mu.Unlock()
 	time.Sleep(length)
-	s.mu.Lock()
-	s.endedEvacuations = append(s.endedEvacuations, evacuation{zone, s.activeEvacuations[zone], time.Now()})
-	s.store.Delete("op/evacuate/" + zone)
-	delete(s.activeEvacuations, zone)
-	s.mu.Unlock()
+	c.mu.Lock()
+	c.endedEvacuations = append(c.endedEvacuations, evacuation{zone, c.activeEvacuations[zone], time.Now()})
+	c.store.Delete("op/evacuate/" + zone)
+	delete(c.activeEvacuations, zone)
+	c.mu.Unlock()
 }
 
 // disruptUpstream makes an upstream abort its responses for half of length, and then
 // closes all of its connections once.
-func (s *cluster) disruptUpstream(u *upstream, length time.Duration) {
-	s.mu.Lock()
+func (c *cluster) disruptUpstream(u *upstream, length time.Duration) {
+	c.mu.Lock()
 	u.faultedUntil = time.Now().Add(length)
-	s.mu.Unlock()
+	c.mu.Unlock()
 	u.standIn.SetHandler(abortResponse)
 	time.Sleep(length / 2)
 	u.standIn.SetHandler(nil)
