--- a/cmd/balsambarrowd/settingsfile.go
+++ b/cmd/balsambarrowd/settingsfile.go
@@ -10,23 +10,23 @@
 	"balsambarrow/internal/telemetry"
 )
 
-// settingsFile follows the settings file of a running daemon.
+// settingsFile applies changes of the settings file to a running daemon.
 type settingsFile struct {
 	path   string
 	daemon *entryhost.Daemon
 	events *telemetry.Events
 
-	mu      sync.Mutex
-	changed time.Time
+	mu         sync.Mutex
+	modifiedAt time.Time
 }
 
 func newSettingsFile(path string, d *entryhost.Daemon, events *telemetry.Events) *settingsFile {
-	return &settingsFile{path: path, daemon: d, events: events, changed: modified(path)}
+	return &settingsFile{path: path, daemon: d, events: events, modifiedAt: modTime(path)}
 }
 
-// follow reloads the file when it changes, until ctx ends.
-func (f *settingsFile) follow(ctx context.Context) {
-	tick := time.NewTicker(settingsEvery)
+// watch reloads the file when its modification time changes, until ctx ends.
+func (f *settingsFile) watch(ctx context.Context) {
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -35,19 +35,20 @@
 		case <-tick.C:
 		}
 		f.mu.Lock()
-		same := modified(f.path).Equal(f.changed)
+		unchanged := modTime(f.path).Equal(f.modifiedAt)
 		f.mu.Unlock()
-		if !same {
+		if !unchanged {
 			f.reload()
 		}
 	}
 }
 
-// reload takes the file over, or keeps the settings in force and says why.
+// reload applies the settings in the file. If they are invalid, it keeps the current
+// settings and logs the error.
 func (f *settingsFile) reload() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.changed = modified(f.path)
+	f.modifiedAt = modTime(f.path)
 	s, err := entryhost.LoadSettings(f.path)
 	if err != nil {
 		f.events.Warn("settings not reloaded", "error", err)
@@ -56,9 +57,9 @@
 	f.daemon.Reload(s)
 }
 
-// modified is when the file was written last; the zero time if that cannot be
-// told, which reload then reports.
-func modified(path string) time.Time {
+// modTime returns the modification time of the file, or the zero time if the file cannot be
+// read. In that case reload logs the error.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/balsambarrowd/stop_test.go
+++ b/cmd/balsambarrowd/stop_test.go
@@ -23,14 +23,14 @@
 	"balsambarrow/internal/standin"
 )
 
-// daemonProcess is a balsambarrowd in a process of its own.
+// daemonProcess is a balsambarrowd that runs as a separate process.
 type daemonProcess struct {
-	cmd                *exec.Cmd
-	callers, operators string
-	exited             chan error
+	cmd                            *exec.Cmd
+	callerAddress, operatorAddress string
+	exited                         chan error
 }
 
-var listening = regexp.MustCompile(`msg=listening .*callers=(\S+) operators=(\S+)`)
+var listeningLine = regexp.MustCompile(`msg=listening .*callers=(\S+) operators=(\S+)`)
 
 func startProcess(t *testing.T, platformURL string) *daemonProcess {
 	g := NewWithT(t)
@@ -48,9 +48,9 @@
 	g.Expect(p.cmd.Start()).To(Succeed())
 	t.Cleanup(func() { _ = p.cmd.Process.Kill() })
 	lines := bufio.NewScanner(logs)
-	for p.callers == "" && lines.Scan() {
-		if m := listening.FindStringSubmatch(lines.Text()); m != nil {
-			p.callers, p.operators = m[1], m[2]
+	for p.callerAddress == "" && lines.Scan() {
+		if m := listeningLine.FindStringSubmatch(lines.Text()); m != nil {
+			p.callerAddress, p.operatorAddress = m[1], m[2]
 		}
 	}
 	go func() {
@@ -60,10 +60,10 @@
 	return p
 }
 
-// An operator stops a host, gets impatient and sends SIGTERM again while a
-// farmer's request still runs. The farmer must get the whole answer, and the
-// process must end with exit code 0.
-func TestSecondSIGTERMCutsNoRequest(t *testing.T) {
+// Guards against a second SIGTERM that interrupts a running request. An operator may send
+// SIGTERM again while a drain waits for a slow request. The caller must get the full
+// response, and the process must end with exit code 0.
+func TestSecondSIGTERMKeepsRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	platform := httptest.NewServer(standin.NewKVStore())
 	defer platform.Close()
@@ -80,22 +80,23 @@
 	}
 	text, err := json.Marshal(c)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = ctl.NewClient(p.operators).Patch(0, text)
+	_, err = ctl.NewClient(p.operatorAddress).Patch(0, text)
 	g.Expect(err).NotTo(HaveOccurred())
 
-	answers := make(chan int, 1)
-	go func() { answers <- askUntilServed("http://" + p.callers + "/svc/lookup/x?size=5000") }()
-	time.Sleep(3 * time.Second) // the request is at the upstream for 8 s and more
+	responseSizes := make(chan int, 1)
+	go func() { responseSizes <- requestUntilServed("http://" + p.callerAddress + "/svc/lookup/x?size=5000") }()
+	time.Sleep(3 * time.Second) // the upstream runs the request for at least 8 s
 	g.Expect(p.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
 	time.Sleep(time.Second)
 	g.Expect(p.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
-	g.Eventually(answers, time.Minute).Should(Receive(Equal(5000)))
+	g.Eventually(responseSizes, time.Minute).Should(Receive(Equal(5000)))
 	g.Eventually(p.exited, time.Minute).Should(Receive(BeNil()))
 }
 
-// askUntilServed returns the size of the first answer that an upstream gave,
-// or -1 if its body broke off. Before that the daemon may not be ready yet.
-func askUntilServed(url string) int {
+// requestUntilServed repeats a request until an upstream responds, because the daemon may
+// not be ready yet. It returns the size of the response body, or -1 if the request failed
+// or the body was truncated.
+func requestUntilServed(url string) int {
 	for {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		if err != nil {
--- a/cmd/balsamlab/serve.go
+++ b/cmd/balsamlab/serve.go
@@ -24,11 +24,11 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// storeBound bounds one call to the stand-in of the store.
-	storeBound = 5 * time.Second
+	// storeTimeout is the timeout of one call to the stand-in store.
+	storeTimeout = 5 * time.Second
 )
 
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -43,7 +43,8 @@
 	return l.Addr().String(), nil
 }
 
-// announce writes the address to a file that a script waits for, or prints it.
+// announce writes text to a file that a script waits for, or prints it if file is empty.
+// The file is renamed into place, so that the script never reads a partial file.
 func announce(file, text string) error {
 	if file == "" {
 		fmt.Println(text)
@@ -63,7 +64,7 @@
 		Short: "Serve the platform's store",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			ctx, stop := untilSignal()
+			ctx, stop := signalContext()
 			defer stop()
 			address, err := serve(listen, standin.NewKVStore())
 			if err != nil {
@@ -86,10 +87,10 @@
 	host := membership.Host{State: membership.HostLive}
 	cmd := &cobra.Command{
 		Use:   "host",
-		Short: "Write one line of the host list into the platform's store",
+		Short: "Write one entry of the host list to the platform's store",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, cancel := context.WithTimeout(cmd.Context(), storeBound)
+			ctx, cancel := context.WithTimeout(cmd.Context(), storeTimeout)
 			defer cancel()
 			store := platform.NewStore(url, (&net.Dialer{}).DialContext, func(string, error) {})
 			return store.Put(ctx, membership.HostKey(host.Name), host.Encode(), 0)
@@ -98,7 +99,7 @@
 	cmd.Flags().StringVar(&url, "platform", "", "the platform's URL")
 	cmd.Flags().StringVar(&host.Name, "name", "", "the host's name")
 	cmd.Flags().StringVar(&host.Zone, "zone", "", "the host's zone")
-	cmd.Flags().StringVar(&host.PeerAddress, "peers", "", "the host's peers address")
+	cmd.Flags().StringVar(&host.PeerAddress, "peers", "", "the host's address for peers")
 	return cmd
 }
 
@@ -110,10 +111,10 @@
 		Use:   "upstreams CONFIG",
 		Short: "Serve the upstreams of a configuration on ports that the system picks",
 		Long: "Serves the upstreams of a configuration on ports that the system picks, and writes a\n" +
-			"merge patch with their addresses. Upstreams beyond --per-service are taken out by it.",
+			"merge patch with their addresses. The patch removes upstreams beyond --per-service.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			ctx, stop := untilSignal()
+			ctx, stop := signalContext()
 			defer stop()
 			c, err := readConfig(args[0])
 			if err != nil {
@@ -130,10 +131,10 @@
 			return reportUpstreams(file, workers)
 		},
 	}
-	cmd.Flags().StringVar(&file, "report", "", "file to write what the upstreams saw to, at the end")
+	cmd.Flags().StringVar(&file, "report", "", "file to write the request counts of the upstreams to, at exit")
 	cmd.Flags().StringVar(&patch, "announce", "", "file to write the merge patch to")
-	cmd.Flags().IntVar(&perService, "per-service", 12, "how many upstreams of each service to serve")
-	cmd.Flags().DurationVar(&serviceTime, "service-time", 5*time.Millisecond, "mean time of one request")
+	cmd.Flags().IntVar(&perService, "per-service", 12, "number of upstreams to serve for each service")
+	cmd.Flags().DurationVar(&serviceTime, "service-time", 5*time.Millisecond, "mean service time of a request")
 	return cmd
 }
 
@@ -155,11 +156,11 @@
 
 func startUpstreams(c *config.Config, perService int, serviceTime time.Duration) ([]*standin.Upstream, string, error) {
 	patch := addressPatch{Upstreams: map[string]*upstreamPatch{}}
-	served := map[string]int{}
+	servedPerService := map[string]int{}
 	var workers []*standin.Upstream
 	for _, name := range slices.Sorted(maps.Keys(c.Upstreams)) {
 		u := c.Upstreams[name]
-		if served[u.Service]++; served[u.Service] > perService {
+		if servedPerService[u.Service]++; servedPerService[u.Service] > perService {
 			patch.Upstreams[name] = nil
 			continue
 		}
@@ -176,27 +177,27 @@
 }
 
 type upstreamsReport struct {
-	Total    int `json:"total"`
-	Shed     int `json:"shed"`
-	KeysSeen int `json:"keys_seen"`
-	Doubled  int `json:"doubled"`
+	Total             int `json:"total"`
+	Shed              int `json:"shed"`
+	KeysSeen          int `json:"keys_seen"`
+	DuplicatePostings int `json:"doubled"`
 }
 
 func reportUpstreams(file string, workers []*standin.Upstream) error {
 	var sum upstreamsReport
-	ran := map[string]int{}
+	runs := map[string]int{}
 	for _, w := range workers {
 		s := w.Stats()
 		sum.Total += s.Total
 		sum.Shed += s.Shed
 		sum.KeysSeen += s.KeysSeen
 		for name, n := range s.Postings {
-			ran[name] += n
+			runs[name] += n
 		}
 	}
-	for _, n := range ran {
+	for _, n := range runs {
 		if n > 1 {
-			sum.Doubled++
+			sum.DuplicatePostings++
 		}
 	}
 	text, err := json.Marshal(sum)
--- a/internal/compare/pairs.go
+++ b/internal/compare/pairs.go
@@ -9,88 +9,90 @@
 	"text/tabwriter"
 )
 
-// Play is one play of one version.
-type Play struct {
-	Site string
-	Day  string
-	Seed int
-	// Worth is the figure that is compared.
-	Worth float64
-	// Broken are the rules that were broken, and Fault why the play does not count; "".
-	Broken []string
-	Fault  string
+// BenchRun is the result of one benchmark run of one version.
+type BenchRun struct {
+	Deployment string
+	Day        string
+	Seed       int
+	// Score is the value that is compared; higher is better.
+	Score float64
+	// BrokenRules are the benchmark rules that the run violated.
+	BrokenRules []string
+	// InvalidReason is the reason why the run does not count; empty if it counts.
+	InvalidReason string
 }
 
-// key is what a pair has in common.
-type key struct {
-	site, day string
-	seed      int
+// pairKey identifies the two runs of a pair.
+type pairKey struct {
+	deployment, day string
+	seed            int
 }
 
-func (p Play) key() key { return key{p.Site, p.Day, p.Seed} }
+func (r BenchRun) pairKey() pairKey { return pairKey{r.Deployment, r.Day, r.Seed} }
 
-// Verdict on a difference.
+// Verdict is the conclusion from a difference.
 type Verdict string
 
 // Verdicts.
 const (
-	Better Verdict = "better"
-	Worse  Verdict = "worse"
-	Inside Verdict = "inside the spread"
-	TooFew Verdict = "too few pairs"
+	Better       Verdict = "better"
+	Worse        Verdict = "worse"
+	Inconclusive Verdict = "inside the spread"
+	TooFewPairs  Verdict = "too few pairs"
 )
 
 const (
-	// spreadFactor is the number of standard errors within which a mean difference says
-	// nothing.
-	spreadFactor = 2.0
-	// minPairs is the number of pairs from which the standard error is worth something.
+	// significanceFactor is the number of standard errors that a mean difference must
+	// exceed to be conclusive.
+	significanceFactor = 2.0
+	// minPairs is the minimum number of pairs for a usable standard error.
 	minPairs = 5
 )
 
-// Summary is what the pairs of one deployment, or of one of its days, say.
+// Summary is the comparison over all pairs of one deployment, or of one of its days.
 type Summary struct {
-	Site, Day string
-	Pairs     int
-	// Before and After are the means of both versions.
+	Deployment, Day string
+	Pairs           int
+	// Before and After are the mean scores of the two versions.
 	Before, After float64
-	// Difference is the mean of the pairs' differences, and Error its standard error.
-	Difference, Error float64
-	// Up and Down count the pairs in which the later version is better or worse.
-	Up, Down int
+	// Difference is the mean difference of the pairs, and StandardError its standard error.
+	Difference, StandardError float64
+	// Improved and Regressed count the pairs in which the second version scored higher or
+	// lower.
+	Improved, Regressed int
 }
 
-// Verdict says whether the difference is larger than its spread.
+// Verdict reports whether the difference is significant, and its direction.
 func (s Summary) Verdict() Verdict {
 	switch {
 	case s.Pairs < minPairs:
-		return TooFew
-	case math.Abs(s.Difference) <= spreadFactor*s.Error:
-		return Inside
+		return TooFewPairs
+	case math.Abs(s.Difference) <= significanceFactor*s.StandardError:
+		return Inconclusive
 	case s.Difference > 0:
 		return Better
 	}
 	return Worse
 }
 
-// allDays stands for a day in the summary of a deployment.
+// allDays is the Day of a summary over all days of a deployment.
 const allDays = "all"
 
-// Summarize pairs the plays of two versions, and returns a summary of each day and of each
-// deployment. Plays without a partner are left out.
-func Summarize(before, after []Play) []Summary {
-	partner := map[key]Play{}
+// Summarize pairs the runs of two versions, and returns a summary of each day and of each
+// deployment. Runs without a counterpart are ignored.
+func Summarize(before, after []BenchRun) []Summary {
+	beforeRuns := map[pairKey]BenchRun{}
 	for _, p := range before {
-		partner[p.key()] = p
+		beforeRuns[p.pairKey()] = p
 	}
-	groups := map[key][][2]float64{}
+	groups := map[pairKey][][2]float64{}
 	for _, p := range after {
-		b, ok := partner[p.key()]
+		b, ok := beforeRuns[p.pairKey()]
 		if !ok {
 			continue
 		}
-		pair := [2]float64{b.Worth, p.Worth}
-		for _, k := range []key{{site: p.Site, day: p.Day}, {site: p.Site, day: allDays}} {
+		pair := [2]float64{b.Score, p.Score}
+		for _, k := range []pairKey{{deployment: p.Deployment, day: p.Day}, {deployment: p.Deployment, day: allDays}} {
 			groups[k] = append(groups[k], pair)
 		}
 	}
@@ -99,7 +101,7 @@
 		out = append(out, summarize(k, pairs))
 	}
 	slices.SortFunc(out, func(a, b Summary) int {
-		return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(boolInt(a.Day == allDays), boolInt(b.Day == allDays)), cmp.Compare(a.Day, b.Day))
+		return cmp.Or(cmp.Compare(a.Deployment, b.Deployment), cmp.Compare(boolInt(a.Day == allDays), boolInt(b.Day == allDays)), cmp.Compare(a.Day, b.Day))
 	})
 	return out
 }
@@ -111,17 +113,17 @@
 	return 0
 }
 
-func summarize(k key, pairs [][2]float64) Summary {
-	s := Summary{Site: k.site, Day: k.day, Pairs: len(pairs)}
+func summarize(k pairKey, pairs [][2]float64) Summary {
+	s := Summary{Deployment: k.deployment, Day: k.day, Pairs: len(pairs)}
 	n := float64(len(pairs))
 	for _, p := range pairs {
 		s.Before += p[0] / n
 		s.After += p[1] / n
 		switch {
 		case p[1] > p[0]:
-			s.Up++
+			s.Improved++
 		case p[1] < p[0]:
-			s.Down++
+			s.Regressed++
 		}
 	}
 	s.Difference = s.After - s.Before
@@ -133,7 +135,7 @@
 		d := p[1] - p[0] - s.Difference
 		variance += d * d / (n - 1)
 	}
-	s.Error = math.Sqrt(variance / n)
+	s.StandardError = math.Sqrt(variance / n)
 	return s
 }
 
@@ -143,7 +145,7 @@
 	_, _ = fmt.Fprintln(t, "deployment\tday\tpairs\tbefore\tafter\tdifference\tstandard error\tup\tdown\tverdict")
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\t%d\t%s\n",
-			s.Site, s.Day, s.Pairs, s.Before, s.After, s.Difference, s.Error, s.Up, s.Down, s.Verdict())
+			s.Deployment, s.Day, s.Pairs, s.Before, s.After, s.Difference, s.StandardError, s.Improved, s.Regressed, s.Verdict())
 	}
 	return t.Flush()
 }
--- a/internal/compare/run.go
+++ b/internal/compare/run.go
@@ -15,76 +15,77 @@
 	"github.com/pkg/errors"
 )
 
-// Plan says what is played.
+// Plan describes the benchmark runs of a comparison.
 type Plan struct {
-	// Bench is the program that plays a day: BENCH run SITE DAY --seed N --report FILE.
+	// Bench is the benchmark program: BENCH run FILE DAY --seed N --report FILE.
 	Bench string
-	// Versions are the checkouts that are played on the same days and seeds. The others
-	// are compared with the first.
-	Versions []string
-	Sites    []Site
-	Seeds    []int
-	// Jobs is the number of plays at once.
+	// Versions are the checkouts that run on the same days and seeds. The first one is the
+	// baseline of the others.
+	Versions    []string
+	Deployments []Deployment
+	Seeds       []int
+	// Jobs is the number of concurrent runs.
 	Jobs int
-	// Processor says that processor time is charged; plays then differ a little each time.
-	Processor bool
-	// Why is noted with each play.
-	Why string
-	// Played is told of each play. Default nil.
-	Played func(version string, p Play)
+	// ChargeCPU makes the benchmark charge processor time, which makes scores vary slightly
+	// between runs with the same seed.
+	ChargeCPU bool
+	// Note is recorded with each run.
+	Note string
+	// OnRun, if set, is called after each run, by one goroutine at a time.
+	OnRun func(version string, r BenchRun)
 }
 
-// Site is a deployment and the days of it that are played.
-type Site struct {
+// Deployment is a deployment file and the days to run on it.
+type Deployment struct {
 	File string
 	Days []string
 }
 
-// Name is the file's, without directories and extension.
-func (s Site) Name() string {
-	return strings.TrimSuffix(filepath.Base(s.File), filepath.Ext(s.File))
+// Name returns the file name without directory and extension.
+func (d Deployment) Name() string {
+	return strings.TrimSuffix(filepath.Base(d.File), filepath.Ext(d.File))
 }
 
-// ParseSite reads FILE:DAY,DAY. The error is a *SiteError.
-func ParseSite(text string) (Site, error) {
+// ParseDeployment parses FILE:DAY,DAY. The error is a *DeploymentError.
+func ParseDeployment(text string) (Deployment, error) {
 	file, days, ok := strings.Cut(text, ":")
-	s := Site{File: file, Days: strings.Split(days, ",")}
-	if !ok || file == "" || slices.Contains(s.Days, "") {
-		return Site{}, errors.WithStack(&SiteError{text})
+	d := Deployment{File: file, Days: strings.Split(days, ",")}
+	if !ok || file == "" || slices.Contains(d.Days, "") {
+		return Deployment{}, errors.WithStack(&DeploymentError{text})
 	}
-	return s, nil
+	return d, nil
 }
 
-// SiteError says that an argument does not name a deployment and days.
-type SiteError struct{ Text string }
+// DeploymentError reports an argument that does not name a deployment and its days.
+type DeploymentError struct{ Text string }
 
-func (e *SiteError) Error() string { return fmt.Sprintf("%q is not FILE:DAY,DAY", e.Text) }
+func (e *DeploymentError) Error() string { return fmt.Sprintf("%q is not FILE:DAY,DAY", e.Text) }
 
-// ReportError says that a play left no report that can be read.
+// ReportError reports a run that did not write a valid report.
 type ReportError struct {
-	Play   Play
+	Run    BenchRun
 	Output string
 	Cause  error
 }
 
 func (e *ReportError) Error() string {
-	return fmt.Sprintf("%s %s, seed %d: %v\n%s", e.Play.Site, e.Play.Day, e.Play.Seed, e.Cause, e.Output)
+	return fmt.Sprintf("%s %s, seed %d: %v\n%s", e.Run.Deployment, e.Run.Day, e.Run.Seed, e.Cause, e.Output)
 }
 
 // Unwrap returns the cause.
 func (e *ReportError) Unwrap() error { return e.Cause }
 
-// task is one play to be made.
+// task is one run to be done.
 type task struct {
 	version string
 	file    string
-	play    Play
+	run     BenchRun
 }
 
-// Run makes all plays, and returns them by version. What belongs together is played one
-// after the other.
-func (p Plan) Run(ctx context.Context) (plays map[string][]Play, err error) {
-	plays = map[string][]Play{}
+// Run executes all benchmark runs and returns the results by version. The runs of a pair
+// are queued one after the other. The first failed run cancels the rest.
+func (p Plan) Run(ctx context.Context) (runs map[string][]BenchRun, err error) {
+	runs = map[string][]BenchRun{}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	queue := make(chan task)
@@ -103,16 +104,16 @@
 	for range max(p.Jobs, 1) {
 		workers.Go(func() {
 			for t := range queue {
-				played, failed := p.play(ctx, t)
+				result, runErr := p.runBench(ctx, t)
 				mu.Lock()
 				switch {
-				case failed == nil:
-					plays[t.version] = append(plays[t.version], played)
-					if p.Played != nil {
-						p.Played(t.version, played)
+				case runErr == nil:
+					runs[t.version] = append(runs[t.version], result)
+					if p.OnRun != nil {
+						p.OnRun(t.version, result)
 					}
 				case err == nil:
-					err = failed
+					err = runErr
 					cancel()
 				}
 				mu.Unlock()
@@ -120,17 +121,17 @@
 		})
 	}
 	workers.Wait()
-	return plays, err
+	return runs, err
 }
 
 func (p Plan) tasks() []task {
 	var out []task
-	for _, s := range p.Sites {
+	for _, d := range p.Deployments {
 		for _, seed := range p.Seeds {
-			for _, day := range s.Days {
-				play := Play{Site: s.Name(), Day: day, Seed: seed}
+			for _, day := range d.Days {
+				run := BenchRun{Deployment: d.Name(), Day: day, Seed: seed}
 				for _, version := range p.Versions {
-					out = append(out, task{version, s.File, play})
+					out = append(out, task{version, d.File, run})
 				}
 			}
 		}
@@ -138,60 +139,61 @@
 	return out
 }
 
-// report is the part of a play's report that is read.
-type report struct {
-	Worth  *float64       `json:"G"`
-	Fault  any            `json:"fault"`
-	Broken map[string]any `json:"breaks"`
+// benchReport is the part of the benchmark's report that is used.
+type benchReport struct {
+	Score         *float64       `json:"G"`
+	InvalidReason any            `json:"fault"`
+	BrokenRules   map[string]any `json:"breaks"`
 }
 
-// play makes one play. The error is a *ReportError.
-func (p Plan) play(ctx context.Context, t task) (Play, error) {
+// runBench executes one benchmark run. The error is a *ReportError if the report is missing
+// or invalid.
+func (p Plan) runBench(ctx context.Context, t task) (BenchRun, error) {
 	file, err := os.CreateTemp("", "play-*.json")
 	if err != nil {
-		return t.play, errors.WithStack(err)
+		return t.run, errors.WithStack(err)
 	}
 	_ = file.Close()
 	defer func() { _ = os.Remove(file.Name()) }()
-	args := []string{"run", t.file, t.play.Day, "--seed", strconv.Itoa(t.play.Seed), "--report", file.Name(),
-		"--why", filepath.Base(t.version) + ": " + p.Why}
-	if !p.Processor {
+	args := []string{"run", t.file, t.run.Day, "--seed", strconv.Itoa(t.run.Seed), "--report", file.Name(),
+		"--why", filepath.Base(t.version) + ": " + p.Note}
+	if !p.ChargeCPU {
 		args = append(args, "--no-cpu")
 	}
 	cmd := exec.CommandContext(ctx, p.Bench, args...)
 	cmd.Dir = t.version
-	output, failed := cmd.CombinedOutput()
+	output, runErr := cmd.CombinedOutput()
 	data, err := os.ReadFile(file.Name())
 	if err == nil {
-		err = t.play.read(data)
+		err = t.run.parseReport(data)
 	}
 	if err != nil {
-		if failed != nil {
-			err = failed
+		if runErr != nil {
+			err = runErr
 		}
-		return t.play, errors.WithStack(&ReportError{t.play, string(output), err})
+		return t.run, errors.WithStack(&ReportError{t.run, string(output), err})
 	}
-	return t.play, nil
+	return t.run, nil
 }
 
-// errNoWorth says that a report has no figure.
-var errNoWorth = errors.New("report without a figure")
+// errNoScore reports a report without a score.
+var errNoScore = errors.New("compare: report has no score")
 
-func (p *Play) read(data []byte) error {
-	var r report
-	if err := json.Unmarshal(data, &r); err != nil {
+func (r *BenchRun) parseReport(data []byte) error {
+	var report benchReport
+	if err := json.Unmarshal(data, &report); err != nil {
 		return errors.WithStack(err)
 	}
-	if r.Worth == nil {
-		return errors.WithStack(errNoWorth)
+	if report.Score == nil {
+		return errors.WithStack(errNoScore)
 	}
-	p.Worth = *r.Worth
-	if r.Fault != nil {
-		p.Fault = fmt.Sprint(r.Fault)
+	r.Score = *report.Score
+	if report.InvalidReason != nil {
+		r.InvalidReason = fmt.Sprint(report.InvalidReason)
 	}
-	for rule := range r.Broken {
-		p.Broken = append(p.Broken, rule)
+	for rule := range report.BrokenRules {
+		r.BrokenRules = append(r.BrokenRules, rule)
 	}
-	slices.Sort(p.Broken)
+	slices.Sort(r.BrokenRules)
 	return nil
 }
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -88,8 +88,8 @@
 // runLoad sends an open-loop load to the fleet.
 func (f *fleet) runLoad(l standin.Load) *standin.Report {
 	l.Config = f.daemons["vt-a-1"].View().Config.Config
-	l.Entry = f.daemons["vt-a-1"].Identity().CallerAddress
-	l.Key = func(customer string) string { return "key-" + customer }
+	l.EntryAddress = f.daemons["vt-a-1"].Identity().CallerAddress
+	l.APIKey = func(customer string) string { return "key-" + customer }
 	l.Seed = 1
 	r, err := standin.Run(context.Background(), l)
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -119,18 +119,18 @@
 
 // wrongfulPercent returns the percentage of requests that were rejected although the
 // customer was within its rate.
-func wrongfulPercent(seconds []standin.Second) float64 {
+func wrongfulPercent(seconds []standin.SecondCounts) float64 {
 	sent, wrongful := 0, 0
 	for _, s := range seconds {
 		sent += s.Sent
-		wrongful += s.Wrongful
+		wrongful += s.WrongfulRejections
 	}
 	return 100 * float64(wrongful) / float64(max(sent, 1))
 }
 
 // recoveredAfter returns the first second after which at most 0.5% of each second's
 // requests were wrongfully rejected.
-func recoveredAfter(seconds []standin.Second) int {
+func recoveredAfter(seconds []standin.SecondCounts) int {
 	for i := len(seconds) - 1; i >= 0; i-- {
 		if wrongfulPercent(seconds[i:i+1]) > 0.5 {
 			return i + 1
@@ -170,8 +170,8 @@
 	for _, tc := range []struct{ rate, burst float64 }{{200, 50}, {200, 10}, {20, 20}, {20, 5}} {
 		t.Run(fmt.Sprintf("rate=%v burst=%v", tc.rate, tc.burst), func(t *testing.T) {
 			f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", tc.rate, tc.burst)})
-			r := f.runLoad(standin.Load{Fraction: 0.9, Duration: length, Pick: f.skewedEntry("vt-a-1", "ma-a-1", move)})
-			steady, moved := r.Seconds[10:25], r.Seconds[25:]
+			r := f.runLoad(standin.Load{RateFraction: 0.9, Duration: length, ChooseEntry: f.skewedEntry("vt-a-1", "ma-a-1", move)})
+			steady, moved := r.PerSecond[10:25], r.PerSecond[25:]
 			t.Logf("wrongful rejections: seconds 10 to 25 %.2f%%, after the move %.2f%%, at most 0.5%% from %d s after it; p50 %v p99 %v; overshoot %.2f",
 				wrongfulPercent(steady), wrongfulPercent(moved), recoveredAfter(moved), r.Quantile(50), r.Quantile(99),
 				f.overshoot("farm", customer("", tc.rate, tc.burst)))
@@ -189,9 +189,9 @@
 		customers[name] = customer(name, rate, rate/2)
 	}
 	f := startTenHosts(t, customers)
-	r := f.runLoad(standin.Load{Fraction: 0.9, Duration: 30 * time.Second})
-	t.Logf("wrongful rejections after 10 s: %.2f%%; p50 %v p99 %v", wrongfulPercent(r.Seconds[10:]), r.Quantile(50), r.Quantile(99))
-	name, share := r.Worst()
+	r := f.runLoad(standin.Load{RateFraction: 0.9, Duration: 30 * time.Second})
+	t.Logf("wrongful rejections after 10 s: %.2f%%; p50 %v p99 %v", wrongfulPercent(r.PerSecond[10:]), r.Quantile(50), r.Quantile(99))
+	name, share := r.WorstServed()
 	t.Logf("worst-served %s: %.1f%% of its requests ran", name, 100*share)
 }
 
@@ -226,11 +226,11 @@
 				}
 				return addresses[entryHost]
 			}
-			r := f.runLoad(standin.Load{Fraction: 0.8, Fractions: map[string]float64{"hot": 5}, Duration: 30 * time.Second, Pick: pick})
+			r := f.runLoad(standin.Load{RateFraction: 0.8, CustomerRateFractions: map[string]float64{"hot": 5}, Duration: 30 * time.Second, ChooseEntry: pick})
 			over := f.overshoot("hot", customer("", 100, 40))
 			t.Logf("overshoot hot %.2f, calm %.2f; outcomes %v; %d of %d rejections wrongful", over, f.overshoot("calm", customer("", 100, 40)),
-				r.Outcomes, r.Wrongful, r.Refused)
-			g.Expect(r.Wrong).To(BeZero())
+				r.Outcomes, r.WrongfulRejections, r.RateRejections)
+			g.Expect(r.WrongResponses).To(BeZero())
 		})
 	}
 }
@@ -265,7 +265,7 @@
 		return f.hostEntry([]string{"vt-a-1", "vt-a-2"}[rng.IntN(2)])
 	}
 	// The zone's own share is a sixth of the rate; the load is four fifths of that share.
-	r := f.runLoad(standin.Load{Fraction: 0.8 / 6, Duration: 50 * time.Second, Pick: inside})
+	r := f.runLoad(standin.Load{RateFraction: 0.8 / 6, Duration: 50 * time.Second, ChooseEntry: inside})
 	t.Logf("sent %d, outcomes %v", r.Sent, r.Outcomes)
 	version := f.daemons["vt-b-1"].View().Config
 	t.Logf("overshoot %.2f; version %d", f.overshoot("farm", customer("", 240, 120)), version.Version)
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -9,138 +9,142 @@
 	"balsambarrow/internal/standin"
 )
 
-// ran is one run of a request at an upstream.
-type ran struct {
-	standin.WorkerRun
+// upstreamRun is one run of a request at an upstream.
+type upstreamRun struct {
+	standin.PlatformRun
 	upstream *upstream
 }
 
-// report is where checks tell what they found; a *testing.T is one.
-type report interface {
+// reporter receives the errors of the checks; *testing.T implements it.
+type reporter interface {
 	Errorf(format string, args ...any)
 	Logf(format string, args ...any)
 	Failed() bool
 }
 
-// check holds what callers were told against what the upstreams have run.
-func (s *site) check(requests []sent) {
-	runs := map[string][]ran{}
-	var hot []time.Time
-	for _, u := range s.upstreams {
-		for _, r := range u.worker.Runs() {
-			runs[r.ID] = append(runs[r.ID], ran{r, u})
-			if r.Customer == standin.HotCustomer {
-				hot = append(hot, r.At)
+// check compares the responses that callers received with the requests that the
+// upstreams ran.
+func (c *cluster) check(requests []callerRequest) {
+	runs := map[string][]upstreamRun{}
+	var limitedRuns []time.Time
+	for _, u := range c.upstreams {
+		for _, r := range u.standIn.Runs() {
+			runs[r.ID] = append(runs[r.ID], upstreamRun{r, u})
+			if r.Customer == standin.RateLimitedCustomer {
+				limitedRuns = append(limitedRuns, r.At)
 			}
 			if r.Key != "" {
-				s.report.Errorf("%s: an upstream saw the key", r.ID)
+				c.reporter.Errorf("%s: an upstream saw the key", r.ID)
 			}
 		}
 	}
-	steady, answered := 0, 0
+	steady, succeeded := 0, 0
 	for _, r := range requests {
 		if r.key == "steady" {
 			steady++
 			if r.status == http.StatusOK {
-				answered++
+				succeeded++
 			}
 		}
-		s.checkRequest(r, runs[r.id])
+		c.checkRequest(r, runs[r.id])
 	}
-	s.report.Logf("%d requests; with the steady key %d, answered %d", len(requests), steady, answered)
-	if answered < steady/10 {
-		s.report.Errorf("only %d of %d requests with the steady key were answered", answered, steady)
+	c.reporter.Logf("%d requests; %d with the steady key, of which %d succeeded", len(requests), steady, succeeded)
+	if succeeded < steady/10 {
+		c.reporter.Errorf("only %d of %d requests with the steady key succeeded", succeeded, steady)
 	}
-	s.checkRate(hot)
-	if s.report.Failed() {
+	c.checkRate(limitedRuns)
+	if c.reporter.Failed() {
 		perSecond := map[string]int{}
 		for _, r := range requests {
-			if r.key == standin.HotKey && r.status == http.StatusOK {
-				perSecond[r.at.Format("05")+" "+r.host.name]++
+			if r.key == standin.RateLimitedKey && r.status == http.StatusOK {
+				perSecond[r.startedAt.Format("05")+" "+r.host.name]++
 			}
 		}
-		s.report.Logf("answers to the hot customer by second and host: %v", perSecond)
-		s.report.Logf("injected:\n%s", strings.Join(s.history, "\n"))
+		c.reporter.Logf("responses to the hot customer by second and host: %v", perSecond)
+		c.reporter.Logf("injected faults:\n%s", strings.Join(c.faultLog, "\n"))
 	}
 }
 
-func (s *site) checkRequest(r sent, runs []ran) {
-	customer := standin.CalmCustomer
-	if r.key == standin.HotKey {
-		customer = standin.HotCustomer
-	}
-	for _, x := range runs {
-		if x.Customer != customer {
-			s.report.Errorf("%s: ran for %q", r.id, x.Customer)
+func (c *cluster) checkRequest(r callerRequest, runs []upstreamRun) {
+	customer := standin.UnlimitedCustomer
+	if r.key == standin.RateLimitedKey {
+		customer = standin.RateLimitedCustomer
+	}
+	for _, run := range runs {
+		if run.Customer != customer {
+			c.reporter.Errorf("%s: ran for %q", r.id, run.Customer)
 		}
 	}
 	if r.post && len(runs) > 1 {
-		s.report.Errorf("%s: a posting ran %d times", r.id, len(runs))
+		c.reporter.Errorf("%s: a posting ran %d times", r.id, len(runs))
 	}
 	switch {
 	case r.err == nil && (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && len(runs) > 0:
-		s.report.Errorf("%s: refused with %d (%s) at %s and ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
+		c.reporter.Errorf("%s: refused with %d (%s) at %s, but it ran", r.id, r.status, strings.TrimSpace(r.body), r.host.name)
 	case r.err == nil && r.status == http.StatusOK && !strings.HasSuffix(r.body, " ran "+r.id):
-		s.report.Errorf("%s: got %q", r.id, r.body)
-	case r.err == nil && r.status == http.StatusUnauthorized && (r.key == "steady" || r.key == standin.HotKey):
-		s.report.Errorf("%s: key %s denied", r.id, r.key)
-	case r.err != nil && len(runs) > 0 && s.calm(r, runs):
-		s.report.Errorf("%s: cut off at %s after it had run, by a planned stop or by nothing: %v", r.id, r.host.name, r.err)
-	}
-	for _, x := range runs {
-		if e := s.emptiedAt(x); e != nil && s.calm(r, runs) {
-			s.report.Errorf("%s: ran in %s %v after its evacuation", r.id, e.zone, x.At.Sub(e.from))
+		c.reporter.Errorf("%s: got an unexpected response: %q", r.id, r.body)
+	case r.err == nil && r.status == http.StatusUnauthorized && (r.key == "steady" || r.key == standin.RateLimitedKey):
+		c.reporter.Errorf("%s: key %s denied", r.id, r.key)
+	case r.err != nil && len(runs) > 0 && c.undisturbed(r, runs):
+		c.reporter.Errorf("%s: cut off at %s after it had run, without an unplanned fault: %v", r.id, r.host.name, r.err)
+	}
+	for _, run := range runs {
+		if e := c.violatedEvacuation(run); e != nil && c.undisturbed(r, runs) {
+			c.reporter.Errorf("%s: ran in %s %v after its evacuation", r.id, e.zone, run.At.Sub(e.start))
 		}
 	}
-	if at := s.withdrawn[r.key]; !at.IsZero() && r.at.Sub(at) > revoke && len(runs) > 0 {
-		s.report.Errorf("%s: ran %v after key %s was withdrawn", r.id, r.at.Sub(at), r.key)
+	if at := c.withdrawn[r.key]; !at.IsZero() && r.startedAt.Sub(at) > revocationDelay && len(runs) > 0 {
+		c.reporter.Errorf("%s: ran %v after key %s was withdrawn", r.id, r.startedAt.Sub(at), r.key)
 	}
 }
 
-// emptiedAt is the evacuation during which a request ran although its zone should
-// have got nothing any more; nil: there is none.
-func (s *site) emptiedAt(x ran) *evacuation {
-	for i, e := range s.emptied {
-		if e.zone == x.upstream.zone && x.At.After(e.from.Add(evacuate)) && x.At.Before(e.to) {
-			return &s.emptied[i]
+// violatedEvacuation returns the evacuation that a run violated: the run was in the
+// evacuated zone, and later than evacuationDelay after the start. It returns nil if there
+// is none.
+func (c *cluster) violatedEvacuation(run upstreamRun) *evacuation {
+	for i, e := range c.endedEvacuations {
+		if e.zone == run.upstream.zone && run.At.After(e.start.Add(evacuationDelay)) && run.At.Before(e.end) {
+			return &c.endedEvacuations[i]
 		}
 	}
 	return nil
 }
 
-// calm tells whether nothing but planned work has happened to the host and the
-// upstreams of a request.
-func (s *site) calm(r sent, runs []ran) bool {
-	near := func(at time.Time) bool {
-		return !at.IsZero() && at.After(r.at.Add(-settle)) && at.Before(r.ended.Add(time.Second))
-	}
-	if near(r.host.faulted) || r.ended.Sub(r.at) > 1900*time.Millisecond {
+// undisturbed reports whether a request was exposed to planned operations only: its host
+// and the upstreams that ran it had no fault, and it took less than 1.9 s, so that the
+// route's timeout of 2 s did not end it.
+func (c *cluster) undisturbed(r callerRequest, runs []upstreamRun) bool {
+	nearRequest := func(at time.Time) bool {
+		return !at.IsZero() && at.After(r.startedAt.Add(-faultSettleTime)) && at.Before(r.endedAt.Add(time.Second))
+	}
+	if nearRequest(r.host.faultedAt) || r.endedAt.Sub(r.startedAt) > 1900*time.Millisecond {
 		return false
 	}
-	for _, x := range runs {
-		if near(x.upstream.faulted) || !x.upstream.faulted.IsZero() {
+	for _, run := range runs {
+		if nearRequest(run.upstream.faultedUntil) || !run.upstream.faultedUntil.IsZero() {
 			return false
 		}
 	}
-	return r.host.faulted.IsZero()
+	return r.host.faultedAt.IsZero()
 }
 
-// checkRate bounds what a customer gets in any five seconds, over all hosts.
-func (s *site) checkRate(runs []time.Time) {
-	sort.Slice(runs, func(i, j int) bool { return runs[i].Before(runs[j]) })
+// checkRate checks the number of requests that ran for the rate-limited customer, over
+// all hosts, in each window of five seconds.
+func (c *cluster) checkRate(times []time.Time) {
+	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
 	const window = 5 * time.Second
-	allowed := (standin.HotRate*window.Seconds()+standin.HotBurst)*1.1 + 20
-	most, from, end := 0, 0, time.Time{}
-	for i := range runs {
-		for runs[i].Sub(runs[from]) > window {
-			from++
+	allowed := (standin.RateLimit*window.Seconds()+standin.RateBurst)*1.1 + 20
+	maxRuns, first, windowEnd := 0, 0, time.Time{}
+	for i := range times {
+		for times[i].Sub(times[first]) > window {
+			first++
 		}
-		if n := i - from + 1; n > most {
-			most, end = n, runs[i]
+		if n := i - first + 1; n > maxRuns {
+			maxRuns, windowEnd = n, times[i]
 		}
 	}
-	s.report.Logf("most of the hot customer in the %v up to %s: %d, allowed %.0f", window, end.Format("05.000"), most, allowed)
-	if float64(most) > allowed {
-		s.report.Errorf("the hot customer got %d in %v, allowed %.0f", most, window, allowed)
+	c.reporter.Logf("peak of the hot customer in the %v up to %s: %d, allowed %.0f", window, windowEnd.Format("05.000"), maxRuns, allowed)
+	if float64(maxRuns) > allowed {
+		c.reporter.Errorf("the hot customer got %d in %v, allowed %.0f", maxRuns, window, allowed)
 	}
 }
--- /dev/null
+++ b/internal/soak/cluster_test.go
@@ -0,0 +1,255 @@
+package soak
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"balsambarrow/internal/standin"
+)
+
+const (
+	// revocationDelay is the longest time that a withdrawn key may still be accepted.
+	revocationDelay = 4 * time.Second
+	// evacuationDelay is the longest time that a zone may still get requests after its
+	// evacuation was declared.
+	evacuationDelay = 5 * time.Second
+	// rotatedKeys is the number of API keys that faults withdraw one by one.
+	rotatedKeys = 3
+)
+
+// daemonProcess is one entry host, whose process is restarted on the same address.
+type daemonProcess struct {
+	name          string
+	zone          string
+	settingsFile  string
+	callerAddress string
+	proxy         *proxy
+
+	mu  sync.Mutex
+	cmd *exec.Cmd
+	// exited is closed when the current process has ended.
+	exited chan struct{}
+	// faultedAt is when the process was last killed or suspended, stoppedAt when it last
+	// received SIGTERM.
+	faultedAt time.Time
+	stoppedAt time.Time
+}
+
+// upstream is a stand-in upstream with its server. faultedUntil is the end of its last
+// disruption.
+type upstream struct {
+	standIn      *standin.PlatformUpstream
+	server       *httptest.Server
+	zone         string
+	sequence     int
+	faultedUntil time.Time
+}
+
+// evacuation is a period during which a zone was declared evacuated.
+type evacuation struct {
+	zone       string
+	start, end time.Time
+}
+
+// cluster is a fleet of entry hosts with its store and its upstreams.
+type cluster struct {
+	t        *testing.T
+	reporter reporter
+	binary   string
+	dir      string
+	store    *standin.KVStore
+	server   *httptest.Server
+
+	mu        sync.Mutex
+	processes []*daemonProcess
+	upstreams []*upstream
+	version   int
+	// withdrawn maps each withdrawn API key to the time of its withdrawal.
+	withdrawn         map[string]time.Time
+	activeEvacuations map[string]time.Time
+	// endedEvacuations are the evacuations that were declared and lifted again.
+	endedEvacuations []evacuation
+	// faultLog lists the injected faults. It is logged when a check fails.
+	faultLog []string
+}
+
+// logFault adds a line to faultLog.
+func (c *cluster) logFault(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultLog = append(c.faultLog, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+}
+
+// hostConfig is the zone and the declared link speed of a host; linkMbps 0 declares none.
+type hostConfig struct {
+	zone     string
+	linkMbps int
+}
+
+// mixedFleetSeed is the lowest seed that uses mixedFleet.
+const mixedFleetSeed = 1000
+
+// equalFleet has three active hosts. In mixedFleet the last host, which has a slow link,
+// is a standby, and most hosts of region a learn of changes in the store from the host that
+// watches the store for the region.
+var (
+	equalFleet = []hostConfig{{"a1", 0}, {"a2", 0}, {"b1", 0}}
+	mixedFleet = []hostConfig{{"a1", 200}, {"a2", 200}, {"b1", 200}, {"a1", 200}, {"a2", 10}}
+)
+
+func fleetForSeed(seed uint64) []hostConfig {
+	if seed < mixedFleetSeed {
+		return equalFleet
+	}
+	return mixedFleet
+}
+
+func newCluster(t *testing.T, binary string, fleet []hostConfig) *cluster {
+	c := &cluster{
+		t: t, reporter: t, binary: binary, dir: t.TempDir(), store: standin.NewKVStore(), version: 1,
+		withdrawn: map[string]time.Time{}, activeEvacuations: map[string]time.Time{},
+	}
+	c.server = httptest.NewServer(c.store)
+	c.writeConfig()
+	for i, zone := range []string{"a1", "a2", "b1", "b1", "a1"} {
+		c.addUpstream(fmt.Sprint("i-", i), zone)
+	}
+	for i, host := range fleet {
+		c.addProcess(fmt.Sprint("h", i), host)
+	}
+	return c
+}
+
+// writeConfig writes the next version of the configuration, with all API keys that are
+// not withdrawn, to the store.
+func (c *cluster) writeConfig() {
+	c.version++
+	keys := []string{"steady"}
+	for i := range rotatedKeys {
+		if key := fmt.Sprint("fresh-", i); c.withdrawn[key].IsZero() {
+			keys = append(keys, key)
+		}
+	}
+	c.store.Put("op/config", standin.PlatformConfig{Version: c.version, Keys: keys}.Encode())
+}
+
+func (c *cluster) addUpstream(id, zone string) {
+	u := &upstream{standIn: &standin.PlatformUpstream{ID: id, ServiceTime: 15 * time.Millisecond}, zone: zone}
+	u.server = httptest.NewServer(u.standIn)
+	c.upstreams = append(c.upstreams, u)
+	c.writeRegistration(u)
+}
+
+func (c *cluster) writeRegistration(u *upstream) {
+	u.sequence++
+	c.store.Put("servers/"+u.standIn.ID, u.standIn.RegistryEntry(standin.Service, u.server.Listener.Addr().String(), u.zone, "ready", u.sequence))
+}
+
+func (c *cluster) addProcess(name string, host hostConfig) {
+	p, err := newProxy(c.server.Listener.Addr().String())
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	h := &daemonProcess{name: name, zone: host.zone, proxy: p, settingsFile: filepath.Join(c.dir, name+".jsonc"), callerAddress: freeAddress(c.t, len(c.processes))}
+	text := standin.EntryHostSettings{
+		Name: name, Zone: host.zone, CallerAddress: h.callerAddress, DirectoryAddress: "127.0.0.1:0", StoreAddress: p.address(), LinkMbps: host.linkMbps,
+		GracePeriod: 5 * time.Second, RevocationDelay: revocationDelay,
+	}.Encode()
+	if err := os.WriteFile(h.settingsFile, text, 0o600); err != nil {
+		c.t.Fatal(err)
+	}
+	c.processes = append(c.processes, h)
+	c.startProcess(h)
+}
+
+// freeAddress returns an address whose port the system has just assigned and released.
+// A daemon keeps its address over restarts, so it cannot listen on port 0. Each host has a
+// loopback IP of its own: on 127.0.0.1, another daemon's listener was assigned the same
+// port before this daemon had started, and answered its requests with 404 from then on.
+func freeAddress(t *testing.T, host int) string {
+	l, err := net.Listen("tcp", fmt.Sprintf("127.0.1.%d:0", host+1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	return l.Addr().String()
+}
+
+// startProcess starts the daemon once. Its exited channel is closed when the process ends.
+func (c *cluster) startProcess(h *daemonProcess) {
+	out, err := os.OpenFile(filepath.Join(c.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	cmd := exec.Command(c.binary, "entry", h.settingsFile)
+	cmd.Stdout, cmd.Stderr = out, out
+	if err := cmd.Start(); err != nil {
+		c.t.Fatal(err)
+	}
+	exited := make(chan struct{})
+	h.mu.Lock()
+	h.cmd, h.exited = cmd, exited
+	h.mu.Unlock()
+	go func() {
+		_ = cmd.Wait()
+		_ = out.Close()
+		close(exited)
+	}()
+}
+
+// signal sends a signal to the current process, unless that has already ended.
+func (h *daemonProcess) signal(sig syscall.Signal) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	select {
+	case <-h.exited:
+	default:
+		_ = h.cmd.Process.Signal(sig)
+	}
+}
+
+// awaitExit waits until the current process has ended.
+func (h *daemonProcess) awaitExit() {
+	h.mu.Lock()
+	exited := h.exited
+	h.mu.Unlock()
+	<-exited
+}
+
+func (h *daemonProcess) recordFault(now time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.faultedAt = now
+}
+
+func (c *cluster) close() {
+	for _, h := range c.processes {
+		h.signal(syscall.SIGCONT)
+		h.signal(syscall.SIGKILL)
+		h.awaitExit()
+		h.proxy.close()
+	}
+	for _, u := range c.upstreams {
+		u.server.CloseClientConnections()
+		u.server.Close()
+	}
+	c.server.CloseClientConnections()
+	c.server.Close()
+}
+
+// closeConnections closes every connection of an upstream, which also aborts its
+// responses.
+func (u *upstream) closeConnections() { u.server.CloseClientConnections() }
+
+// abortResponse is a handler that closes the connection without a response, after the
+// upstream has recorded the request as run.
+func abortResponse(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// mode is what a proxy does to what passes.
-type mode int
+// proxyMode selects how a proxy treats the traffic through it.
+type proxyMode int
 
 const (
-	pass mode = iota
-	// delay holds every piece back for a while.
-	delay
-	// silent takes connections and bytes and passes nothing on.
-	silent
-	// oneWay passes requests on and no answers.
-	oneWay
-	// reset closes connections, old and new.
-	reset
-	modes
+	// modePass forwards everything without delay.
+	modePass proxyMode = iota
+	// modeDelay delays each chunk by 150 ms.
+	modeDelay
+	// modeBlackhole accepts connections and data and forwards nothing.
+	modeBlackhole
+	// modeDropResponses forwards requests and drops responses.
+	modeDropResponses
+	// modeReset closes all open connections and each new one.
+	modeReset
+	modeCount
 )
 
-// proxy stands between a daemon and the store, on loopback.
+// proxy is a TCP proxy on loopback between a daemon and the store.
 type proxy struct {
 	target   string
 	listener net.Listener
 
 	mu    sync.Mutex
-	mode  mode
+	mode  proxyMode
 	conns map[net.Conn]bool
 }
 
@@ -45,11 +46,11 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	if m != reset {
+	if m != modeReset {
 		return
 	}
 	for c := range p.conns {
@@ -57,7 +58,7 @@
 	}
 }
 
-func (p *proxy) current() mode {
+func (p *proxy) currentMode() proxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -65,7 +66,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(reset)
+	p.setMode(modeReset)
 }
 
 func (p *proxy) accept() {
@@ -74,7 +75,7 @@
 		if err != nil {
 			return
 		}
-		if p.current() == reset {
+		if p.currentMode() == modeReset {
 			_ = c.Close()
 			continue
 		}
@@ -91,7 +92,7 @@
 	}
 }
 
-func (p *proxy) pipe(to, from net.Conn, request bool) {
+func (p *proxy) pipe(to, from net.Conn, isRequest bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -103,7 +104,7 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.forward(to, buffer[:n], request) {
+		if n > 0 && !p.forward(to, buffer[:n], isRequest) {
 			return
 		}
 		if err != nil {
@@ -112,18 +113,18 @@
 	}
 }
 
-// forward passes one piece on as the mode says; false ends the connection. A
-// piece that was held back in silence is lost: its connection never recovers.
-func (p *proxy) forward(to io.Writer, piece []byte, request bool) bool {
-	switch m := p.current(); {
-	case m == delay:
+// forward writes one chunk as the mode requires, and returns false if the connection is
+// to be closed. A dropped chunk is lost, so its connection is closed once the mode changes.
+func (p *proxy) forward(to io.Writer, data []byte, isRequest bool) bool {
+	switch m := p.currentMode(); {
+	case m == modeDelay:
 		time.Sleep(150 * time.Millisecond)
-	case m == silent, m == oneWay && !request:
-		for p.current() == m {
+	case m == modeBlackhole, m == modeDropResponses && !isRequest:
+		for p.currentMode() == m {
 			time.Sleep(20 * time.Millisecond)
 		}
 		return false
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(data)
 	return err == nil
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,56 +19,56 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 1, "number of seeds to run")
-	first = flag.Uint64("soak.first", 1, "first seed")
-	span  = flag.Duration("soak.span", 8*time.Second, "how long callers ask, per seed")
+	seedCount      = flag.Int("soak.seeds", 1, "number of seeds to run")
+	firstSeed      = flag.Uint64("soak.first", 1, "first seed")
+	callerDuration = flag.Duration("soak.span", 8*time.Second, "how long callers send requests, per seed")
 )
 
-// regressions are seeds that failed once, each with its cause.
-var regressions = []uint64{
-	2, // hosts that started together did not know each other, and each gave out the whole rate
+// regressionSeeds are seeds that failed before, each with the cause.
+var regressionSeeds = []uint64{
+	2, // hosts that started at the same time did not know of each other, and each admitted the full rate
 }
 
-// settle is how long before a request nothing may have happened to a host or an
-// upstream for the request to be held against it.
-const settle = 4 * time.Second
+// faultSettleTime is the time after a fault of a host or an upstream during which its
+// requests are exempt from the checks for interruptions and evacuations.
+const faultSettleTime = 4 * time.Second
 
-// sent is one request of a caller, and what it was told.
-type sent struct {
-	id     string
-	key    string
-	post   bool
-	host   *process
-	at     time.Time
-	ended  time.Time
-	status int
-	body   string
-	err    error
+// callerRequest is one request of a caller, with the response that the caller received.
+type callerRequest struct {
+	id        string
+	key       string
+	post      bool
+	host      *daemonProcess
+	startedAt time.Time
+	endedAt   time.Time
+	status    int
+	body      string
+	err       error
 }
 
-// TestSoak: callers ask, hosts are stopped, killed, paused and cut off from the
-// store, upstreams break off their answers, operators withdraw keys and empty
-// zones, in series and at once. What callers and upstreams see must be as
-// promised throughout.
+// TestSoak sends requests while hosts are stopped, killed, suspended and partitioned from
+// the store, upstreams abort their responses, and operators withdraw API keys and evacuate
+// zones. Faults are injected one after another and may overlap. What callers and upstreams
+// observe must keep to the guarantees throughout.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "balsambarrowd")
 	if out, err := exec.Command("go", "build", "-o", binary, "balsambarrow/cmd/balsambarrowd").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	all := append([]uint64{mixedFrom}, regressions...)
-	for i := range uint64(*seeds) {
-		all = append(all, *first+i)
+	seeds := append([]uint64{mixedFleetSeed}, regressionSeeds...)
+	for i := range uint64(*seedCount) {
+		seeds = append(seeds, *firstSeed+i)
 	}
-	for _, seed := range all {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { soak(t, binary, seed) })
+	for _, seed := range seeds {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSoak(t, binary, seed) })
 	}
 }
 
-func soak(t *testing.T, binary string, seed uint64) {
-	t.Logf("seed %d, callers for %v", seed, *span)
-	s := newSite(t, binary, fleetOf(seed))
-	defer s.close()
-	s.awaitServing()
+func runSoak(t *testing.T, binary string, seed uint64) {
+	t.Logf("seed %d, callers run for %v", seed, *callerDuration)
+	c := newCluster(t, binary, fleetForSeed(seed))
+	defer c.close()
+	c.awaitServing()
 	stop := make(chan struct{})
 	var tasks, callers sync.WaitGroup
 	spawn := func(group *sync.WaitGroup, task func()) {
@@ -78,44 +78,44 @@
 			task()
 		}()
 	}
-	spawn(&tasks, func() { s.heartbeats(stop) })
-	spawn(&tasks, func() { s.faults(rand.New(rand.NewPCG(seed, 1)), stop) })
+	spawn(&tasks, func() { c.runHeartbeats(stop) })
+	spawn(&tasks, func() { c.injectFaults(rand.New(rand.NewPCG(seed, 1)), stop) })
 	var mu sync.Mutex
-	var requests []sent
+	var requests []callerRequest
 	for i := range 9 {
 		rng := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		spawn(&callers, func() {
-			own := s.caller(rng, i, *span)
+			sent := c.runCaller(rng, i, *callerDuration)
 			mu.Lock()
 			defer mu.Unlock()
-			requests = append(requests, own...)
+			requests = append(requests, sent...)
 		})
 	}
 	callers.Wait()
 	close(stop)
 	tasks.Wait()
-	// What was given up by a host may still run at an upstream.
+	// A request that its host has abandoned may still be running at an upstream.
 	time.Sleep(300 * time.Millisecond)
-	s.check(requests)
+	c.check(requests)
 }
 
-func (s *site) awaitServing() {
-	for _, h := range s.processes {
+func (c *cluster) awaitServing() {
+	for _, h := range c.processes {
 		end := time.Now().Add(30 * time.Second)
 		for {
-			r := s.ask(http.DefaultClient, sent{id: "warm-up-" + h.name, key: "steady", host: h})
+			r := c.sendRequest(http.DefaultClient, callerRequest{id: "warm-up-" + h.name, key: "steady", host: h})
 			if r.status == http.StatusOK {
 				break
 			}
 			if time.Now().After(end) {
-				s.t.Fatalf("%s does not serve: %d %v", h.name, r.status, r.err)
+				c.t.Fatalf("%s did not start to serve: status %d, error %v", h.name, r.status, r.err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-func (s *site) heartbeats(stop <-chan struct{}) {
+func (c *cluster) runHeartbeats(stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -123,77 +123,77 @@
 		case <-stop:
 			return
 		case <-tick.C:
-			for _, u := range s.upstreams {
-				s.beat(u)
+			for _, u := range c.upstreams {
+				c.writeRegistration(u)
 			}
 		}
 	}
 }
 
-// caller sends requests one after the other, on kept connections that it uses
-// until they are closed.
-func (s *site) caller(rng *rand.Rand, number int, d time.Duration) []sent {
+// runCaller sends requests one after another over keep-alive connections, and returns
+// them with their responses.
+func (c *cluster) runCaller(rng *rand.Rand, number int, d time.Duration) []callerRequest {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 4 * time.Second}
-	var out []sent
+	var out []callerRequest
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		r := sent{
+		r := callerRequest{
 			id: fmt.Sprintf("c%d-%d", number, len(out)), post: rng.IntN(2) == 0,
-			host: s.processes[rng.IntN(len(s.processes))], key: "steady",
+			host: c.processes[rng.IntN(len(c.processes))], key: "steady",
 		}
 		switch {
 		case number < 4:
-			r.key = standin.HotKey
+			r.key = standin.RateLimitedKey
 		case number < 7:
-			r.key = fmt.Sprint("fresh-", rng.IntN(freshKeys))
+			r.key = fmt.Sprint("fresh-", rng.IntN(rotatedKeys))
 		}
-		out = append(out, s.ask(client, r))
+		out = append(out, c.sendRequest(client, r))
 		time.Sleep(time.Duration(rng.IntN(25)) * time.Millisecond)
 	}
 	return out
 }
 
-func (s *site) ask(client *http.Client, r sent) sent {
+func (c *cluster) sendRequest(client *http.Client, r callerRequest) callerRequest {
 	method, path, body := "GET", standin.ReadPath+"1", ""
 	if r.post {
 		method, path, body = "POST", standin.PostPath+"1", "weight"
 	}
-	q, err := http.NewRequest(method, "http://"+r.host.callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+r.host.callerAddress+path, strings.NewReader(body))
 	if err != nil {
-		s.t.Error(err)
+		c.t.Error(err)
 		return r
 	}
-	q.Host = standin.CallerHost
-	q.Header = http.Header{"X-Request-Id": {r.id}, "X-Deadline-Ms": {"3000"}, "Authorization": {"Bearer " + r.key}, "X-Affinity-Key": {r.id[:2]}}
-	r.at = time.Now()
-	resp, err := client.Do(q)
+	req.Host = standin.CallerHost
+	req.Header = http.Header{"X-Request-Id": {r.id}, "X-Deadline-Ms": {"3000"}, "Authorization": {"Bearer " + r.key}, "X-Affinity-Key": {r.id[:2]}}
+	r.startedAt = time.Now()
+	resp, err := client.Do(req)
 	if err == nil {
 		var text []byte
 		text, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		r.status, r.body = resp.StatusCode, string(text)
 	}
-	r.err, r.ended = err, time.Now()
+	r.err, r.endedAt = err, time.Now()
 	return r
 }
 
-// faults injects one after the other until stop, some of which last on while the
-// next ones begin.
-// kinds names what inject does, for the log.
-var kinds = []string{"SIGTERM", "SIGKILL", "SIGSTOP", "store link", "SIGHUP", "key withdrawn", "evacuation", "upstream cuts answers"}
+// faultNames are the kinds of faults that injectFault knows, by number, as logged.
+var faultNames = []string{"SIGTERM", "SIGKILL", "SIGSTOP", "store link", "SIGHUP", "key withdrawn", "evacuation", "upstream aborts responses"}
 
-func (s *site) faults(rng *rand.Rand, stop <-chan struct{}) {
-	var lasting sync.WaitGroup
-	defer lasting.Wait()
+// injectFaults starts one random fault after another until stop is closed. Some are still
+// active when the next ones start.
+func (c *cluster) injectFaults(rng *rand.Rand, stop <-chan struct{}) {
+	var activeFaults sync.WaitGroup
+	defer activeFaults.Wait()
 	for {
-		h, u := s.processes[rng.IntN(len(s.processes))], s.upstreams[rng.IntN(len(s.upstreams))]
+		h, u := c.processes[rng.IntN(len(c.processes))], c.upstreams[rng.IntN(len(c.upstreams))]
 		length := time.Duration(300+rng.IntN(3500)) * time.Millisecond
-		kind, key, m := rng.IntN(len(kinds)), fmt.Sprint("fresh-", rng.IntN(freshKeys)), mode(1+rng.IntN(int(modes)-1))
-		lasting.Add(1)
+		kind, key, m := rng.IntN(len(faultNames)), fmt.Sprint("fresh-", rng.IntN(rotatedKeys)), proxyMode(1+rng.IntN(int(modeCount)-1))
+		activeFaults.Add(1)
 		go func() {
-			defer lasting.Done()
-			s.inject(kind, h, u, key, m, length)
+			defer activeFaults.Done()
+			c.injectFault(kind, h, u, key, m, length)
 		}()
 		select {
 		case <-stop:
@@ -203,101 +203,105 @@
 	}
 }
 
-func (s *site) inject(kind int, h *process, u *upstream, key string, m mode, length time.Duration) {
-	s.note("%s of %s or %s, mode %d, for %v", kinds[kind], h.name, u.worker.ID, m, length)
+// injectFault injects one fault and returns when it has ended. The kind decides which of
+// the other parameters are used.
+func (c *cluster) injectFault(kind int, h *daemonProcess, u *upstream, key string, m proxyMode, length time.Duration) {
+	c.logFault("%s: host %s, upstream %s, proxy mode %d, for %v", faultNames[kind], h.name, u.standIn.ID, m, length)
 	switch kind {
 	case 0:
-		s.stop(h)
+		c.stopAndRestart(h)
 	case 1:
-		h.fault(time.Now())
+		h.recordFault(time.Now())
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
-		s.restart(h)
+		c.restart(h)
 	case 2:
-		h.fault(time.Now())
+		h.recordFault(time.Now())
 		h.signal(syscall.SIGSTOP)
 		time.Sleep(length)
 		h.signal(syscall.SIGCONT)
-		h.fault(time.Now())
+		h.recordFault(time.Now())
 	case 3:
-		h.proxy.set(m)
+		h.proxy.setMode(m)
 		time.Sleep(length)
-		h.proxy.set(pass)
+		h.proxy.setMode(modePass)
 	case 4:
 		h.signal(syscall.SIGHUP)
 	case 5:
-		s.withdraw(key, length)
+		c.withdrawKey(key, length)
 	case 6:
-		s.evacuate(u.zone, length+revoke)
+		c.evacuateZone(u.zone, length+revocationDelay)
 	case 7:
-		s.disturb(u, length)
+		c.disruptUpstream(u, length)
 	}
 }
 
-// stop is a planned stop, and a new start.
-func (s *site) stop(h *process) {
+// stopAndRestart stops a host as planned, with SIGTERM, and starts it again.
+func (c *cluster) stopAndRestart(h *daemonProcess) {
 	h.mu.Lock()
-	h.stopped = time.Now()
+	h.stoppedAt = time.Now()
 	h.mu.Unlock()
 	h.signal(syscall.SIGTERM)
-	s.restart(h)
+	c.restart(h)
 }
 
-// restart waits for the end of the present process and starts the next one. Of
-// several that wait only one does.
-func (s *site) restart(h *process) {
+// restart waits for the end of the current process and starts the next one. If several
+// goroutines wait for the same process, only one of them starts the next one.
+func (c *cluster) restart(h *daemonProcess) {
 	h.mu.Lock()
-	ending := h.done
+	ending := h.exited
 	h.mu.Unlock()
 	<-ending
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	h.mu.Lock()
-	same := h.done == ending
+	same := h.exited == ending
 	h.mu.Unlock()
 	if same {
-		s.start(h)
+		c.startProcess(h)
 	}
 }
 
-func (s *site) withdraw(key string, length time.Duration) {
-	s.mu.Lock()
-	if !s.withdrawn[key].IsZero() {
-		s.mu.Unlock()
+func (c *cluster) withdrawKey(key string, length time.Duration) {
+	c.mu.Lock()
+	if !c.withdrawn[key].IsZero() {
+		c.mu.Unlock()
 		return
 	}
-	s.withdrawn[key] = time.Now()
-	s.declare()
-	s.withdrawn[key] = time.Now()
-	s.mu.Unlock()
-	// A key that is withdrawn stays so: what runs with it later is a fault.
+	c.withdrawn[key] = time.Now()
+	c.writeConfig()
+	c.withdrawn[key] = time.Now()
+	c.mu.Unlock()
+	// A withdrawn key is never granted again, so length is not used. A request that runs
+	// with it later than revocationDelay is a violation.
 	_ = length
 }
 
-func (s *site) evacuate(zone string, length time.Duration) {
-	s.mu.Lock()
-	if !s.evacuated[zone].IsZero() {
-		s.mu.Unlock()
+func (c *cluster) evacuateZone(zone string, length time.Duration) {
+	c.mu.Lock()
+	if !c.activeEvacuations[zone].IsZero() {
+		c.mu.Unlock()
 		return
 	}
-	s.store.Put("op/evacuate/"+zone, []byte("{}"))
-	s.evacuated[zone] = time.Now()
-	s.mu.Unlock()
+	c.store.Put("op/evacuate/"+zone, []byte("{}"))
+	c.activeEvacuations[zone] = time.Now()
+	c.mu.Unlock()
 	time.Sleep(length)
-	s.mu.Lock()
-	s.emptied = append(s.emptied, evacuation{zone, s.evacuated[zone], time.Now()})
-	s.store.Delete("op/evacuate/" + zone)
-	delete(s.evacuated, zone)
-	s.mu.Unlock()
+	c.mu.Lock()
+	c.endedEvacuations = append(c.endedEvacuations, evacuation{zone, c.activeEvacuations[zone], time.Now()})
+	c.store.Delete("op/evacuate/" + zone)
+	delete(c.activeEvacuations, zone)
+	c.mu.Unlock()
 }
 
-// disturb makes an upstream cut its answers, or all of its connections once.
-func (s *site) disturb(u *upstream, length time.Duration) {
-	s.mu.Lock()
-	u.faulted = time.Now().Add(length)
-	s.mu.Unlock()
-	u.worker.SetAnswer(failing)
+// disruptUpstream makes an upstream abort its responses for half of length, and then
+// closes all of its connections once.
+func (c *cluster) disruptUpstream(u *upstream, length time.Duration) {
+	c.mu.Lock()
+	u.faultedUntil = time.Now().Add(length)
+	c.mu.Unlock()
+	u.standIn.SetHandler(abortResponse)
 	time.Sleep(length / 2)
-	u.worker.SetAnswer(nil)
-	u.cut()
+	u.standIn.SetHandler(nil)
+	u.closeConnections()
 }
--- /dev/null
+++ b/internal/soak/violations_test.go
@@ -0,0 +1,148 @@
+package soak
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	. "github.com/onsi/gomega"
+
+	"balsambarrow/internal/standin"
+)
+
+// recordingReporter records the errors that the checks report.
+type recordingReporter struct{ errors []string }
+
+func (r *recordingReporter) Errorf(format string, args ...any) {
+	r.errors = append(r.errors, fmt.Sprintf(format, args...))
+}
+func (r *recordingReporter) Logf(string, ...any) {}
+func (r *recordingReporter) Failed() bool        { return len(r.errors) > 0 }
+
+// runAtUpstream sends a request to an upstream with the headers that an entry host sets.
+func runAtUpstream(u *upstream, method, id, customer, key string) {
+	r := httptest.NewRequest(method, standin.ReadPath, nil)
+	r.Header.Set("X-Request-Id", id)
+	r.Header.Set("X-Tenant-Id", customer)
+	if key != "" {
+		r.Header.Set("Authorization", "Bearer "+key)
+	}
+	u.standIn.ServeHTTP(httptest.NewRecorder(), r)
+}
+
+// Guards against checks that cannot fail. Each case simulates what callers and
+// upstreams would observe if the fleet violated one guarantee; the checks must report
+// that violation and nothing else. Cases without a violation must report nothing.
+func TestChecksDetectViolations(t *testing.T) {
+	now := time.Now()
+	withResponse := func(r callerRequest) callerRequest {
+		r.status, r.body = http.StatusOK, "i-0 ran "+r.id
+		return r
+	}
+	cases := []struct {
+		name string
+		// simulate runs requests at the upstream and returns what callers observed.
+		simulate func(s *cluster, u *upstream, r callerRequest) []callerRequest
+		// wantError is a substring of the expected error; empty if none is expected.
+		wantError string
+	}{
+		{"no violation", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, ""},
+		{"a posting runs twice", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			r.post = true
+			runAtUpstream(u, "POST", r.id, standin.UnlimitedCustomer, "")
+			runAtUpstream(u, "POST", r.id, standin.UnlimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, "a posting ran 2 times"},
+		{"a read may run twice", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, ""},
+		{"a rejected request ran", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			r.status = http.StatusServiceUnavailable
+			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
+		}, "refused with 503"},
+		{"response to another request", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			r = withResponse(r)
+			r.body = "i-0 ran c9"
+			return []callerRequest{r}
+		}, "got"},
+		{"the API key reaches an upstream", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "steady")
+			return []callerRequest{withResponse(r)}
+		}, "saw the key"},
+		{"a request runs for another customer", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.RateLimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, `ran for "hot"`},
+		{"a granted key is denied", func(_ *cluster, _ *upstream, r callerRequest) []callerRequest {
+			r.status = http.StatusUnauthorized
+			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
+		}, "key steady denied"},
+		{"a withdrawn key still works", func(s *cluster, u *upstream, r callerRequest) []callerRequest {
+			s.withdrawn["fresh-0"] = now.Add(-revocationDelay - time.Second)
+			r.key = "fresh-0"
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, "after key fresh-0 was withdrawn"},
+		{"a planned stop interrupts a request", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			r.host.stoppedAt, r.err = now, errors.New("closed")
+			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
+		}, "cut off"},
+		{"a killed host may interrupt a request", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			r.host.faultedAt, r.err = now, errors.New("closed")
+			return []callerRequest{r, withResponse(callerRequest{id: "c2", key: "steady", host: r.host, startedAt: now, endedAt: now})}
+		}, ""},
+		{"an evacuated zone gets requests", func(s *cluster, u *upstream, r callerRequest) []callerRequest {
+			u.zone = "a1"
+			s.endedEvacuations = []evacuation{{"a1", now.Add(-evacuationDelay - time.Second), now.Add(time.Second)}}
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, "after its evacuation"},
+		{"a zone that is not evacuated gets requests", func(s *cluster, u *upstream, r callerRequest) []callerRequest {
+			u.zone = "a2"
+			s.endedEvacuations = []evacuation{{"a1", now.Add(-evacuationDelay - time.Second), now.Add(time.Second)}}
+			runAtUpstream(u, "GET", r.id, standin.UnlimitedCustomer, "")
+			return []callerRequest{withResponse(r)}
+		}, ""},
+		{"no request succeeds", func(_ *cluster, _ *upstream, r callerRequest) []callerRequest {
+			var out []callerRequest
+			for i := range 20 {
+				out = append(out, callerRequest{id: fmt.Sprint("n", i), key: "steady", host: r.host, status: http.StatusServiceUnavailable})
+			}
+			return out
+		}, "only 0 of 20"},
+		{"a customer exceeds its rate", func(_ *cluster, u *upstream, r callerRequest) []callerRequest {
+			for i := range 300 {
+				runAtUpstream(u, "GET", fmt.Sprint("h", i), standin.RateLimitedCustomer, "")
+			}
+			return nil
+		}, "the hot customer got 300"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			g := NewWithT(t)
+			reported := &recordingReporter{}
+			u := &upstream{standIn: &standin.PlatformUpstream{ID: "i-0"}}
+			s := &cluster{t: t, reporter: reported, upstreams: []*upstream{u}, withdrawn: map[string]time.Time{}}
+			s.check(c.simulate(s, u, callerRequest{id: "c1", key: "steady", host: &daemonProcess{name: "h0"}, startedAt: now, endedAt: now.Add(20 * time.Millisecond)}))
+			if c.wantError == "" {
+				g.Expect(reported.errors).To(BeEmpty())
+				return
+			}
+			g.Expect(reported.errors).To(HaveLen(1), strings.Join(reported.errors, "; "))
+			g.Expect(reported.errors[0]).To(ContainSubstring(c.wantError))
+		})
+	}
+}
--- /dev/null
+++ b/internal/standin/platformupstream.go
@@ -0,0 +1,122 @@
+package standin
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// PlatformRun is one request that a PlatformUpstream has run.
+type PlatformRun struct {
+	ID       string
+	Method   string
+	Target   string
+	Customer string
+	Key      string
+	Body     string
+	At       time.Time
+}
+
+// PlatformUpstream stands in for an upstream of the users' platform. It echoes the request
+// ID, signs its responses, reports its load, and rejects requests for another instance
+// with 421. It is safe for concurrent use.
+type PlatformUpstream struct {
+	// ID is the initial instance ID.
+	ID string
+	// ServiceTime is the time that each request takes.
+	ServiceTime time.Duration
+
+	mu         sync.Mutex
+	instanceID string
+	handler    func(w http.ResponseWriter, r *http.Request)
+	running    int
+	runs       []PlatformRun
+}
+
+// platformUpstreamSlots is the concurrency that a PlatformUpstream reports.
+const platformUpstreamSlots = 4
+
+// Runs returns the requests that the upstream has run.
+func (u *PlatformUpstream) Runs() []PlatformRun {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return append([]PlatformRun(nil), u.runs...)
+}
+
+// SetHandler replaces the handler that writes the response; nil restores the default. The
+// request is recorded as run before the handler is called.
+func (u *PlatformUpstream) SetHandler(handler func(w http.ResponseWriter, r *http.Request)) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.handler = handler
+}
+
+// SetInstanceID changes the instance ID, as if another instance had started at the same
+// address.
+func (u *PlatformUpstream) SetInstanceID(id string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.instanceID = id
+}
+
+func (u *PlatformUpstream) currentID() string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.instanceID != "" {
+		return u.instanceID
+	}
+	return u.ID
+}
+
+// RegistryEntry returns the value that the upstream registers in the store under its ID.
+func (u *PlatformUpstream) RegistryEntry(service, address, zone, state string, sequence int) []byte {
+	entry, err := json.Marshal(map[string]any{
+		"service": service, "address": address, "zone": zone, "version": "v1", "slots": platformUpstreamSlots,
+		"state": state, "cold-remaining": "0ms", "sequence": sequence, "born": 1_700_000_000_000,
+	})
+	if err != nil {
+		panic(err)
+	}
+	return entry
+}
+
+// ServeHTTP implements http.Handler.
+func (u *PlatformUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
+	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != u.currentID() {
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	u.mu.Lock()
+	u.running++
+	u.runs = append(u.runs, PlatformRun{
+		ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI, Body: string(body), At: time.Now(),
+		Customer: r.Header.Get("X-Tenant-Id"), Key: r.Header.Get("Authorization"),
+	})
+	handler := u.handler
+	u.mu.Unlock()
+	defer func() {
+		u.mu.Lock()
+		defer u.mu.Unlock()
+		u.running--
+	}()
+	if handler != nil {
+		handler(w, r)
+		return
+	}
+	time.Sleep(u.ServiceTime)
+	u.mu.Lock()
+	running := u.running
+	u.mu.Unlock()
+	w.Header().Set("X-Response-Signature", "signed-by-"+u.ID)
+	w.Header().Set("X-Server-Load", fmt.Sprintf("%d,0,%d", running, platformUpstreamSlots))
+	// A write fails only if the client has disconnected.
+	_, _ = fmt.Fprintf(w, "%s ran %s", u.ID, r.Header.Get("X-Request-Id"))
+}
