--- a/cmd/balsambarrowd/main.go
+++ b/cmd/balsambarrowd/main.go
@@ -19,8 +19,8 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1
-	exitBadInput = 2
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
 func main() {
@@ -28,7 +28,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		var faults jsonc.Faults
 		if errors.As(err, &faults) {
-			os.Exit(exitBadInput)
+			os.Exit(exitInvalidSettings)
 		}
 		os.Exit(exitFailed)
 	}
@@ -72,7 +72,7 @@
 		return errors.Wrap(err, "listener failed")
 	case <-signals:
 	}
-	// A second signal changes nothing: requests are never cut off by it.
+	// A second signal is ignored, so that it does not interrupt requests.
 	ctx, cancel := context.WithTimeout(context.Background(), s.ShutdownTimeout())
 	defer cancel()
 	return d.Stop(ctx)
--- a/cmd/balsamlab/calm.go
+++ b/cmd/balsamlab/calm.go
@@ -25,117 +25,119 @@
 )
 
 const (
-	// calmHosts and calmUpstreams stand in the zones of standin.Zones, in turn.
+	// calmHosts and calmUpstreams are the numbers of entry hosts and upstreams, which are
+	// assigned to the zones of standin.Zones in turn.
 	calmHosts     = 4
 	calmUpstreams = 6
-	// calmWork is how long an upstream takes.
-	calmWork = 15 * time.Millisecond
-	// calmGrace bounds a planned stop, and calmStart the wait for all hosts.
-	calmGrace = 3 * time.Second
-	calmStart = 20 * time.Second
-	calmKey   = "calm"
-	// calmRefused is the part of the requests that may be refused or fail.
-	calmRefused = 0.01
+	// calmServiceTime is the time that an upstream takes for a request.
+	calmServiceTime = 15 * time.Millisecond
+	// calmGracePeriod is the maximum duration of a planned stop, and calmStartTimeout the
+	// maximum time until all hosts serve.
+	calmGracePeriod  = 3 * time.Second
+	calmStartTimeout = 20 * time.Second
+	calmKey          = "calm"
+	// calmMaxFailedFraction is the fraction of requests that may be rejected or fail.
+	calmMaxFailedFraction = 0.01
 )
 
-// calmDay is entry hosts as processes on a stand-in of the users' platform.
-type calmDay struct {
-	daemon string
-	dir    string
-	store  *standin.KVStore
-	// address is the store's.
-	address   string
-	workers   []*standin.Worker
-	beats     []func(sequence int)
-	processes []*exec.Cmd
-	callers   []string
+// calmRun runs entry hosts as processes against stand-ins of the users' platform, without
+// faults.
+type calmRun struct {
+	daemon          string
+	dir             string
+	store           *standin.KVStore
+	storeAddress    string
+	upstreams       []*standin.PlatformUpstream
+	registrations   []func(sequence int)
+	processes       []*exec.Cmd
+	callerAddresses []string
 
-	mu     sync.Mutex
-	counts map[string]int
-	wrong  int
+	mu             sync.Mutex
+	statusCounts   map[string]int
+	wrongResponses int
 }
 
-var errCalmDay = errors.New("balsamlab: the calm day was not as it should be")
+var errCalmFailed = errors.New("balsamlab: calm: a check failed; see the report")
 
 func calmCommand() *cobra.Command {
-	day := &calmDay{store: standin.NewKVStore(), counts: map[string]int{}}
-	var length time.Duration
+	calm := &calmRun{store: standin.NewKVStore(), statusCounts: map[string]int{}}
+	var duration time.Duration
 	var perSecond int
 	cmd := &cobra.Command{
 		Use:   "calm",
-		Short: "Play a calm day: entry hosts as processes on a stand-in of the users' platform",
-		Long: "Plays a calm day: starts a store, upstreams and entry hosts, which are processes, on\n" +
-			"loopback, sends reads and postings for a while, stops the hosts, and says what callers\n" +
-			"and upstreams saw. Exits non-zero if an answer was wrong, a posting ran twice, a key\n" +
-			"reached an upstream, over one request in a hundred was refused, or a stop was not clean.",
+		Short: "Run entry hosts as processes against stand-ins of the users' platform, without faults",
+		Long: "Starts a store, upstreams and entry hosts on loopback, the hosts as separate processes.\n" +
+			"Sends reads and postings, stops the hosts, and reports what callers and upstreams saw.\n" +
+			"Exits non-zero if a response was wrong, a posting ran twice, a key reached an upstream,\n" +
+			"more than one request in a hundred failed, or a host did not stop cleanly.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if day.dir, err = os.MkdirTemp("", "calm"); err != nil {
-				return errors.Wrap(err, "calm day")
+			if calm.dir, err = os.MkdirTemp("", "calm"); err != nil {
+				return errors.Wrap(err, "calm")
 			}
-			defer func() { _ = os.RemoveAll(day.dir) }()
-			return day.play(cmd.Context(), length, perSecond)
+			defer func() { _ = os.RemoveAll(calm.dir) }()
+			return calm.run(cmd.Context(), duration, perSecond)
 		},
 	}
-	cmd.Flags().StringVar(&day.daemon, "daemon", ".bin/balsambarrowd", "the daemon's program")
-	cmd.Flags().DurationVar(&length, "duration", 5*time.Second, "how long to send")
+	cmd.Flags().StringVar(&calm.daemon, "daemon", ".bin/balsambarrowd", "path of the daemon's executable")
+	cmd.Flags().DurationVar(&duration, "duration", 5*time.Second, "how long to send requests")
 	cmd.Flags().IntVar(&perSecond, "rate", 100, "requests per second")
 	return cmd
 }
 
-func (d *calmDay) play(ctx context.Context, length time.Duration, perSecond int) error {
+func (c *calmRun) run(ctx context.Context, duration time.Duration, perSecond int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer d.kill()
-	if err := d.open(); err != nil {
+	defer c.killHosts()
+	if err := c.startAll(); err != nil {
 		return err
 	}
-	go d.heartbeats(ctx)
-	if err := d.awaitReady(); err != nil {
+	go c.runHeartbeats(ctx)
+	if err := c.awaitReady(); err != nil {
 		return err
 	}
-	d.send(length, perSecond)
-	clean := d.stop()
-	return d.report(clean)
+	c.send(duration, perSecond)
+	clean := c.stopHosts()
+	return c.printReport(clean)
 }
 
-// open starts the store, the upstreams and the hosts.
-func (d *calmDay) open() error {
+// startAll starts the store, the upstreams and the hosts.
+func (c *calmRun) startAll() error {
 	var err error
-	if d.address, err = serve("127.0.0.1:0", d.store); err != nil {
+	if c.storeAddress, err = serve("127.0.0.1:0", c.store); err != nil {
 		return err
 	}
-	d.store.Put("op/config", standin.Declaration{Version: 1, Keys: []string{calmKey}}.Value())
+	c.store.Put("op/config", standin.PlatformConfig{Version: 1, Keys: []string{calmKey}}.Encode())
 	zones := []string{"a1", "a2", "b1"}
 	for i := range calmUpstreams {
-		w := &standin.Worker{ID: fmt.Sprint("i-", i), Work: calmWork}
+		w := &standin.PlatformUpstream{ID: fmt.Sprint("i-", i), ServiceTime: calmServiceTime}
 		address, err := serve("127.0.0.1:0", w)
 		if err != nil {
 			return err
 		}
 		zone := zones[i%len(zones)]
-		d.workers = append(d.workers, w)
-		d.beats = append(d.beats, func(sequence int) {
-			d.store.Put("servers/"+w.ID, w.Entry(standin.Service, address, zone, "ready", sequence))
+		c.upstreams = append(c.upstreams, w)
+		c.registrations = append(c.registrations, func(sequence int) {
+			c.store.Put("servers/"+w.ID, w.RegistryEntry(standin.Service, address, zone, "ready", sequence))
 		})
 	}
-	d.beat(1)
+	c.writeRegistrations(1)
 	for i := range calmHosts {
-		if err := d.start(fmt.Sprint("host-", i), zones[i%len(zones)]); err != nil {
+		if err := c.startHost(fmt.Sprint("host-", i), zones[i%len(zones)]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *calmDay) beat(sequence int) {
-	for _, beat := range d.beats {
-		beat(sequence)
+func (c *calmRun) writeRegistrations(sequence int) {
+	for _, register := range c.registrations {
+		register(sequence)
 	}
 }
 
-func (d *calmDay) heartbeats(ctx context.Context) {
+func (c *calmRun) runHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for sequence := 2; ; sequence++ {
@@ -143,24 +145,24 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.beat(sequence)
+			c.writeRegistrations(sequence)
 		}
 	}
 }
 
-// listening finds the callers' address in a host's log.
-var listening = regexp.MustCompile(`msg=started .*callers=(\S+)`)
+// startedLine matches the log line with a host's address for callers.
+var startedLine = regexp.MustCompile(`msg=started .*callers=(\S+)`)
 
-// start starts one host and waits until it listens.
-func (d *calmDay) start(name, zone string) error {
-	file := filepath.Join(d.dir, name+".jsonc")
-	settings := standin.EntryHost{
-		Name: name, Zone: zone, Callers: "127.0.0.1:0", Directory: "127.0.0.1:0", Store: d.address, Grace: calmGrace, Revoke: 5 * time.Second,
-	}.Settings()
+// startHost starts one host and waits until it listens.
+func (c *calmRun) startHost(name, zone string) error {
+	file := filepath.Join(c.dir, name+".jsonc")
+	settings := standin.EntryHostSettings{
+		Name: name, Zone: zone, CallerAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0", StoreAddress: c.storeAddress, GracePeriod: calmGracePeriod, RevocationDelay: 5 * time.Second,
+	}.Encode()
 	if err := os.WriteFile(file, settings, 0o600); err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "write settings file")
 	}
-	cmd := exec.Command(d.daemon, "entry", file)
+	cmd := exec.Command(c.daemon, "entry", file)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return errors.Wrap(err, name)
@@ -168,27 +170,27 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, name)
 	}
-	d.processes = append(d.processes, cmd)
+	c.processes = append(c.processes, cmd)
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
-		found := listening.FindStringSubmatch(lines.Text())
-		if found == nil {
+		match := startedLine.FindStringSubmatch(lines.Text())
+		if match == nil {
 			continue
 		}
-		d.callers = append(d.callers, found[1])
-		// The rest of the log is of no use, but somebody has to read it.
+		c.callerAddresses = append(c.callerAddresses, match[1])
+		// The rest of the log is discarded, so that the process never blocks on a full pipe.
 		go func() { _, _ = io.Copy(io.Discard, out) }()
 		return nil
 	}
-	return errors.Errorf("%s ended before it listened", name)
+	return errors.Errorf("%s exited before it listened", name)
 }
 
-func (d *calmDay) awaitReady() error {
-	end := time.Now().Add(calmStart)
-	for _, host := range d.callers {
-		for d.ask(host, "ready-"+host, false) != http.StatusOK {
+func (c *calmRun) awaitReady() error {
+	end := time.Now().Add(calmStartTimeout)
+	for _, host := range c.callerAddresses {
+		for c.sendRequest(host, "ready-"+host, false) != http.StatusOK {
 			if time.Now().After(end) {
-				return errors.Errorf("%s does not serve", host)
+				return errors.Errorf("%s did not start to serve", host)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -196,26 +198,27 @@
 	return nil
 }
 
-// send sends requests at their times, whether or not earlier ones were answered.
-func (d *calmDay) send(length time.Duration, perSecond int) {
+// send sends requests at a fixed rate, whether or not earlier ones have completed.
+func (c *calmRun) send(duration time.Duration, perSecond int) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var running sync.WaitGroup
-	n := int(length.Seconds() * float64(perSecond))
+	var inFlight sync.WaitGroup
+	n := int(duration.Seconds() * float64(perSecond))
 	for i := range n {
-		host := d.callers[rng.IntN(len(d.callers))]
-		running.Go(func() {
-			status := d.ask(host, fmt.Sprint("c-", i), i%4 == 0)
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.counts[fmt.Sprint(status)]++
+		host := c.callerAddresses[rng.IntN(len(c.callerAddresses))]
+		inFlight.Go(func() {
+			status := c.sendRequest(host, fmt.Sprint("c-", i), i%4 == 0)
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.statusCounts[fmt.Sprint(status)]++
 		})
-		time.Sleep(length / time.Duration(n))
+		time.Sleep(duration / time.Duration(n))
 	}
-	running.Wait()
+	inFlight.Wait()
 }
 
-// ask sends one request and returns the status of its answer, 0: there was none.
-func (d *calmDay) ask(host, id string, post bool) int {
+// sendRequest sends one request and returns the status of the response, or 0 if there was
+// none.
+func (c *calmRun) sendRequest(host, id string, post bool) int {
 	method, path := http.MethodGet, standin.ReadPath
 	if post {
 		method, path = http.MethodPost, standin.PostPath
@@ -239,70 +242,71 @@
 		return 0
 	}
 	if resp.StatusCode == http.StatusOK && !strings.HasSuffix(string(body), " ran "+id) {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.wrong++
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.wrongResponses++
 	}
 	return resp.StatusCode
 }
 
-// stop ends all hosts by a planned stop and tells whether all ended well.
-func (d *calmDay) stop() bool {
-	for _, p := range d.processes {
+// stopHosts stops all hosts as planned, with SIGTERM, and reports whether all exited with
+// code 0.
+func (c *calmRun) stopHosts() bool {
+	for _, p := range c.processes {
 		_ = p.Process.Signal(syscall.SIGTERM)
 	}
 	clean := true
-	for _, p := range d.processes {
+	for _, p := range c.processes {
 		clean = p.Wait() == nil && clean
 	}
-	d.processes = nil
+	c.processes = nil
 	return clean
 }
 
-// kill ends what is left after a failure.
-func (d *calmDay) kill() {
-	for _, p := range d.processes {
+// killHosts kills the hosts that still run after a failure.
+func (c *calmRun) killHosts() {
+	for _, p := range c.processes {
 		_ = p.Process.Kill()
 		_ = p.Wait()
 	}
 }
 
-// calmReport is what a calm day came to.
+// calmReport is the report of a run.
 type calmReport struct {
-	// Statuses counts answers; "0" stands for none.
-	Statuses   map[string]int `json:"statuses"`
-	Wrong      int            `json:"wrong"`
-	Doubled    int            `json:"doubled"`
-	KeysSeen   int            `json:"keys_seen"`
-	CleanStops bool           `json:"clean_stops"`
-	StoreCalls map[string]int `json:"store_calls"`
+	// Statuses counts responses by status; "0" counts requests without a response.
+	Statuses          map[string]int `json:"statuses"`
+	WrongResponses    int            `json:"wrong"`
+	DuplicatePostings int            `json:"doubled"`
+	KeysSeen          int            `json:"keys_seen"`
+	CleanStops        bool           `json:"clean_stops"`
+	StoreCalls        map[string]int `json:"store_calls"`
 }
 
-func (d *calmDay) report(clean bool) error {
-	r := calmReport{Statuses: d.counts, Wrong: d.wrong, CleanStops: clean, StoreCalls: d.store.Calls()}
-	ran := map[string]int{}
-	for _, w := range d.workers {
+func (c *calmRun) printReport(clean bool) error {
+	r := calmReport{Statuses: c.statusCounts, WrongResponses: c.wrongResponses, CleanStops: clean, StoreCalls: c.store.Calls()}
+	runs := map[string]int{}
+	for _, w := range c.upstreams {
 		for _, run := range w.Runs() {
 			if run.Key != "" {
 				r.KeysSeen++
 			}
-			if ran[run.ID]++; run.Method == http.MethodPost && ran[run.ID] == 2 {
-				r.Doubled++
+			if runs[run.ID]++; run.Method == http.MethodPost && runs[run.ID] == 2 {
+				r.DuplicatePostings++
 			}
 		}
 	}
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "encode report")
 	}
 	fmt.Println(string(text))
-	all := 0
-	for _, n := range d.counts {
-		all += n
+	total := 0
+	for _, n := range c.statusCounts {
+		total += n
 	}
-	missed := float64(all-d.counts["200"]) > calmRefused*float64(all)
-	if r.Wrong+r.Doubled+r.KeysSeen > 0 || missed || !clean {
-		return errCalmDay
+	tooManyFailed := float64(total-c.statusCounts["200"]) > calmMaxFailedFraction*float64(total)
+	if r.WrongResponses+r.DuplicatePostings+r.KeysSeen > 0 || tooManyFailed || !clean {
+		return errCalmFailed
 	}
 	return nil
 }
--- a/cmd/balsamlab/compare.go
+++ b/cmd/balsamlab/compare.go
@@ -14,32 +14,32 @@
 	var first, seeds int
 	cmd := &cobra.Command{
 		Use:   "compare BEFORE,AFTER[,AFTER...] FILE:DAY,DAY...",
-		Short: "Play checkouts on the same deployments, days and seeds, and compare them in pairs",
+		Short: "Run the benchmark with several checkouts on the same deployments, days and seeds, and compare the scores in pairs",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p.Versions = strings.Split(args[0], ",")
 			for _, text := range args[1:] {
-				s, err := compare.ParseSite(text)
+				deployment, err := compare.ParseDeployment(text)
 				if err != nil {
 					return err
 				}
-				p.Sites = append(p.Sites, s)
+				p.Deployments = append(p.Deployments, deployment)
 			}
 			for seed := first; seed < first+seeds; seed++ {
 				p.Seeds = append(p.Seeds, seed)
 			}
 			out := cmd.OutOrStdout()
-			p.Played = func(version string, q compare.Play) {
+			p.OnRun = func(version string, run compare.BenchRun) {
 				_, _ = fmt.Fprintf(out, "played version=%s site=%s day=%s seed=%d worth=%.3f broken=%v fault=%q\n",
-					version, q.Site, q.Day, q.Seed, q.Worth, q.Broken, q.Fault)
+					version, run.Deployment, run.Day, run.Seed, run.Score, run.BrokenRules, run.InvalidReason)
 			}
-			plays, err := p.Run(cmd.Context())
+			runs, err := p.Run(cmd.Context())
 			if err != nil {
 				return err
 			}
 			for _, version := range p.Versions[1:] {
 				_, _ = fmt.Fprintf(out, "\n%s against %s\n", version, p.Versions[0])
-				if err := compare.Print(out, compare.Summarize(plays[p.Versions[0]], plays[version])); err != nil {
+				if err := compare.Print(out, compare.Summarize(runs[p.Versions[0]], runs[version])); err != nil {
 					return err
 				}
 			}
@@ -47,12 +47,12 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&p.Bench, "bench", "", "program that plays a day")
+	f.StringVar(&p.Bench, "bench", "", "benchmark program, which runs one day")
 	f.IntVar(&first, "first", 1, "first seed")
 	f.IntVar(&seeds, "seeds", 5, "number of seeds")
-	f.IntVar(&p.Jobs, "jobs", 2, "plays at once")
-	f.BoolVar(&p.Processor, "processor", false, "charge processor time; plays then differ a little each time")
-	f.StringVar(&p.Why, "why", "", "what the change is expected to do; noted with each play")
+	f.IntVar(&p.Jobs, "jobs", 2, "concurrent runs")
+	f.BoolVar(&p.ChargeCPU, "processor", false, "charge processor time; scores then vary slightly between runs")
+	f.StringVar(&p.Note, "why", "", "expected effect of the change; recorded with each run")
 	_ = cmd.MarkFlagRequired("bench")
 	return cmd
 }
--- a/internal/compare/pairs_test.go
+++ b/internal/compare/pairs_test.go
@@ -9,10 +9,10 @@
 	"balsambarrow/internal/compare"
 )
 
-func plays(day string, worth ...float64) []compare.Play {
-	var out []compare.Play
-	for seed, w := range worth {
-		out = append(out, compare.Play{Site: "s", Day: day, Seed: seed, Worth: w})
+func runsOf(day string, scores ...float64) []compare.BenchRun {
+	var out []compare.BenchRun
+	for seed, score := range scores {
+		out = append(out, compare.BenchRun{Deployment: "s", Day: day, Seed: seed, Score: score})
 	}
 	return out
 }
@@ -23,30 +23,30 @@
 		before, after []float64
 		want          compare.Verdict
 	}{
-		{"one pair proves nothing", []float64{.5}, []float64{.7}, compare.TooFew},
-		{"nor do four that agree", []float64{.5, .6, .7, .4}, []float64{.51, .612, .709, .411}, compare.TooFew},
-		{"up and down", []float64{.5, .6, .5, .6, .5}, []float64{.6, .5, .6, .5, .5}, compare.Inside},
-		{"always a little up", []float64{.5, .6, .7, .4, .5}, []float64{.51, .612, .709, .411, .512}, compare.Better},
-		{"always a little down", []float64{.51, .612, .709, .411, .512}, []float64{.5, .6, .7, .4, .5}, compare.Worse},
-		{"the same", []float64{.5, .6, .7, .4, .5}, []float64{.5, .6, .7, .4, .5}, compare.Inside},
+		{"one pair", []float64{.5}, []float64{.7}, compare.TooFewPairs},
+		{"four pairs that agree", []float64{.5, .6, .7, .4}, []float64{.51, .612, .709, .411}, compare.TooFewPairs},
+		{"mixed differences", []float64{.5, .6, .5, .6, .5}, []float64{.6, .5, .6, .5, .5}, compare.Inconclusive},
+		{"consistently slightly higher", []float64{.5, .6, .7, .4, .5}, []float64{.51, .612, .709, .411, .512}, compare.Better},
+		{"consistently slightly lower", []float64{.51, .612, .709, .411, .512}, []float64{.5, .6, .7, .4, .5}, compare.Worse},
+		{"equal scores", []float64{.5, .6, .7, .4, .5}, []float64{.5, .6, .7, .4, .5}, compare.Inconclusive},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := compare.Summarize(plays("d", c.before...), plays("d", c.after...))
-			g.Expect(s).To(HaveLen(2), "the day and the deployment")
+			s := compare.Summarize(runsOf("d", c.before...), runsOf("d", c.after...))
+			g.Expect(s).To(HaveLen(2), "one summary for the day and one for the deployment")
 			g.Expect(s[0].Verdict()).To(Equal(c.want))
 		})
 	}
 }
 
-func TestOnlyPairsAreCompared(t *testing.T) {
+func TestSummarizeIgnoresUnpairedRuns(t *testing.T) {
 	g := NewWithT(t)
-	before := append(plays("a", .5, .6), plays("b", .1)...)
-	after := append(plays("a", .6, .7, .9), plays("c", .9)...)
+	before := append(runsOf("a", .5, .6), runsOf("b", .1)...)
+	after := append(runsOf("a", .6, .7, .9), runsOf("c", .9)...)
 	s := compare.Summarize(before, after)
 	g.Expect(s).To(HaveLen(2))
 	g.Expect(s[0].Pairs).To(Equal(2))
-	g.Expect(s[0].Up).To(Equal(2))
+	g.Expect(s[0].Improved).To(Equal(2))
 	g.Expect(s[0].Difference).To(BeNumerically("~", .1, 1e-9))
 	var b bytes.Buffer
 	g.Expect(compare.Print(&b, s)).To(Succeed())
--- a/internal/config/repository_test.go
+++ b/internal/config/repository_test.go
@@ -92,7 +92,7 @@
 			return f.apply("a", 1, strings.ReplaceAll(rate20, ":", " : "))
 		}, uint64(2), uint64(2)),
 		Entry("whose response is lost", func() (config.AppliedChange, error) {
-			f.store.SetFaults(standin.Faults{LoseAnswers: 1})
+			f.store.SetFaults(standin.Faults{LoseResponses: 1})
 			return f.apply("a", 1, rate20)
 		}, uint64(2), uint64(2)),
 		Entry("submitted again after another operator's change", func() (config.AppliedChange, error) {
@@ -218,7 +218,7 @@
 	})
 
 	It("has an unknown outcome if the store confirms no write", func() {
-		f.store.SetFaults(standin.Faults{LoseAnswers: 1})
+		f.store.SetFaults(standin.Faults{LoseResponses: 1})
 		repository := config.NewRepository(&unresponsiveStore{Store: kv.WithTimeout(newClient("http://127.0.0.1:1"), time.Second), rec: f.record()}, time.Now)
 		_, err := repository.Apply(context.Background(), config.Patch{ChangeID: "a", Base: 1, Merge: json.RawMessage(rate20)})
 		Expect(errors.Is(err, config.ErrOutcomeUnknown)).To(BeTrue(), "got %v", err)
--- a/internal/entryhost/helper_test.go
+++ b/internal/entryhost/helper_test.go
@@ -49,7 +49,7 @@
 	s := &site{t: t, store: standin.NewKVStore(), logs: io.Discard, rate: 1000}
 	s.server = httptest.NewServer(s.store)
 	t.Cleanup(func() {
-		s.store.SetFault(nil)
+		s.store.SetFaultFunc(nil)
 		for _, h := range s.hosts {
 			if !h.stopped.Load() {
 				h.daemon.Kill()
@@ -144,8 +144,8 @@
 }
 
 // worker starts an upstream and registers it.
-func (s *site) worker(id, service, zone string, work time.Duration) *standin.Worker {
-	k := &standin.Worker{ID: id, Work: work}
+func (s *site) worker(id, service, zone string, work time.Duration) *standin.PlatformUpstream {
+	k := &standin.PlatformUpstream{ID: id, ServiceTime: work}
 	server := httptest.NewServer(k)
 	s.t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -155,8 +155,8 @@
 	return k
 }
 
-func (s *site) register(k *standin.Worker, service, address, zone, state string, sequence int) {
-	s.store.Put("servers/"+k.ID, k.Entry(service, address, zone, state, sequence))
+func (s *site) register(k *standin.PlatformUpstream, service, address, zone, state string, sequence int) {
+	s.store.Put("servers/"+k.ID, k.RegistryEntry(service, address, zone, state, sequence))
 }
 
 // declare writes a configuration with one customer that has the given API keys.
@@ -188,8 +188,8 @@
 	s.store.Put("op/config", value)
 }
 
-// answer is the response that a caller received.
-type answer struct {
+// response is what a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -197,7 +197,7 @@
 }
 
 // call sends a request to a host on a new connection.
-func (s *site) call(h *host, method, path, key, body string) answer {
+func (s *site) call(h *host, method, path, key, body string) response {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 8 * time.Second}
 	r, err := http.NewRequest(method, "http://"+h.listen.Callers+path, strings.NewReader(body))
 	NewWithT(s.t).Expect(err).NotTo(HaveOccurred())
@@ -210,16 +210,16 @@
 	}
 	resp, err := client.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, string(text), err}
+	return response{resp.StatusCode, resp.Header, string(text), err}
 }
 
-func (s *site) read(h *host) answer { return s.call(h, "GET", "/read/1", "k1", "") }
+func (s *site) read(h *host) response { return s.call(h, "GET", "/read/1", "k1", "") }
 
-func (s *site) post(h *host) answer { return s.call(h, "POST", "/post/1", "k1", "weight=200") }
+func (s *site) post(h *host) response { return s.call(h, "POST", "/post/1", "k1", "weight=200") }
 
 // metrics returns what a host serves on its metrics address.
 func (s *site) metrics(h *host) string {
--- a/internal/standin/kvstore.go
+++ b/internal/standin/kvstore.go
@@ -8,66 +8,68 @@
 	"time"
 )
 
-// StoreFault is how a call to a KVStore goes wrong.
+// StoreFault is the fault of one call to a KVStore.
 type StoreFault int
 
 // Faults of a call to the store.
 const (
-	// StoreFine: the call is answered.
-	StoreFine StoreFault = iota
-	// StoreBusy: 503, nothing done.
-	StoreBusy
-	// StoreMany: 429, nothing done.
-	StoreMany
-	// StoreReset: the connection is closed, nothing done.
+	// StoreHealthy executes the call and responds.
+	StoreHealthy StoreFault = iota
+	// StoreUnavailable responds with 503 without executing the call.
+	StoreUnavailable
+	// StoreTooManyRequests responds with 429 without executing the call.
+	StoreTooManyRequests
+	// StoreReset closes the connection without executing the call.
 	StoreReset
-	// StoreSilent: nothing is done or answered until the caller leaves.
-	StoreSilent
-	// StoreLost: the call is done and not answered.
-	StoreLost
+	// StoreUnresponsive neither executes the call nor responds; it waits until the client
+	// disconnects.
+	StoreUnresponsive
+	// StoreResponseLost executes the call and closes the connection without a response.
+	StoreResponseLost
 )
 
-// Faults is what a KVStore does wrong, whatever is called. The zero value is a
-// healthy store.
+// Faults are the faults of a KVStore that apply to all calls. The zero value is a healthy
+// store.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down rejects every call with 503.
 	Down bool
-	// StaleOnly refuses every call but listings that may be stale.
+	// StaleOnly rejects every call with 503, except reads that allow stale results.
 	StaleOnly bool
-	// Delay holds every call back.
+	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswers drops the connection after this many further writes took effect,
-	// instead of answering them.
-	LoseAnswers int
-	// Lag is the age of the listings that may be stale.
-	Lag time.Duration
+	// LoseResponses is the number of further writes that take effect and whose connection
+	// is closed without a response.
+	LoseResponses int
+	// StaleAge is the maximum age of listings that allow stale results.
+	StaleAge time.Duration
 }
 
 // KVStore stands in for the key-value store of the users' platform, over HTTP.
 // It is safe for concurrent use.
 type KVStore struct {
-	// PageItems bounds one page of a listing. Default 500.
+	// PageItems is the maximum number of items in one page of a listing. Default 500.
 	PageItems int
-	// Now tells the time by which leases lapse. Default time.Now.
-	Now   func() time.Time
-	fault func(path string) StoreFault
+	// Now is the clock for the expiry of leases and the age of stale listings. Default
+	// time.Now.
+	Now       func() time.Time
+	faultFunc func(path string) StoreFault
 
 	mu     sync.Mutex
 	faults Faults
-	// behind makes listings that may be stale show nothing.
-	behind bool
-	// shown is what listings that may be stale show, as of shownAt.
-	shown    map[string]storeItem
-	shownAt  time.Time
-	revision uint64
-	items    map[string]storeItem
-	// events holds the history after forgotten.
-	events    []storeItem
-	forgotten uint64
-	leases    map[uint64]*storeLease
-	nextLease uint64
-	changed   chan struct{}
-	calls     map[string]int
+	// staleReadsEmpty makes listings that allow stale results empty.
+	staleReadsEmpty bool
+	// staleItems is the content of listings that allow stale results, as of staleItemsAt.
+	staleItems   map[string]storeItem
+	staleItemsAt time.Time
+	revision     uint64
+	items        map[string]storeItem
+	// events is the history of changes after compactedRevision.
+	events            []storeItem
+	compactedRevision uint64
+	leases            map[uint64]*storeLease
+	nextLease         uint64
+	changed           chan struct{}
+	calls             map[string]int
 }
 
 type storeItem struct {
@@ -80,8 +82,8 @@
 }
 
 type storeLease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewKVStore returns an empty store.
@@ -92,28 +94,30 @@
 	}
 }
 
-// SetFault changes how calls go wrong; nil: none does.
-func (s *KVStore) SetFault(fault func(path string) StoreFault) {
+// SetFaultFunc sets the function that selects the fault of each call by its path; nil
+// selects none.
+func (s *KVStore) SetFaultFunc(fault func(path string) StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = fault
+	s.faultFunc = fault
 }
 
-// SetFaults replaces what the store does wrong from now on.
+// SetFaults replaces the faults that apply to all calls.
 func (s *KVStore) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults, s.shown = f, nil
+	s.faults, s.staleItems = f, nil
 }
 
-// SetBehind makes answers that may be stale as old as the empty store.
-func (s *KVStore) SetBehind(behind bool) {
+// SetStaleReadsEmpty makes listings that allow stale results empty, as if they were as old
+// as the store.
+func (s *KVStore) SetStaleReadsEmpty(empty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behind = behind
+	s.staleReadsEmpty = empty
 }
 
-// Put writes a key as an operator or an upstream does.
+// Put writes a key without a lease, as an operator or an upstream does.
 func (s *KVStore) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,19 +131,20 @@
 	s.remove(key)
 }
 
-// Forget drops the history up to now.
-func (s *KVStore) Forget() {
+// CompactHistory discards the history of changes, so that watches from an earlier revision
+// fail with 410.
+func (s *KVStore) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.forgotten = nil, s.revision
-	s.wake()
+	s.events, s.compactedRevision = nil, s.revision
+	s.notifyWatchers()
 }
 
 // Keys returns the keys that begin with prefix.
 func (s *KVStore) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	var out []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -150,15 +155,15 @@
 	return out
 }
 
-// Revision of the last change of a key; 0: there is none.
+// Revision returns the revision of the last change of a key; 0 if the key does not exist.
 func (s *KVStore) Revision(key string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Revision
 }
 
-// Calls is the number of calls by path, without ids; " stale" follows it where the
-// answer may be stale.
+// Calls returns the number of calls by path, without IDs. Calls that allow stale results are
+// counted under the path followed by " stale".
 func (s *KVStore) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +178,7 @@
 	}
 	s.items[i.Key] = i
 	s.events = append(s.events, i)
-	s.wake()
+	s.notifyWatchers()
 	return s.revision
 }
 
@@ -184,19 +189,19 @@
 	delete(s.items, key)
 	s.revision++
 	s.events = append(s.events, storeItem{Key: key, Revision: s.revision, Deleted: true})
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *KVStore) wake() {
+func (s *KVStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// lapse ends leases whose time has come, with their keys.
-func (s *KVStore) lapse() {
+// expireLeases removes expired leases, with their keys.
+func (s *KVStore) expireLeases() {
 	now := s.Now()
 	for id, lease := range s.leases {
-		if now.Before(lease.ends) {
+		if now.Before(lease.expiresAt) {
 			continue
 		}
 		s.endLease(id)
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -14,42 +14,42 @@
 	"balsambarrow/internal/wire"
 )
 
-// Headers and query names that the stand-in upstream understands.
+// Headers and query parameters of the stand-in upstream.
 const (
-	// HeaderBodySum is the SHA-256 of the answer's body, so that a caller can
-	// tell a whole answer from a part.
+	// HeaderBodySum is the SHA-256 of the response body, so that a caller can detect a
+	// truncated response.
 	HeaderBodySum = "X-Body-Sum"
-	// QuerySize asks for an answer of so many bytes.
+	// QuerySize is the requested size of the response body in bytes.
 	QuerySize = "size"
-	// HeaderPosting names a posting; an upstream counts how often each ran.
+	// HeaderPosting is the name of a posting. An upstream counts how often each one ran.
 	HeaderPosting = "X-Posting"
 )
 
-// UpstreamOptions shapes a stand-in upstream.
+// UpstreamOptions configures a stand-in upstream.
 type UpstreamOptions struct {
-	// Slots is how many requests it runs at once; more are shed with 503.
+	// Slots is the number of requests that run concurrently; more are shed with 503.
 	Slots int
-	// ServiceTime is the mean of the time one request takes.
+	// ServiceTime is the mean service time of a request.
 	ServiceTime time.Duration
-	// ColdRequests is how many first requests take four times as long.
+	// ColdRequests is the number of first requests that take four times as long.
 	ColdRequests int
-	// RecordArrivals keeps the time and customer of each request.
+	// RecordArrivals records the time and the customer of each request.
 	RecordArrivals bool
 }
 
-// Upstream is a stand-in for one worker. It answers any path with bytes that
-// follow from the path, and remembers what it ran.
+// Upstream stands in for one upstream of the fleet. It responds to any path with bytes
+// that are derived from the path, and counts the requests that it ran.
 type Upstream struct {
 	options UpstreamOptions
 
-	mu       sync.Mutex
-	running  int
-	total    int
-	shed     int
-	keysSeen int
-	postings map[string]int
-	byTenant map[string]int
-	arrivals []Arrival
+	mu         sync.Mutex
+	running    int
+	total      int
+	shed       int
+	keysSeen   int
+	postings   map[string]int
+	byCustomer map[string]int
+	arrivals   []Arrival
 }
 
 // Arrival is one request that an upstream began to run.
@@ -58,8 +58,7 @@
 	At       time.Time
 }
 
-// Arrivals returns the requests that the upstream ran, if RecordArrivals is
-// set.
+// Arrivals returns the requests that the upstream began to run, if RecordArrivals is set.
 func (u *Upstream) Arrivals() []Arrival {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -68,20 +67,22 @@
 
 // NewUpstream returns a stand-in upstream.
 func NewUpstream(o UpstreamOptions) *Upstream {
-	return &Upstream{options: o, postings: map[string]int{}, byTenant: map[string]int{}}
+	return &Upstream{options: o, postings: map[string]int{}, byCustomer: map[string]int{}}
 }
 
-// UpstreamStats is what an upstream saw.
+// UpstreamStats counts the requests that an upstream received. Total is the number that it
+// ran, KeysSeen the number with an API key, and DuplicatePostings the number of postings
+// that ran more than once.
 type UpstreamStats struct {
-	Total    int            `json:"total"`
-	Shed     int            `json:"shed"`
-	KeysSeen int            `json:"keys_seen"`
-	Doubled  int            `json:"doubled"`
-	Customer map[string]int `json:"customer"`
-	Postings map[string]int `json:"postings"`
+	Total             int            `json:"total"`
+	Shed              int            `json:"shed"`
+	KeysSeen          int            `json:"keys_seen"`
+	DuplicatePostings int            `json:"doubled"`
+	Customer          map[string]int `json:"customer"`
+	Postings          map[string]int `json:"postings"`
 }
 
-// Stats returns what the upstream saw so far.
+// Stats returns the counts so far.
 func (u *Upstream) Stats() UpstreamStats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -89,13 +90,13 @@
 		Total: u.total, Shed: u.shed, KeysSeen: u.keysSeen,
 		Customer: map[string]int{}, Postings: map[string]int{},
 	}
-	for k, n := range u.byTenant {
+	for k, n := range u.byCustomer {
 		s.Customer[k] = n
 	}
 	for k, n := range u.postings {
 		s.Postings[k] = n
 		if n > 1 {
-			s.Doubled++
+			s.DuplicatePostings++
 		}
 	}
 	return s
@@ -112,22 +113,22 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	wait, ok := u.begin(r)
+	serviceTime, ok := u.startRequest(r)
 	if !ok {
 		w.Header().Set(wire.HeaderShed, string(wire.OutcomeNotRun))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer u.end()
+	defer u.finishRequest()
 	select {
-	case <-time.After(wait):
+	case <-time.After(serviceTime):
 	case <-r.Context().Done():
 		return
 	}
-	writeBody(w, r)
+	writeResponseBody(w, r)
 }
 
-func (u *Upstream) begin(r *http.Request) (time.Duration, bool) {
+func (u *Upstream) startRequest(r *http.Request) (time.Duration, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if r.Header.Get("Authorization") != "" {
@@ -142,44 +143,44 @@
 	if u.options.RecordArrivals {
 		u.arrivals = append(u.arrivals, Arrival{Customer: r.Header.Get("Balsam-Customer"), At: time.Now()})
 	}
-	u.byTenant[r.Header.Get("Balsam-Customer")]++
+	u.byCustomer[r.Header.Get("Balsam-Customer")]++
 	if name := r.Header.Get(HeaderPosting); name != "" {
 		u.postings[name]++
 	}
-	wait := time.Duration((0.5 + rand.Float64()) * float64(u.options.ServiceTime))
+	serviceTime := time.Duration((0.5 + rand.Float64()) * float64(u.options.ServiceTime))
 	if u.total <= u.options.ColdRequests {
-		wait *= 4
+		serviceTime *= 4
 	}
-	return wait, true
+	return serviceTime, true
 }
 
-func (u *Upstream) end() {
+func (u *Upstream) finishRequest() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running--
 }
 
-func writeBody(w http.ResponseWriter, r *http.Request) {
+func writeResponseBody(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.Atoi(r.URL.Query().Get(QuerySize))
 	if err != nil || size <= 0 {
 		size = 512
 	}
-	body := bodyOf(r.URL.Path, size)
+	body := responseBody(r.URL.Path, size)
 	sum := sha256.Sum256(body)
 	w.Header().Set(HeaderBodySum, hex.EncodeToString(sum[:]))
 	w.Header().Set("Content-Length", strconv.Itoa(size))
 	_, _ = w.Write(body)
 }
 
-// bodyOf makes size bytes that follow from path, so that an answer to another
-// request is recognised.
-func bodyOf(path string, size int) []byte {
+// responseBody returns size bytes that are derived from path, so that a response to
+// another request can be recognized.
+func responseBody(path string, size int) []byte {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(path))
-	source := rand.New(rand.NewPCG(h.Sum64(), 0))
+	rng := rand.New(rand.NewPCG(h.Sum64(), 0))
 	body := make([]byte, size)
 	for i := range body {
-		body[i] = byte('a' + source.IntN(26))
+		body[i] = byte('a' + rng.IntN(26))
 	}
 	return body
 }
