--- a/internal/entryhost/metrics.go
+++ b/internal/entryhost/metrics.go
@@ -48,7 +48,7 @@
 	d.meter.add(o.Bytes)
 	set := d.metrics.Set
 	set.GetOrCreateCounter(fmt.Sprintf(`balsambarrow_answers_total{route=%q,status="%d",cause=%q}`, o.Route, o.Status, cause)).Inc()
-	set.GetOrCreateHistogram(fmt.Sprintf(`balsambarrow_answer_seconds{route=%q}`, o.Route)).Update(o.Took.Seconds())
+	set.GetOrCreateHistogram(fmt.Sprintf(`balsambarrow_answer_seconds{route=%q}`, o.Route)).Update(o.Duration.Seconds())
 	d.observePlaced(o.Route, o.Latency)
 }
 
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -64,8 +64,8 @@
 	Route  string
 	Status int
 	// Cause is "" if the response of an upstream was sent.
-	Cause Cause
-	Took  time.Duration
+	Cause    Cause
+	Duration time.Duration
 	// Bytes is the size of the response body.
 	Bytes int
 	// Sends is the number of upstreams that the request was sent to.
@@ -125,9 +125,9 @@
 	// mayHaveRun is set if an upstream may have run the request.
 	mayHaveRun bool
 	shed       bool
-	// longestWait is the longest expected queueing delay of the upstreams tried.
-	longestWait time.Duration
-	// latency is that of the last response.
+	// longestQueueing is the longest expected queueing delay of the upstreams tried.
+	longestQueueing time.Duration
+	// latency is the comparison for the last response; nil if there was none.
 	latency *LatencyComparison
 }
 
@@ -305,7 +305,7 @@
 		route = q.route.Name
 	}
 	took := h.Now().Sub(q.arrived)
-	h.Observe(Observation{Route: route, Status: f.status, Cause: f.cause, Took: took, Sends: q.attempts.sends})
+	h.Observe(Observation{Route: route, Status: f.status, Cause: f.cause, Duration: took, Sends: q.attempts.sends})
 	h.Log.Info("refused", "id", q.ID, "route", route, "service", q.service, "status", f.status, "cause", f.cause,
 		"reason", f.reason, "retry_after", f.retryAfter, "took", took, "sends", q.attempts.sends, "tried", q.attempts.tried,
 		"age", h.State().age(h.Now()), "version", h.configVersion())
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -110,7 +110,7 @@
 	// A write error means that the caller has disconnected.
 	_, _ = w.Write(resp.body)
 	took := h.Now().Sub(q.arrived)
-	h.Observe(Observation{Route: q.route.Name, Status: resp.status, Took: took, Bytes: len(resp.body), Sends: q.attempts.sends, Latency: q.attempts.latency})
+	h.Observe(Observation{Route: q.route.Name, Status: resp.status, Duration: took, Bytes: len(resp.body), Sends: q.attempts.sends, Latency: q.attempts.latency})
 	late := q.route.TargetLatency > 0 && took > q.route.TargetLatency
 	if q.attempts.sends > 1 || late || resp.status >= http.StatusInternalServerError || h.responseCount.Add(1)%responseLogInterval == 0 {
 		h.Log.Info("answered", "id", q.ID, "route", q.route.Name, "status", resp.status, "took", took,
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -14,8 +14,8 @@
 )
 
 // maxUnreachable is the number of unreachable upstreams after which a further
-// upstream is still tried. They do not count as attempts of the route, since they
-// received nothing of the request.
+// upstream is still tried. Unreachable upstreams do not count as attempts of the
+// route, since they received nothing of the request.
 const maxUnreachable = 2
 
 // outcome is the result of one attempt.
@@ -79,13 +79,13 @@
 }
 
 func (h *Handler) placementQuery(q *request) place.Query {
-	homes, bound := catalog.AllowedRegions(q.route, q.customer)
+	regions, restricted := catalog.AllowedRegions(q.route, q.customer)
 	object := q.Object
 	if !q.route.Affinity {
 		object = ""
 	}
 	return place.Query{
-		Service: q.service, Route: q.route.Name, Object: object, AllowedRegions: homes, RegionRestricted: bound,
+		Service: q.service, Route: q.route.Name, Object: object, AllowedRegions: regions, RegionRestricted: restricted,
 		Excluded: q.attempts.tried, BodyBytes: len(q.body.buffered), Priority: catalog.Priority(q.route, q.customer),
 		OverRate: q.overRate, Target: q.route.TargetLatency, Remaining: q.deadline.Sub(h.Now()),
 	}
@@ -116,7 +116,7 @@
 	case q.attempts.mayHaveRun:
 		return &refusal{status: http.StatusBadGateway, cause: CauseResponseLost}
 	case q.attempts.shed:
-		return unavailable(CauseUpstreamsShed, q.attempts.longestWait/2+retrySoon)
+		return unavailable(CauseUpstreamsShed, q.attempts.longestQueueing/2+retrySoon)
 	}
 	return unavailable(CauseUpstreamsUnreachable, retryCold)
 }
@@ -142,8 +142,8 @@
 // the queues are full. The minimum is the time in which half of the shortest queue
 // is served, plus retrySoon. A random delay of up to the same length is added, so
 // that callers refused together do not retry together.
-func (h *Handler) retryAfterQueue(wait time.Duration) time.Duration {
-	base := wait/2 + retrySoon
+func (h *Handler) retryAfterQueue(queueing time.Duration) time.Duration {
+	base := queueing/2 + retrySoon
 	return base + time.Duration(rand.Int64N(int64(base)))
 }
 
@@ -186,7 +186,7 @@
 func (h *Handler) send(ctx context.Context, w http.ResponseWriter, q *request, c place.Choice) (end outcome, resp *response) {
 	sentAt := h.Now()
 	q.attempts.tried = append(q.attempts.tried, c.ID)
-	q.attempts.longestWait = max(q.attempts.longestWait, c.ExpectedQueueing)
+	q.attempts.longestQueueing = max(q.attempts.longestQueueing, c.ExpectedQueueing)
 	out := h.upstreamRequest(q, c, sentAt)
 	endSpan := hopTracer{h.Tracer}.startUpstream(ctx, out.Header, c)
 	defer func() { endSpan(end) }()
--- a/internal/front/split.go
+++ b/internal/front/split.go
@@ -17,9 +17,9 @@
 
 // roundRobin is the weighted round-robin state of one route.
 type roundRobin struct {
-	parts []catalog.WeightedService
-	// credit of a part is the number of requests, in units of weight, by which
-	// the part is behind its share.
+	services []catalog.WeightedService
+	// credit of a service is the number of requests, in units of weight, by which
+	// the service is behind its share.
 	credit []float64
 }
 
@@ -33,19 +33,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rr := s.routes[r.Name]
-	if rr == nil || !equalParts(rr.parts, r.Services) {
-		rr = &roundRobin{parts: r.Services, credit: make([]float64, len(r.Services))}
+	if rr == nil || !equalServices(rr.services, r.Services) {
+		rr = &roundRobin{services: r.Services, credit: make([]float64, len(r.Services))}
 		s.routes[r.Name] = rr
 	}
 	return rr.next()
 }
 
-// next performs one step of smooth weighted round robin: each part gains its
-// weight, and the part with the most credit is chosen and pays the sum of all
-// weights.
+// next performs one step of smooth weighted round robin: the credit of each service
+// grows by its weight, the service with the most credit is chosen, and its credit is
+// reduced by the sum of all weights.
 func (rr *roundRobin) next() string {
 	best, sum := 0, 0.0
-	for i, p := range rr.parts {
+	for i, p := range rr.services {
 		rr.credit[i] += p.Weight
 		sum += p.Weight
 		if rr.credit[i] > rr.credit[best] {
@@ -53,10 +53,10 @@
 		}
 	}
 	rr.credit[best] -= sum
-	return rr.parts[best].Service
+	return rr.services[best].Service
 }
 
-func equalParts(a, b []catalog.WeightedService) bool {
+func equalServices(a, b []catalog.WeightedService) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -32,8 +32,8 @@
 const (
 	// denyMaxAge is how long after ConfirmedAt a request may be denied because
 	// its route or key is unknown. A host with an older configuration would deny
-	// routes and keys that were added since. Such a denial tells the caller that
-	// a retry is pointless, whereas the correct response is to retry later.
+	// routes and keys that were added since. Such a denial means that a retry is
+	// pointless, whereas the caller should retry later.
 	denyMaxAge = 3200 * time.Millisecond
 	// standbyMaxAge is the maximum age of the configuration with which a standby
 	// host serves a caller that uses an outdated directory response. It equals the
