--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -36,13 +36,14 @@
 	ExpectedLatency  time.Duration
 	ExpectedQueueing time.Duration
 
-	// Warm is set if the upstream is known to have served the object recently.
+	// Warm is set if the upstream is known to have served the object recently, or if the
+	// request has no affinity key.
 	Warm bool
 
 	upstream *upstream
 	object   Object
 	route    string
-	// cold is set if the upstream itself started recently.
+	// cold is set if the upstream itself is cold, for any object.
 	cold bool
 }
 
@@ -57,7 +58,8 @@
 	AllClosed Reason = "all-closed"
 	// AllEjected: the open upstreams are ejected because of recent failures.
 	AllEjected Reason = "all-ejected"
-	// AllCold: the remaining upstreams are cold and have reached their request rate.
+	// AllCold: the remaining upstreams are cold, and this host is not the one that sends
+	// to them, or they have reached their request rate.
 	AllCold Reason = "all-cold"
 )
 
@@ -71,8 +73,9 @@
 
 type candidate struct {
 	*upstream
-	path     *zonePath
-	weight   uint64
+	path   *zonePath
+	weight uint64
+	// cold is set if the upstream itself is cold, warm if the object is warm there.
 	cold     bool
 	warm     bool
 	latency  time.Duration
@@ -96,9 +99,9 @@
 }
 
 // chooseCheapest selects the candidate with the lowest cost that may receive the
-// request. The search ends at the first candidate whose queue exceeds the limit: the
-// others cost more because the object is cold there, and cold work would take the
-// capacity of several warm requests.
+// request. The search ends at the first candidate whose queueing delay exceeds the
+// limit: the others cost more because the object is cold there, and the request would
+// take the capacity of several warm requests.
 func (t *Table) chooseCheapest(now time.Time, q Query, object Object, list []candidate) (Choice, error) {
 	for len(list) > 0 {
 		i := cheapest(list)
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -47,7 +47,8 @@
 	queuedServiceTime time.Duration
 	// rankPenalty is added per rank. awayPenalty is added outside the object's home region.
 	rankPenalty, awayPenalty time.Duration
-	// homeIsLocal is set if this host's region is the home region of the object.
+	// homeIsLocal is set if this host's region counts as the home region of the object.
+	// On a route whose responses are too large to leave their zone, it always does.
 	homeIsLocal bool
 }
 
@@ -69,8 +70,8 @@
 	c.latency = work + c.queueing + c.path.roundTrip
 }
 
-// estimateCost computes the cost of a candidate of the last rank: its latency, and
-// what the choice costs other requests.
+// estimateCost computes the cost of a candidate as if it had the last rank: its latency,
+// and the cost of the choice to other requests.
 func (e *estimator) estimateCost(c *candidate, load float64) {
 	c.cost = c.latency + c.path.transferCost + time.Duration(c.health.failures*float64(failureCost))
 	if !e.hasAffinity {
@@ -95,7 +96,8 @@
 	return route.estimate(true)
 }
 
-// markWarm sets warm for the candidates to which any host has recently sent the object.
+// markWarm sets warm for the candidates to which any host has recently sent a request
+// about the object. Without an affinity key, all candidates count as warm.
 //
 // If the route's responses are so large that they should not leave their zone, the
 // first-ranked upstream of the zone also counts as warm: one cold request there avoids
@@ -108,29 +110,29 @@
 		return
 	}
 	t.markHolders(now, object)
-	nearest := -1
+	firstInZone := -1
 	for i := range list {
 		c := &list[i]
 		c.warm = c.warmForQuery == t.querySequence
-		if c.Zone == t.self.Zone && (nearest < 0 || c.weight > list[nearest].weight) {
-			nearest = i
+		if c.Zone == t.self.Zone && (firstInZone < 0 || c.weight > list[firstInZone].weight) {
+			firstInZone = i
 		}
 	}
-	if nearest >= 0 && t.links.isZoneLocal(q.Route) {
-		list[nearest].warm = true
+	if firstInZone >= 0 && t.links.isZoneLocal(q.Route) {
+		list[firstInZone].warm = true
 	}
 }
 
-// maxDisplaced bounds the displacement cost of cold work, as a multiple of the slots
-// of an upstream.
+// maxDisplaced bounds the load that counts for the displacement cost, as a multiple of
+// the slots of the upstream.
 const maxDisplaced = 2.0
 
 // displacementCost is the delay that cold work at an upstream causes to the warm
 // requests it displaces, in proportion to the upstream's load. Without this cost,
 // requests that expect a long queue at a warm upstream move to a cold one as soon as
 // they would finish slightly earlier there. Each of them takes the capacity of several
-// warm requests, all queues grow, and more requests move to cold upstreams long after
-// the burst that started it.
+// warm requests, all queues grow, and more requests move to cold upstreams, even long
+// after the burst that made the first ones move.
 func displacementCost(load float64, slots int, route *serviceTime) time.Duration {
 	busy := min(load/float64(slots), maxDisplaced)
 	return time.Duration(busy * float64(route.affinityGain()))
--- a/internal/place/firstobject.go
+++ b/internal/place/firstobject.go
@@ -6,12 +6,14 @@
 //
 // If every object is warm at an upstream with free capacity, the latency estimates
 // send nothing to a new upstream until the others are full, and the new upstream is
-// still cold when it is needed. The host that performs its slow start therefore sends
-// it the objects for which it ranks first, until it has received a request. These
-// objects are then warm there, and the upstream takes part by load.
+// still cold when it is needed. The host that performs the slow start of the new upstream
+// therefore sends it requests about the objects for which the upstream ranks first, until
+// the upstream has received a request. The objects are then warm there, and the upstream
+// is selected by cost like the others.
 
-// joinDelay is how long a new upstream is left to the usual selection. It keeps hosts
-// that have all restarted from moving objects that are warm elsewhere.
+// joinDelay is how long a new upstream receives requests only by the usual selection.
+// Without the delay, hosts that have all restarted would move objects that are warm
+// elsewhere.
 const joinDelay = 2 * time.Second
 
 // needsFirstObject reports whether a candidate receives an object because no host has
--- a/internal/place/gossip.go
+++ b/internal/place/gossip.go
@@ -10,7 +10,7 @@
 	maxWarmReports = 120
 )
 
-// WarmReport says that an upstream has handled an object recently. The upper half
+// WarmReport reports that an upstream has handled an object recently. The upper half
 // holds the object, the lower half the low bits of the hash of the upstream's ID.
 type WarmReport uint64
 
--- a/internal/place/learnedstate.go
+++ b/internal/place/learnedstate.go
@@ -12,7 +12,7 @@
 // UpstreamState is the learned state of one instance of an upstream.
 type UpstreamState struct {
 	ID string
-	// StartedAt is the start of the instance, in Unix milliseconds of its own clock.
+	// StartedAt is the start time of the instance, in Unix milliseconds by its clock.
 	StartedAt int64
 	Objects   []WarmObject
 }
--- a/internal/place/links.go
+++ b/internal/place/links.go
@@ -82,9 +82,9 @@
 	return longest
 }
 
-// transferCost returns the cost of transferring a response of the route and up bytes
-// of request body.
-func (l *linkCosts) transferCost(route, region, zone string, up int) time.Duration {
+// transferCost returns the cost of transferring a response of the route and a request
+// body of bodyBytes bytes.
+func (l *linkCosts) transferCost(route, region, zone string, bodyBytes int) time.Duration {
 	if zone == l.self.Zone {
 		return 0
 	}
@@ -92,7 +92,7 @@
 	if !ok {
 		size = initialResponseBytes
 	}
-	kb := (size + float64(up)) / 1000
+	kb := (size + float64(bodyBytes)) / 1000
 	if region == l.self.Region {
 		return time.Duration(kb * float64(zoneCostPerKB))
 	}
--- a/internal/place/load.go
+++ b/internal/place/load.go
@@ -20,9 +20,9 @@
 type load struct {
 	// inflight is the number of this host's requests.
 	inflight int
-	// others is the load from other hosts in the last report, received at time at.
-	others float64
-	at     time.Time
+	// others is the load from other hosts in the last report, received at reportedAt.
+	others     float64
+	reportedAt time.Time
 	// background is the moving average of others.
 	background float64
 	reported   bool
@@ -37,7 +37,7 @@
 	}
 	l.reported = true
 	l.background += backgroundGain * (others - l.background)
-	l.others, l.at = others, now
+	l.others, l.reportedAt = others, now
 }
 
 // estimate returns the estimated number of requests at the upstream now.
@@ -45,6 +45,6 @@
 	if !l.reported {
 		return float64(l.inflight)
 	}
-	decay := math.Exp(-float64(now.Sub(l.at)) / float64(loadDecay))
+	decay := math.Exp(-float64(now.Sub(l.reportedAt)) / float64(loadDecay))
 	return float64(l.inflight) + l.background + (l.others-l.background)*decay
 }
--- a/internal/place/outlier.go
+++ b/internal/place/outlier.go
@@ -42,8 +42,8 @@
 
 func (h *health) usable(now time.Time) bool { return !now.Before(h.ejectedUntil) }
 
-// failedSince reports whether the upstream was ejected at any time within the span.
-func (h *health) failedSince(now time.Time, span time.Duration) bool {
+// ejectedWithin reports whether the upstream was ejected at any time within the span.
+func (h *health) ejectedWithin(now time.Time, span time.Duration) bool {
 	return !h.ejectedUntil.IsZero() && now.Sub(h.ejectedUntil) < span
 }
 
--- a/internal/place/overrate_test.go
+++ b/internal/place/overrate_test.go
@@ -47,9 +47,10 @@
 type callerResults struct{ sent, onTime, rejected int }
 
 // simulateHotCustomer sends requests for five seconds to four upstreams of four slots.
-// One customer within its rate requests half of the total capacity; one over its rate
-// is admitted for all of it. It returns the outcomes of each.
-func simulateHotCustomer(t *testing.T, over bool) (within, hot callerResults) {
+// One customer within its rate requests half of the total capacity; a hot one, over its
+// rate, is admitted for all of it. If markOverRate is set, the table learns that the hot
+// customer is over its rate. The outcomes of both customers are returned.
+func simulateHotCustomer(t *testing.T, markOverRate bool) (within, hot callerResults) {
 	const work, target = 100 * time.Millisecond, 300 * time.Millisecond
 	g := NewWithT(t)
 	table := newTable(t, "a1")
@@ -60,21 +61,21 @@
 		table.PutUpstream(start, u)
 	}
 	type pendingRequest struct {
-		at     time.Time
-		choice place.Choice
-		took   time.Duration
+		completesAt time.Time
+		choice      place.Choice
+		latency     time.Duration
 	}
 	var running []pendingRequest
 	now := start
 	finish := func() {
 		remaining := running[:0]
 		for _, o := range running {
-			if o.at.After(now) {
+			if o.completesAt.After(now) {
 				remaining = append(remaining, o)
 				continue
 			}
-			load := traffic.Load{Running: 1 + upstreams[o.choice.ID].pending(o.at, work), Slots: 4}
-			table.Done(o.at, o.choice, place.Report{Result: place.Succeeded, TimeToHeader: o.took, HasLoad: true, Load: load})
+			load := traffic.Load{Running: 1 + upstreams[o.choice.ID].pending(o.completesAt, work), Slots: 4}
+			table.Done(o.completesAt, o.choice, place.Report{Result: place.Succeeded, TimeToHeader: o.latency, HasLoad: true, Load: load})
 		}
 		running = remaining
 	}
@@ -82,7 +83,7 @@
 	for i := range 5 * capacity * 3 / 2 {
 		now = start.Add(time.Duration(i) * time.Second * 2 / (3 * capacity))
 		finish()
-		result, q := &hot, place.Query{Service: "s", Route: "r", Target: target, Remaining: 2 * time.Second, OverRate: over}
+		result, q := &hot, place.Query{Service: "s", Route: "r", Target: target, Remaining: 2 * time.Second, OverRate: markOverRate}
 		if i%3 == 0 {
 			result, q.OverRate = &within, false
 		}
@@ -103,7 +104,7 @@
 }
 
 // Guards against a customer that exceeds its rate and delays all others: the requests
-// admitted for it are enough to fill the upstreams. Without a limit of their own, they
+// admitted for it are enough to fill the upstreams. Without a separate limit, they
 // would occupy every queue, and the responses to other customers would be late.
 func TestCustomerOverRateDoesNotDelayOthers(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -239,7 +239,7 @@
 // All slots and queues of an object's upstream are full. Requests whose queueing delay
 // exceeds the limit must be rejected at once with the expected delay, and more requests
 // of the more urgent priority must be admitted.
-func TestFullUpstreamsRefuse(t *testing.T) {
+func TestFullUpstreamsRejectRequests(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable(t, "a1")
 	table.PutUpstream(start, upstream("x", "a1"))
@@ -262,7 +262,7 @@
 
 // The load report of an upstream shows that other hosts have filled it. A host with no
 // requests in flight there must respect the report.
-func TestLoadOfOthersCounts(t *testing.T) {
+func TestLoadOfOtherHostsCounts(t *testing.T) {
 	g := NewWithT(t)
 	table := newFullTable(t, "a1")
 	first, err := table.Choose(start, query("1"))
--- a/internal/place/queuelimit.go
+++ b/internal/place/queuelimit.go
@@ -73,22 +73,24 @@
 
 type queueLimit struct {
 	limit time.Duration
-	at    time.Time
+	setAt time.Time
 }
 
-// onTimeQueueLimit is the queueing delay at which a response is still on time if the
-// service and round-trip times take rest; at least minQueuePart of the target.
+// onTimeQueueLimit returns the longest queueing delay at which a response is still on time,
+// but at least minQueuePart of the target. baseLatency is the sum of the service and
+// round-trip times.
 func onTimeQueueLimit(target, baseLatency time.Duration) time.Duration {
 	return max(target-baseLatency, time.Duration(minQueuePart*float64(target)))
 }
 
-// limit returns the longest queueing delay of a request of the priority whose service
-// and round-trip times take rest.
+// limit returns the longest queueing delay that a request of the priority may have.
+// baseLatency is the sum of its service and round-trip times. The limit is lower while
+// there are requests of a more urgent priority.
 func (r queueLimits) limit(now time.Time, priority int, target, baseLatency time.Duration) time.Duration {
 	limit := queueLimitFactor * onTimeQueueLimit(target, baseLatency)
 	r[priority] = queueLimit{limit, now}
 	for p, a := range r {
-		if p < priority && now.Sub(a.at) < priorityWindow {
+		if p < priority && now.Sub(a.setAt) < priorityWindow {
 			limit = min(limit, time.Duration(lowerPriorityPart*float64(a.limit)))
 		}
 	}
--- a/internal/place/rank.go
+++ b/internal/place/rank.go
@@ -13,9 +13,9 @@
 	return x ^ x>>33
 }
 
-// objectOf hashes an affinity key together with its route; 0 stands for no key. Each
-// route has objects of its own, because work that one route has warmed at an upstream
-// does not speed up requests of another.
+// objectOf hashes an affinity key together with its route; 0 stands for no key. The
+// same key on two routes denotes two objects, because work that one route has warmed at
+// an upstream does not speed up requests of another.
 func objectOf(route, key string) Object {
 	if key == "" {
 		return 0
--- a/internal/place/servicetime.go
+++ b/internal/place/servicetime.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// initialWork is the assumed warm service time on a route without a target until
+	// initialServiceTime is the assumed warm service time on a route without a target until
 	// a response is received. initialTargetPart is the part of the target assumed on
 	// a route that has one.
-	initialWork       = 150 * time.Millisecond
-	initialTargetPart = 1.0 / 3
+	initialServiceTime = 150 * time.Millisecond
+	initialTargetPart  = 1.0 / 3
 	// coldFactor is the assumed ratio of cold to warm service time. Cold work displaces
 	// other requests, so the assumption errs on the side of affinity.
 	coldFactor = 3.3
@@ -51,7 +51,7 @@
 // setInitial derives the initial service time from the latency target.
 func (s *serviceTime) setInitial(target time.Duration) {
 	if s.initial = time.Duration(initialTargetPart * float64(target)); target <= 0 {
-		s.initial = initialWork
+		s.initial = initialServiceTime
 	}
 }
 
--- a/internal/place/slowstart.go
+++ b/internal/place/slowstart.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// slowStartPart is the part of the rate a cold upstream can take that one host
-	// sends. The rest is for a second host that considers itself the sender for a moment
-	// after a change of membership.
+	// slowStartPart is the part of a cold upstream's request rate that its sender uses.
+	// The rest is for a second host that briefly considers itself the sender, too, after
+	// a change of membership.
 	slowStartPart = 0.85
 	// slowStartBurst is the token bucket size; it admits requests that arrive close together.
 	slowStartBurst = 2
@@ -14,8 +14,8 @@
 // slowStart is the token bucket that limits requests to a cold upstream, which crashes at
 // well above its cold rate. Only one host sends to it, so no count is shared.
 type slowStart struct {
-	tokens float64
-	at     time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // allow takes a token, refilled at rate per second; rate 0 means no limit.
@@ -23,12 +23,12 @@
 	if rate <= 0 {
 		return true
 	}
-	if s.at.IsZero() {
+	if s.refilledAt.IsZero() {
 		s.tokens = 1
 	} else {
-		s.tokens = min(s.tokens+now.Sub(s.at).Seconds()*rate*slowStartPart, slowStartBurst)
+		s.tokens = min(s.tokens+now.Sub(s.refilledAt).Seconds()*rate*slowStartPart, slowStartBurst)
 	}
-	s.at = now
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return false
 	}
--- a/internal/place/standingqueue_test.go
+++ b/internal/place/standingqueue_test.go
@@ -17,10 +17,10 @@
 	const ms = time.Millisecond
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name  string
-		waits map[time.Duration]time.Duration
-		at    time.Duration
-		want  time.Duration
+		name      string
+		delays    map[time.Duration]time.Duration
+		queriedAt time.Duration
+		want      time.Duration
 	}{
 		{"no request", nil, 0, 0},
 		{"burst has just started", map[time.Duration]time.Duration{0: 400 * ms, 100 * ms: 500 * ms}, 200 * ms, 0},
@@ -31,12 +31,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			var s standingQueue
-			for at := time.Duration(0); at <= c.at; at += 10 * ms {
-				if wait, ok := c.waits[at]; ok {
-					s.observe(now.Add(at), wait)
+			for at := time.Duration(0); at <= c.queriedAt; at += 10 * ms {
+				if delay, ok := c.delays[at]; ok {
+					s.observe(now.Add(at), delay)
 				}
 			}
-			g.Expect(s.shortest(now.Add(c.at))).To(Equal(c.want))
+			g.Expect(s.shortest(now.Add(c.queriedAt))).To(Equal(c.want))
 		})
 	}
 }
@@ -57,9 +57,9 @@
 	warmWork           = 160 * time.Millisecond
 	coldWork           = 530 * time.Millisecond
 	overloadTarget     = 400 * time.Millisecond
-	warmUpFor          = 12 * time.Second
+	warmUpDuration     = 12 * time.Second
 	warmUpDemand       = .5
-	overloadFor        = 4 * time.Second
+	overloadDuration   = 4 * time.Second
 	overloadSlots      = 4
 	overloadQueue      = 12
 	objectsPerUpstream = 12
@@ -114,10 +114,10 @@
 }
 
 type sentRequest struct {
-	at    time.Time
-	table *Table
-	c     Choice
-	took  time.Duration
+	completesAt time.Time
+	table       *Table
+	c           Choice
+	latency     time.Duration
 }
 
 func (o overload) newFleet(start time.Time) *fleet {
@@ -138,13 +138,13 @@
 func (f *fleet) finish(now time.Time) {
 	remaining := f.running[:0]
 	for _, r := range f.running {
-		if r.at.After(now) {
+		if r.completesAt.After(now) {
 			remaining = append(remaining, r)
 			continue
 		}
-		load := f.upstreams[r.c.ID].load(r.at)
+		load := f.upstreams[r.c.ID].load(r.completesAt)
 		load.Running++
-		r.table.Done(r.at, r.c, Report{Result: Succeeded, TimeToHeader: r.took, HasLoad: true, Load: load})
+		r.table.Done(r.completesAt, r.c, Report{Result: Succeeded, TimeToHeader: r.latency, HasLoad: true, Load: load})
 	}
 	f.running = remaining
 }
@@ -194,9 +194,9 @@
 	capacity := float64(o.upstreams*overloadSlots) / warmWork.Seconds()
 	now, gossiped := start, start
 	var before, out requestOutcomes
-	for now.Sub(start) < warmUpFor+overloadFor {
+	for now.Sub(start) < warmUpDuration+overloadDuration {
 		demand, counted := warmUpDemand, &before
-		if now.Sub(start) >= warmUpFor {
+		if now.Sub(start) >= warmUpDuration {
 			demand, counted = o.demand, &out
 		}
 		f.finish(now)
--- a/internal/place/survey.go
+++ b/internal/place/survey.go
@@ -13,8 +13,8 @@
 	candidates []candidate
 	// reason explains an empty list of candidates.
 	reason Reason
-	// localFailure is set if an upstream of the service in this host's region failed
-	// recently.
+	// localFailure is set if an upstream of the service in this host's region was ejected
+	// within failoverWindow.
 	localFailure bool
 }
 
@@ -69,8 +69,8 @@
 	}
 	var ejected []candidate
 	for _, w := range t.services[q.Service] {
-		path := &t.zonePaths[w.zonePath]
-		if path.local && w.health.failedSince(now, failoverWindow) {
+		path := &t.zonePaths[w.pathIndex]
+		if path.local && w.health.ejectedWithin(now, failoverWindow) {
 			s.localFailure = true
 		}
 		if q.RegionRestricted && !slices.Contains(q.AllowedRegions, w.region) || slices.Contains(q.Excluded, w.ID) {
--- a/internal/place/table.go
+++ b/internal/place/table.go
@@ -88,19 +88,19 @@
 
 // SetEvacuatedZones sets the zones that receive no new requests. The upstreams of a zone
 // that returns count as cold until they report otherwise: they have received no requests
-// for a while, and their last report is older than that.
+// for a while, and their last report dates from before the evacuation.
 func (t *Table) SetEvacuatedZones(now time.Time, zones map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range t.byID {
 		if t.evacuatedZones[w.Zone] && !zones[w.Zone] {
-			w.coldUntil = now.Add(t.coldFor(w.Service))
+			w.coldUntil = now.Add(t.coldStart(w.Service))
 		}
 	}
 	t.evacuatedZones = zones
 }
 
-func (t *Table) coldFor(service string) time.Duration {
+func (t *Table) coldStart(service string) time.Duration {
 	if s := t.service(service); s != nil {
 		return s.ColdStart
 	}
@@ -115,7 +115,8 @@
 }
 
 // PutUpstream adds or updates an upstream from a registration that was just written. It
-// returns false if the registration only confirms that the upstream is alive.
+// reports whether the upstream is new or has changed its start time, state, address or
+// service. Most registrations only confirm that the upstream is alive.
 func (t *Table) PutUpstream(now time.Time, u catalog.Upstream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,7 +129,7 @@
 	} else {
 		t.replace(now, w, u)
 	}
-	w.zonePath, w.senderGeneration = t.zonePathIndex(u.Zone), 0
+	w.pathIndex, w.senderGeneration = t.zonePathIndex(u.Zone), 0
 	w.coldUntil = now.Add(u.ColdRemaining)
 	// The registration shows that the upstream is alive and whether it is cold.
 	w.health.possibleRestartUntil = time.Time{}
--- a/internal/place/upstream.go
+++ b/internal/place/upstream.go
@@ -7,8 +7,8 @@
 )
 
 // WarmTTL is how long an object counts as warm after its last request. maxWarmObjects is
-// the number of objects tracked per upstream; upstreams keep some tens of objects and
-// evict the least recently used.
+// the maximum number of objects tracked per upstream; upstreams keep some tens of objects
+// and evict the least recently used.
 const (
 	WarmTTL        = 20 * time.Second
 	maxWarmObjects = 64
@@ -32,8 +32,8 @@
 	hasReceived bool
 	// warm holds the objects that the upstream is known to have handled recently.
 	warm map[Object]warmState
-	// zonePath is the index of the zone in Table.zonePaths.
-	zonePath int
+	// pathIndex is the index of the zone in Table.zonePaths.
+	pathIndex int
 	// warmForQuery equals Table.querySequence if the object of the current query is warm here.
 	warmForQuery uint64
 	// isSender is set if this host sends to the upstream while it is cold. It was computed
@@ -99,8 +99,8 @@
 	w.warm[object] = known
 }
 
-// markReported records at time now that, according to another host, the upstream answered a
-// request about an object at time at.
+// markReported records at time now that the upstream answered a request about an object at
+// time at, as reported by another host or by restored state.
 func (w *upstream) markReported(now, at time.Time, object Object) {
 	w.markAnswered(at, object)
 	known := w.warm[object]
