--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -293,9 +293,9 @@
 	g := NewWithT(t)
 	sim := newSimulation(3)
 	c := &catalog.Customer{Name: "canteen", Rate: 30, Burst: 60}
-	alone := []float64{1, 0, 0}
-	sim.send(c, 20, 10*time.Second, alone)
-	admitted, sent := sim.send(c, 30+50, time.Second, alone)
+	oneHost := []float64{1, 0, 0}
+	sim.send(c, 20, 10*time.Second, oneHost)
+	admitted, sent := sim.send(c, 30+50, time.Second, oneHost)
 	t.Logf("%d of %d admitted", len(admitted), sent)
 	g.Expect(len(admitted)).To(BeNumerically(">=", sent*95/100))
 }
@@ -318,9 +318,9 @@
 		return n
 	}
 	g.Expect(admitted(start.Add(10 * time.Second))).To(BeNumerically(">=", 40))
-	again := share.New()
-	again.SetLease(start, true)
-	s = again
+	restarted := share.New()
+	restarted.SetLease(start, true)
+	s = restarted
 	g.Expect(admitted(start)).To(BeNumerically("<=", 15), "a host that has just started may have spent tokens before its restart")
 }
 
--- a/internal/share/shares.go
+++ b/internal/share/shares.go
@@ -20,7 +20,7 @@
 	// initialFraction is the fraction of its depth that a bucket holds when a host begins to
 	// hold rate shares: the host may have spent the rest before it restarted.
 	initialFraction = 0.35
-	// minDepth is the least depth of a bucket, in requests, so that one request can
+	// minDepth is the minimum depth of a bucket, in requests, so that one request can
 	// pass where the host's fraction of the burst is less than one request.
 	minDepth = 1.0
 	// slackFraction is the fraction of the slack (see SetSlack) that is added to the buckets
@@ -31,8 +31,8 @@
 	// announceDelay is the time until the other hosts apply announced demand: the
 	// network delay between regions and one run of the control loop.
 	announceDelay = 180 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller is
-	// told to retry.
+	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller should
+	// retry.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
@@ -65,19 +65,19 @@
 	// announcedAt, and previouslyAnnounced the demand that they knew until then.
 	announced, previouslyAnnounced float64
 	announcedAt                    time.Time
-	// lastRetryAt is the latest time at which a rejected caller was told to retry.
+	// lastRetryAt is the latest retry time that was assigned to a rejected caller.
 	lastRetryAt time.Time
 }
 
 // New returns a limiter that rejects all requests of customers with a rate until
-// SetLease is called.
+// SetLease reports that the lease is held.
 func New() *Limiter {
 	return &Limiter{buckets: map[string]*bucket{}, remoteDemand: map[string]float64{}, owners: 1}
 }
 
 // SetRemoteDemand sets the demand at the other hosts, by customer, and the number of
-// owners that a customer's rate is split among: one for each region, this one
-// included. complete reports whether the demand at all other hosts is known. Until it
+// owners that a customer's rate is split among: one for each region, including the
+// region of this host. complete reports whether the demand at all other hosts is known. Until it
 // is, this host uses an even split, since it would otherwise treat unknown demand as
 // no demand.
 func (l *Limiter) SetRemoteDemand(perSecond map[string]float64, owners int, complete bool) {
@@ -115,7 +115,8 @@
 	// registration is not valid.
 	NoLease bool
 	// Fraction is this host's fraction of the customer's rate, and Demand the rate of
-	// the customer's requests at this host, in requests per second. Both are for the log.
+	// the customer's requests at this host, in requests per second. Both serve OverRate
+	// and the log.
 	Fraction float64
 	Demand   float64
 }
@@ -241,6 +242,6 @@
 	return demands
 }
 
-// minDemand is the least demand that is announced, in requests per second. The demand
+// minDemand is the minimum demand that is announced, in requests per second. The demand
 // of a single request falls below it after four seconds.
 const minDemand = 0.03
