--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -19,9 +19,10 @@
 	br      *bufio.Reader
 	// reused is set once the connection has served a request.
 	reused bool
-	// The upstream keeps the connection open until keepFor after idleSince.
-	idleSince time.Time
-	keepFor   time.Duration
+	// The connection may be reused until idleTimeout after idleSince. The upstream keeps
+	// it open for longer; see idleTimeoutMargin.
+	idleSince   time.Time
+	idleTimeout time.Duration
 	// roundTrip is the time that establishing the connection took, which is about
 	// one round trip.
 	roundTrip time.Duration
--- a/internal/h1/exchange.go
+++ b/internal/h1/exchange.go
@@ -57,7 +57,7 @@
 	// written with the header.
 	written <-chan error
 	// stop ends the effect of the context on the connection. It returns false if the
-	// context has ended before.
+	// context had already ended.
 	stop func() bool
 	// complete is set once the end of the body was read.
 	complete bool
@@ -209,15 +209,14 @@
 }
 
 // Close returns the connection to the pool, or closes it if it cannot be reused.
-// keepFor is how long the upstream keeps the connection open, as far as it has
-// announced that; 0: unknown.
-func (r *Response) Close(keepFor time.Duration) {
+// keepAlive is the idle timeout that the upstream has announced; 0: unknown.
+func (r *Response) Close(keepAlive time.Duration) {
 	canceled := !r.stop()
 	if canceled || !r.reusable() {
 		_ = r.conn.Close()
 		return
 	}
-	r.pool.release(r.conn, keepFor)
+	r.pool.release(r.conn, keepAlive)
 }
 
 // reusable reports whether another request may use the connection: the response was
--- a/internal/h1/idlelimit.go
+++ b/internal/h1/idlelimit.go
@@ -21,7 +21,7 @@
 // busy connections. Resets of connections that were idle for less than
 // minDroppedIdle distinguish the two cases.
 const (
-	// nonIdempotentFraction is the part of the announced idle timeout that is used.
+	// nonIdempotentFraction is the part of a connection's idle timeout that is used.
 	// The margin ensures that the request does not cross a close by the upstream,
 	// even if this host is overloaded.
 	nonIdempotentFraction = 0.6
@@ -116,10 +116,10 @@
 }
 
 // maxIdleTime returns the idle time up to which a connection may be reused for a
-// non-idempotent request. keepFor is the idle timeout of the upstream.
-func (l *idleLimits) maxIdleTime(now time.Time, address string, keepFor time.Duration) time.Duration {
+// non-idempotent request. idleTimeout is that of the connection.
+func (l *idleLimits) maxIdleTime(now time.Time, address string, idleTimeout time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := time.Duration(nonIdempotentFraction * float64(keepFor))
+	limit := time.Duration(nonIdempotentFraction * float64(idleTimeout))
 	return l.global.apply(now, l.byAddress[address].apply(now, limit))
 }
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -47,11 +47,11 @@
 	for c := p.pop(address); c != nil; c = p.pop(address) {
 		now := p.now()
 		c.idleTime = now.Sub(c.idleSince)
-		if c.idleTime >= c.keepFor || !c.noPendingInput() {
+		if c.idleTime >= c.idleTimeout || !c.noPendingInput() {
 			_ = c.Close()
 			continue
 		}
-		if nonIdempotent && c.idleTime >= p.idleLimits.maxIdleTime(now, address, c.keepFor) {
+		if nonIdempotent && c.idleTime >= p.idleLimits.maxIdleTime(now, address, c.idleTimeout) {
 			// Idempotent requests can still use this connection. The remaining
 			// connections have been idle for longer.
 			p.push(c)
@@ -81,14 +81,14 @@
 	return c
 }
 
-// release returns a connection to the pool after a request. keepFor is that of
+// release returns a connection to the pool after a request. keepAlive is that of
 // Response.Close.
-func (p *Pool) release(c *conn, keepFor time.Duration) {
+func (p *Pool) release(c *conn, keepAlive time.Duration) {
 	c.reused = true
 	c.idleSince = p.now()
-	c.keepFor = defaultIdleTimeout
-	if keepFor > 0 {
-		c.keepFor = max(keepFor-idleTimeoutMargin, 0)
+	c.idleTimeout = defaultIdleTimeout
+	if keepAlive > 0 {
+		c.idleTimeout = max(keepAlive-idleTimeoutMargin, 0)
 	}
 	// A deadline set for the previous request would interrupt the next one.
 	if err := c.SetDeadline(time.Time{}); err != nil {
@@ -142,7 +142,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleSince) < c.keepFor {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
 				expired = append(expired, c)
