--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Kind of a route tells whether its requests may run more than once.
+// Kind of a route states whether its requests may run more than once.
 type Kind string
 
 // Kinds of route.
--- a/internal/catalog/upstream.go
+++ b/internal/catalog/upstream.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State of an upstream, as it reports itself.
+// State of an upstream, as reported by the upstream.
 type State string
 
 // States of an upstream.
@@ -11,9 +11,9 @@
 	StateDraining State = "draining"
 )
 
-// Upstream is one instance of a worker, as registered by the worker itself.
+// Upstream is one instance of an upstream, as registered by the instance itself.
 type Upstream struct {
-	// ID of the worker; the worker may keep it over a restart.
+	// ID of the upstream. An instance that restarts may keep the ID.
 	ID      string
 	Service string
 	// Address is IP:port.
@@ -22,12 +22,12 @@
 	// Slots is the number of requests that the upstream runs at once.
 	Slots int
 	State State
-	// ColdRemaining is the time for which the upstream was still to be cold when it wrote
-	// the entry.
+	// ColdRemaining is how much longer the upstream stays cold, as of the time when it
+	// wrote the entry.
 	ColdRemaining time.Duration
 	// Sequence grows with each entry that the instance writes.
 	Sequence uint64
-	// StartedMs is the start time of the instance, in Unix milliseconds of its own clock.
+	// StartedMs is the start time of the instance, in Unix milliseconds by its clock.
 	StartedMs int64
 	// Revision of the store after the entry was written.
 	Revision uint64
