--- a/internal/fanout/limiter.go
+++ b/internal/fanout/limiter.go
@@ -13,12 +13,12 @@
 	burstDuration = 250 * time.Millisecond
 	// defaultMbps is the assumed rate of a link whose rate is not known, in Mbit/s.
 	defaultMbps = 10.0
-	// maxReferrals is the number of patch sources that a host is referred to.
+	// maxReferrals is the maximum number of patch sources that a host is referred to.
 	maxReferrals = 2
 	// referralDelay is the time after a patch was sent to a host before other hosts are
 	// referred to that host: the network delay and one run of its control loop.
 	referralDelay = 20 * time.Millisecond
-	// maxSources is the number of patch sources that are kept.
+	// maxSources is the maximum number of patch sources that are kept.
 	maxSources = 256
 )
 
--- a/internal/fanout/limiter_test.go
+++ b/internal/fanout/limiter_test.go
@@ -14,8 +14,8 @@
 
 // delivery is the arrival of a datagram.
 type delivery struct {
-	at       time.Time
-	from, to int
+	arrivesAt time.Time
+	from, to  int
 	// request is set for a request for the change. Otherwise the datagram is a response
 	// with the change or with patch sources.
 	request bool
@@ -26,7 +26,7 @@
 type queue []delivery
 
 func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q queue) Less(i, j int) bool { return q[i].arrivesAt.Before(q[j].arrivesAt) }
 func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)        { *q = append(*q, x.(delivery)) }
 func (q *queue) Pop() any {
@@ -66,8 +66,8 @@
 	}
 	send := func(now time.Time, d delivery, bytes int) {
 		sendFreeAt[d.from] = laterOf(sendFreeAt[d.from], now).Add(transferTime(d.from, bytes))
-		d.at = laterOf(sendFreeAt[d.from].Add(s.networkDelay), receiveFreeAt[d.to]).Add(transferTime(d.to, bytes))
-		receiveFreeAt[d.to] = d.at
+		d.arrivesAt = laterOf(sendFreeAt[d.from].Add(s.networkDelay), receiveFreeAt[d.to]).Add(transferTime(d.to, bytes))
+		receiveFreeAt[d.to] = d.arrivesAt
 		if rng.Float64() >= s.lossRate {
 			heap.Push(&q, d)
 		}
@@ -76,7 +76,7 @@
 	for host := 1; host < s.hosts; host++ {
 		for n := range 40 {
 			at := start.Add(time.Duration(rng.Int64N(int64(5*time.Millisecond))) + time.Duration(n)*s.retryInterval)
-			heap.Push(&q, delivery{at: at, from: host, to: 0, request: true})
+			heap.Push(&q, delivery{arrivesAt: at, from: host, to: 0, request: true})
 		}
 	}
 	for q.Len() > 0 {
@@ -85,7 +85,7 @@
 		case d.request && !receivedAt[d.from].IsZero():
 		case d.request && receivedAt[d.to].IsZero():
 		case d.request && s.referrals:
-			ok, sources := limiters[d.to].Allow(d.at, 1, strconv.Itoa(d.from), s.bytes, s.mbps(d.to))
+			ok, sources := limiters[d.to].Allow(d.arrivesAt, 1, strconv.Itoa(d.from), s.bytes, s.mbps(d.to))
 			size := 100
 			if ok {
 				size = s.bytes
@@ -93,18 +93,18 @@
 			if d.to == 0 {
 				sent += size
 			}
-			send(d.at, delivery{from: d.to, to: d.from, change: ok, sources: sources}, size)
+			send(d.arrivesAt, delivery{from: d.to, to: d.from, change: ok, sources: sources}, size)
 		case d.request:
 			sent += s.bytes
-			send(d.at, delivery{from: d.to, to: d.from, change: true}, s.bytes)
+			send(d.arrivesAt, delivery{from: d.to, to: d.from, change: true}, s.bytes)
 		case d.change && receivedAt[d.to].IsZero():
-			receivedAt[d.to] = d.at
-			last = max(last, d.at.Sub(start))
+			receivedAt[d.to] = d.arrivesAt
+			last = max(last, d.arrivesAt.Sub(start))
 		case d.change:
 		default:
 			for _, h := range d.sources {
 				source, _ := strconv.Atoi(h)
-				send(d.at, delivery{from: d.to, to: source, request: true}, 60)
+				send(d.arrivesAt, delivery{from: d.to, to: source, request: true}, 60)
 			}
 		}
 	}
