--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -13,8 +13,7 @@
 	retryRatio = 0.1
 	// maxBalance is the maximum and the initial balance of a budget. An upstream
 	// with four slots fails 16 requests before it is ejected (four consecutive
-	// failures on each slot), so that even a service with few requests can retry
-	// all of these.
+	// failures on each slot). Even a service with few requests can retry all of them.
 	maxBalance = 16
 )
 
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	g.Expect(float64(attempts) / requests).To(BeNumerically("<=", 1.11))
-	g.Expect(budgets.AllowRetry("report")).To(BeTrue(), "each service has a budget of its own")
+	g.Expect(budgets.AllowRetry("report")).To(BeTrue(), "each service has its own budget")
 }
 
 // One upstream out of twenty fails until it is ejected. The budget must allow a
