--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -69,6 +69,7 @@
 	ForwardHeader(from http.Header, f Forward) http.Header
 	// ParseResponse reads the metadata of an upstream's response.
 	ParseResponse(r *http.Response) Response
-	// SetRetryAfter tells the caller of a rejected request when to retry.
-	SetRetryAfter(h http.Header, comeBack time.Duration)
+	// SetRetryAfter sets the delay after which the caller of a rejected request should
+	// retry.
+	SetRetryAfter(h http.Header, retryAfter time.Duration)
 }
