--- a/internal/place/learnedstate.go
+++ b/internal/place/learnedstate.go
@@ -12,8 +12,8 @@
 // UpstreamState is the learned state of one instance of an upstream.
 type UpstreamState struct {
 	ID string
-	// StartedAt is the start time of the instance, in Unix milliseconds by its clock.
-	StartedAt int64
+	// StartedMs is the start time of the instance, in Unix milliseconds by its clock.
+	StartedMs int64
 	Objects   []WarmObject
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (w *upstream) learnedState(now time.Time) UpstreamState {
-	out := UpstreamState{ID: w.ID, StartedAt: w.StartedMs}
+	out := UpstreamState{ID: w.ID, StartedMs: w.StartedMs}
 	for object, known := range w.warm {
 		if age := now.Sub(known.lastUsed); known.answered && age < WarmTTL {
 			out.Objects = append(out.Objects, WarmObject{object, age})
@@ -67,7 +67,7 @@
 	defer t.mu.Unlock()
 	objects := 0
 	for _, known := range m.Upstreams {
-		if w := t.byID[known.ID]; w != nil && w.StartedMs == known.StartedAt {
+		if w := t.byID[known.ID]; w != nil && w.StartedMs == known.StartedMs {
 			objects += t.restoreObjects(now, w, known.Objects)
 		}
 	}
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -78,7 +78,7 @@
 }
 
 func encodeUpstream(u place.UpstreamState, oldest time.Duration) *Upstream {
-	out := &Upstream{Id: u.ID, Born: u.StartedAt}
+	out := &Upstream{Id: u.ID, Born: u.StartedMs}
 	for _, o := range u.Objects {
 		if o.Age > oldest {
 			continue
@@ -117,7 +117,7 @@
 func (s *Snapshot) learnedState(age time.Duration) place.LearnedState {
 	var m place.LearnedState
 	for _, u := range s.Upstreams {
-		known := place.UpstreamState{ID: u.Id, StartedAt: u.Born}
+		known := place.UpstreamState{ID: u.Id, StartedMs: u.Born}
 		for i, o := range u.Objects[:min(len(u.Objects), len(u.AgeMs))] {
 			since := age + time.Duration(u.AgeMs[i])*time.Millisecond
 			known.Objects = append(known.Objects, place.WarmObject{Object: place.Object(o), Age: since})
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -15,7 +15,7 @@
 
 func learnedState() place.LearnedState {
 	return place.LearnedState{
-		Upstreams: []place.UpstreamState{{ID: "u-1", StartedAt: 7, Objects: []place.WarmObject{
+		Upstreams: []place.UpstreamState{{ID: "u-1", StartedMs: 7, Objects: []place.WarmObject{
 			{Object: 1, Age: time.Second}, {Object: 1<<32 - 1, Age: 19 * time.Second},
 		}}},
 		Routes: []place.RouteState{{Name: "r", Warm: 108 * time.Millisecond, Cold: 360 * time.Millisecond, ResponseBytes: 5000}},
