--- a/internal/membership/contacts.go
+++ b/internal/membership/contacts.go
@@ -20,8 +20,9 @@
 	// unresponsiveRetryInterval is the time between two heartbeats to an
 	// unresponsive daemon.
 	unresponsiveRetryInterval = 5 * time.Second
-	// maxContacts limits the number of addresses kept. It exceeds the planned
-	// 2,300 daemons plus those replaced within a day.
+	// maxContacts limits the addresses kept in each map of Contacts, and the
+	// members of a Table. It exceeds the planned 2,300 daemons plus those
+	// replaced within a day.
 	maxContacts = 4096
 	// GossipSize is the number of addresses in one heartbeat. At two heartbeats
 	// per second, the addresses of 10 daemons are all reported within 2 s, for
@@ -44,7 +45,9 @@
 	// heartbeats holds the time of the last heartbeat received from an address.
 	heartbeats map[string]time.Time
 	// gossiped holds the time at which another daemon last reported an address.
-	gossiped  map[string]time.Time
+	gossiped map[string]time.Time
+	// lastTried holds the time at which HeartbeatTargets last returned an
+	// address because of an earlier heartbeat from that address.
 	lastTried map[string]time.Time
 	// responses holds the time of the last response to a heartbeat sent to an
 	// address.
@@ -155,8 +158,8 @@
 	return all
 }
 
-// removeExpired removes addresses whose last heartbeat, report or response is
-// too old.
+// removeExpired removes addresses whose last heartbeat, report, attempt or
+// response is too old.
 func (c *Contacts) removeExpired(now time.Time) {
 	olderThan := func(d time.Duration) func(string, time.Time) bool {
 		return func(_ string, at time.Time) bool { return now.Sub(at) > d }
--- a/internal/membership/contacts_test.go
+++ b/internal/membership/contacts_test.go
@@ -42,7 +42,7 @@
 
 // A peer whose heartbeats always arrive first would never be sent one, so the
 // time at which its configuration was confirmed would stay unknown permanently.
-func TestPeerThatSendsFirstIsQueriedPeriodically(t *testing.T) {
+func TestPeerThatSendsFirstStillGetsHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	c := NewContacts("self")
 	sent := 0
@@ -74,7 +74,7 @@
 	g.Expect(gossiped).NotTo(HaveKey("unresponsive"))
 }
 
-// Daemons are replaced repeatedly for hours and come back with new addresses.
+// Daemons are replaced repeatedly for hours, each time with new addresses.
 // Neither Contacts nor Table may grow without bound.
 func TestMembershipIsBounded(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -13,8 +13,9 @@
 	Revision uint64
 	// Holder is the new holder. The zero value deletes the entry.
 	Holder Holder
-	// Fraction is the part of each token bucket's level that is transferred
-	// with the slot: one divided by the number of slots held.
+	// Fraction is one divided by the number of slots held just before the slot
+	// was transferred, or 0 for other writes. A leaving daemon does not use it:
+	// it divides its bucket levels evenly among its writes of a round.
 	Fraction float64
 	// epoch is the epoch of the SlotOwnership in which the write was planned.
 	epoch uint64
@@ -131,12 +132,12 @@
 		}
 	}
 	for {
-		most, least := p.extremes()
-		if p.slotCounts[most.Instance]-p.slotCounts[least.Instance] < 2 {
+		most, fewest := p.mostAndFewest()
+		if p.slotCounts[most.Instance]-p.slotCounts[fewest.Instance] < 2 {
 			return
 		}
 		p.slotCounts[most.Instance]--
-		p.slotCounts[least.Instance]++
+		p.slotCounts[fewest.Instance]++
 		if most.Instance != p.ownership.self.Instance {
 			continue
 		}
@@ -144,26 +145,26 @@
 		if !ok {
 			return
 		}
-		p.transfer(slot, least)
+		p.transfer(slot, fewest)
 	}
 }
 
-// extremes returns the recipients with the most and with the fewest slots.
-func (p *planner) extremes() (most, least Holder) {
-	most, least = p.recipients[0], p.recipients[0]
+// mostAndFewest returns the recipients with the most and with the fewest slots.
+func (p *planner) mostAndFewest() (most, fewest Holder) {
+	most, fewest = p.recipients[0], p.recipients[0]
 	for _, h := range p.recipients[1:] {
 		if p.slotCounts[h.Instance] > p.slotCounts[most.Instance] {
 			most = h
 		}
-		if p.slotCounts[h.Instance] < p.slotCounts[least.Instance] {
-			least = h
+		if p.slotCounts[h.Instance] < p.slotCounts[fewest.Instance] {
+			fewest = h
 		}
 	}
-	return most, least
+	return most, fewest
 }
 
-// releaseAll transfers every slot to the recipients with the fewest slots, or
-// frees it if the zone has no other daemon.
+// releaseAll transfers every slot of this daemon to the recipient that has the
+// fewest slots, or frees the slot if there is no recipient.
 func (p *planner) releaseAll() {
 	for slot, e := range p.State.Slots {
 		if e.Holder.Instance != p.ownership.self.Instance {
@@ -171,7 +172,7 @@
 		}
 		recipient := Holder{}
 		if len(p.recipients) > 0 {
-			_, recipient = p.extremes()
+			_, recipient = p.mostAndFewest()
 			p.slotCounts[recipient.Instance]++
 		}
 		if _, held := p.ownership.held[slot]; held {
--- a/internal/membership/slotstate.go
+++ b/internal/membership/slotstate.go
@@ -79,9 +79,9 @@
 	seen := map[string]bool{}
 	var addresses []string
 	for _, e := range s.Slots {
-		if peers := e.Holder.PeerAddress; peers != "" && !seen[peers] {
-			seen[peers] = true
-			addresses = append(addresses, peers)
+		if address := e.Holder.PeerAddress; address != "" && !seen[address] {
+			seen[address] = true
+			addresses = append(addresses, address)
 		}
 	}
 	return addresses
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -79,7 +79,7 @@
 	// LeavingSince is when the first heartbeat with StateLeaving was received.
 	// It is zero if the daemon is not leaving.
 	LeavingSince time.Time
-	// GossipAddresses are the peers addresses of some of the daemons from which
+	// GossipAddresses are the peer addresses of some of the daemons from which
 	// this daemon receives heartbeats.
 	GossipAddresses []string
 }
@@ -89,7 +89,7 @@
 type Table struct {
 	members map[string]Member
 	// instanceByAddress holds the instance that last sent a heartbeat from each
-	// peers address.
+	// peer address.
 	instanceByAddress map[string]string
 	lastHeartbeat     time.Time
 }
@@ -104,7 +104,7 @@
 // instance, and a new member if the table is full. A new instance replaces the
 // previous instance on the same host.
 func (t *Table) Update(m Member, now time.Time) bool {
-	if old, ok := t.members[m.Instance]; ok && old.Sequence >= m.Sequence {
+	if previous, ok := t.members[m.Instance]; ok && previous.Sequence >= m.Sequence {
 		return false
 	}
 	if _, known := t.members[m.Instance]; !known {
@@ -129,9 +129,9 @@
 // stopped. An instance that is merely unresponsive is kept until RemoveExpired,
 // because it may be paused.
 func (t *Table) removePredecessor(successor Member) {
-	old, ok := t.instanceByAddress[successor.PeerAddress]
-	if ok && successor.PeerAddress != "" && t.members[old].Host == successor.Host {
-		delete(t.members, old)
+	predecessor, ok := t.instanceByAddress[successor.PeerAddress]
+	if ok && successor.PeerAddress != "" && t.members[predecessor].Host == successor.Host {
+		delete(t.members, predecessor)
 	}
 }
 
--- a/internal/membership/zone_test.go
+++ b/internal/membership/zone_test.go
@@ -51,10 +51,10 @@
 // simCall is a call in flight. The store applies it at appliedAt, and the
 // response arrives at answeredAt unless the deadline passes first.
 type simCall struct {
-	appliedAt, answeredAt, deadline time.Time
-	applied                         bool
-	apply                           func(now time.Time)
-	finish                          func(lost bool)
+	appliedAt, respondedAt, deadline time.Time
+	applied                          bool
+	apply                            func(now time.Time)
+	finish                           func(lost bool)
 }
 
 type simDaemon struct {
@@ -139,7 +139,7 @@
 func (z *simZone) startCall(d *simDaemon, apply func(time.Time), finish func(lost bool)) {
 	delay := func() time.Duration { return z.maxDelay * time.Duration(z.percent()) / 100 }
 	c := &simCall{appliedAt: z.now.Add(delay()), deadline: z.now.Add(storeCallTimeout), apply: apply, finish: finish}
-	c.answeredAt = c.appliedAt.Add(delay())
+	c.respondedAt = c.appliedAt.Add(delay())
 	d.call = c
 	z.inFlight = append(z.inFlight, c)
 }
@@ -150,7 +150,7 @@
 	d.ownership.DetectIsolation(d.table.LastHeartbeat(), len(d.table.All()), z.now)
 	if c := d.call; c != nil {
 		switch {
-		case c.applied && !z.now.Before(c.answeredAt) && !d.isolated:
+		case c.applied && !z.now.Before(c.respondedAt) && !d.isolated:
 			d.call = nil
 			c.finish(false)
 		case z.now.After(c.deadline):
