--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -55,12 +55,12 @@
 	c.pullNewerRecord(now)
 }
 
-// detectPause handles a pause of the whole process, such as a suspended virtual
-// machine. A resumed daemon would go on with its old configuration and accept a
-// key that was withdrawn during the pause. The daemon therefore admits no
-// requests until its version has been verified again. The control thread calls
-// detectPause before each snapshot, so that no snapshot is published between
-// the end of the pause and its detection.
+// detectPause handles a pause of the entire process, such as a suspended virtual
+// machine. A resumed daemon would continue with its old configuration and
+// accept a key that was withdrawn during the pause. The daemon therefore admits
+// no requests until its version has been verified again. The control thread
+// calls detectPause before each snapshot, so that no snapshot is published
+// between the end of the pause and its detection.
 func (c *control) detectPause(now time.Time) {
 	previous := c.config.lastPublishedAt
 	c.config.lastPublishedAt = now
--- a/internal/daemon/config_peers.go
+++ b/internal/daemon/config_peers.go
@@ -193,10 +193,11 @@
 	results []pullResult
 }
 
-// apply lets the daemon go on with the highest version of its peers while the
-// store is unreachable. If no peer responds, a daemon that has a configuration
-// goes on with it, because its whole zone may be partitioned from the rest. A
-// daemon without a configuration stays in the starting state.
+// apply lets the daemon continue with the highest version of its peers while
+// the store is unreachable. If no peer responds, a daemon that has a
+// configuration continues with it, because its entire zone may be partitioned
+// from the others. A daemon without a configuration stays in the starting
+// state.
 func (m peerPollDone) apply(c *control) {
 	c.config.pulls.pollInProgress = false
 	for _, result := range m.results {
--- a/internal/daemon/config_store.go
+++ b/internal/daemon/config_store.go
@@ -15,9 +15,10 @@
 // rate limit of the store, and so does a pending watch. Therefore only one
 // daemon of each zone watches the store.
 const (
-	// watchDuration is how long one watch waits for a change. A longer watch
-	// lets the confirmed version age more; a shorter one makes more calls. Each
-	// zone makes one call per watchDuration (72 calls a second at 145 zones).
+	// watchDuration is how long one watch waits for a change. With a longer
+	// watch, the confirmation of the version becomes older; with a shorter one,
+	// more calls are made. Each zone makes one call per watchDuration (72 calls
+	// a second at 145 zones).
 	watchDuration = 2 * time.Second
 	// watchRetryDelay is the delay after a failed call.
 	watchRetryDelay = 500 * time.Millisecond
@@ -26,7 +27,7 @@
 	// another daemon of the zone takes its place.
 	watchResponseGrace = time.Second
 	// watchLossDelay is how long a zone may have no watcher that reaches the
-	// store before its other daemons read the store: two heartbeats.
+	// store before its other daemons read the store: two heartbeat intervals.
 	watchLossDelay = 2 * membership.HeartbeatInterval
 	// watchMaxLag is the longest time after which a watch reports a change. The
 	// platform documents this value for its store.
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -9,7 +9,7 @@
 	"balsambarrow/internal/view"
 )
 
-// Limits of the control thread.
+// Timing and limits of the control thread.
 const (
 	tickInterval = 100 * time.Millisecond
 	inboxSize    = 1024
@@ -85,8 +85,8 @@
 
 // handle applies a message. Publishing a snapshot is the most expensive
 // operation of the control thread, and most messages are heartbeats. A
-// heartbeat that changes only headroom is therefore published at the next tick;
-// that delay is no longer than the age which headroom has in any case.
+// heartbeat that changes only headroom is therefore published at the next tick.
+// This delay is no longer than the age that reported headroom has in any case.
 func (c *control) handle(m message) {
 	if _, heartbeat := m.(heartbeatReceived); !heartbeat {
 		c.publishPending = true
@@ -157,7 +157,7 @@
 		m.Slots = append(m.Slots, h.Slot)
 	}
 	m.Headroom = c.d.handler.Headroom()
-	m.Load = c.d.gauge.Load()
+	m.Load = c.d.requestLimiter.Load()
 	m.PostingEpoch = c.d.postings.Epoch(now)
 	m.PostingsFrom = c.d.postings.ImportedInstances(now)
 	return m
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,26 +59,26 @@
 	metrics  *telemetry.Metrics
 	identity membership.Member
 
-	store    kv.Store
-	platform *platform.Store
-	fleetTLS fleetTLS
-	peers    *peer.Listener
-	conns    *peer.Conns
+	store        kv.Store
+	platform     *platform.Store
+	fleetTLS     fleetTLS
+	peerListener *peer.Listener
+	conns        *peer.Conns
 	// client sends requests to upstreams, and relayClient to other daemons.
 	client      *upstream.Client
 	relayClient *upstream.Client
 
-	view         view.Publisher
-	ledger       *quota.Ledger
-	handler      *upstream.Handler
-	postings     *posting.Table
-	gauge        *entry.RequestLimiter
-	control      *control
-	ctx          context.Context
-	cancel       context.CancelFunc
-	tasks        sync.WaitGroup
-	servers      []*http.Server
-	listenerErrs chan error
+	view           view.Publisher
+	ledger         *quota.Ledger
+	handler        *upstream.Handler
+	postings       *posting.Table
+	requestLimiter *entry.RequestLimiter
+	control        *control
+	ctx            context.Context
+	cancel         context.CancelFunc
+	tasks          sync.WaitGroup
+	servers        []*http.Server
+	listenerErrs   chan error
 }
 
 // New creates a daemon. Start opens its listeners and begins to serve.
@@ -105,12 +105,12 @@
 		conns:    peer.NewConns(opts.Dial, security.clientConfig()),
 		client:   upstream.NewClient(opts.Dial),
 
-		relayClient:  upstream.NewTLSClient(opts.Dial, security.clientConfig()),
-		ledger:       quota.NewLedger(),
-		handler:      upstream.NewHandler(),
-		postings:     posting.NewTable(instance, time.Now(), posting.DefaultLimits()),
-		listenerErrs: make(chan error, 4),
-		gauge:        entry.NewRequestLimiter(s.Limits.MaxRunning),
+		relayClient:    upstream.NewTLSClient(opts.Dial, security.clientConfig()),
+		ledger:         quota.NewLedger(),
+		handler:        upstream.NewHandler(),
+		postings:       posting.NewTable(instance, time.Now(), posting.DefaultLimits()),
+		listenerErrs:   make(chan error, 4),
+		requestLimiter: entry.NewRequestLimiter(s.Limits.MaxRunning),
 	}
 	d.platform = platform.NewStore(s.Platform.URL, opts.Dial, d.metrics.StoreCall)
 	d.store = kv.WithTimeout(d.platform, s.PlatformTimeout())
@@ -180,7 +180,7 @@
 	relayServer := &relay.Server{HandleRunner: limiter, PostingRunner: entry.PostingRunner{Server: entryServer}, MaxBodyBytes: d.settings.Limits.MaxBodyBytes, PaceResponse: d.paceResponse}
 	var err error
 	if d.identity.CallerAddress, err = d.serveHTTP(d.settings.Listen.Callers, &http.Server{
-		Handler: &requestMetrics{next: d.gauge.Wrap(entryServer), metrics: d.metrics, isKnownService: d.hasService},
+		Handler: &requestMetrics{next: d.requestLimiter.Wrap(entryServer), metrics: d.metrics, isKnownService: d.hasService},
 	}, plainTCP); err != nil {
 		return nil, err
 	}
@@ -197,8 +197,8 @@
 		return nil, errors.Wrap(err, "daemon: listen for peers")
 	}
 	d.identity.PeerAddress = peers.Addr().String()
-	d.peers = peer.NewListener(peers)
-	return d.fleetTLS.wrapListener(d.peers), nil
+	d.peerListener = peer.NewListener(peers)
+	return d.fleetTLS.wrapListener(d.peerListener), nil
 }
 
 // plainTCP returns the listener unchanged, without TLS.
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -59,8 +59,8 @@
 	return view.Host{Name: name, KnownSince: now}
 }
 
-// tickFleet removes hosts that are no longer listed and have been silent for
-// longer than their retention.
+// tickFleet removes hosts that are no longer listed and have sent no heartbeat
+// for longer than their retention.
 func (c *control) tickFleet(now time.Time) {
 	maps.DeleteFunc(c.fleet.hosts, func(_ string, h view.Host) bool {
 		retention := memberRetention
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -10,16 +10,16 @@
 	"balsambarrow/internal/view"
 )
 
-// assignUpstreams assigns upstreams to the handler by rendezvous hashing over
-// the ready daemons. A leaving daemon keeps the upstreams that it would have if
-// it were not leaving, until leaveNoticeDelay has passed. A change is sent to
-// the other daemons at once by a heartbeat; until they receive it, they send no
-// requests to the new handler.
+// assignUpstreams assigns upstreams to the daemon's handler by rendezvous
+// hashing over the ready daemons. A leaving daemon keeps the upstreams that it
+// would have if it were not leaving, until leaveNoticeDelay has passed. A
+// change is sent to the other daemons at once by a heartbeat; until they
+// receive it, they send no requests to the new handler.
 func (c *control) assignUpstreams(snap *view.Snapshot, now time.Time) {
 	candidates := snap.Ready
 	// The other daemons send requests to a leaving daemon for
-	// membership.HandlesFor after they learn that it leaves, so the daemon must
-	// handle its upstreams for longer than that.
+	// membership.LeaveHandlingTime after they learn that it leaves, so the
+	// daemon must handle its upstreams for longer than that.
 	if snap.Self.State == membership.StateLeaving && now.Sub(snap.Self.LeavingSince) < leaveNoticeDelay {
 		candidates = append(slices.Clone(candidates), snap.Self)
 	}
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -103,7 +103,7 @@
 }
 
 // skewedEntry returns a function that picks entry hosts: four fifths of the requests
-// go to the host first until move and to second afterwards, the rest to any host.
+// go to the host first until moveAt and to second afterwards, the rest to any host.
 func (f *fleet) skewedEntry(first, second string, moveAt time.Duration) func(string, []lookup.Entry, time.Duration, *rand.Rand) lookup.Entry {
 	return func(_ string, _ []lookup.Entry, since time.Duration, rng *rand.Rand) lookup.Entry {
 		host := first
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -145,7 +145,7 @@
 // configuration (see confirmationTime). The heartbeats of two daemons keep the
 // order in which they started. A daemon whose peers always send first would
 // hardly ever send a heartbeat itself. If it were then partitioned from the
-// store, it would reject the requests of customers with a staleness bound,
+// store, it would reject the requests of customers with a staleness limit,
 // although its peers know that its version is the newest. Therefore a daemon
 // sends to all peers while its configuration has not been confirmed for longer
 // than maxConfirmationAge.
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -25,8 +25,8 @@
 		return float64(records)
 	})
 	d.metrics.Gauge("balsambarrow_posting_answer_bytes", func() float64 {
-		_, answerBytes := d.postings.Size()
-		return float64(answerBytes)
+		_, responseBytes := d.postings.Size()
+		return float64(responseBytes)
 	})
 	d.metrics.Gauge("balsambarrow_draining_running", func() float64 { return float64(runningOnDrained(d.handler.Drains())) })
 	d.metrics.Gauge("balsambarrow_load", func() float64 { return d.view.Load().Self.Load })
--- a/internal/daemon/outcomes_test.go
+++ b/internal/daemon/outcomes_test.go
@@ -136,11 +136,11 @@
 
 // startFaultyUpstreamFleet starts vt-1 without an upstream and me-1 with a faultyUpstream.
 func startFaultyUpstreamFleet(t *testing.T) (*fleet, *faultyUpstream) {
-	return startFaultyUpstreamFleetOn(t, nil)
+	return startFaultyUpstreamFleetWrapped(t, nil)
 }
 
-// startFaultyUpstreamFleetOn also wraps each connection that a daemon opens.
-func startFaultyUpstreamFleetOn(t *testing.T, wrap func([2]string, net.Conn) net.Conn) (*fleet, *faultyUpstream) {
+// startFaultyUpstreamFleetWrapped also wraps each connection that a daemon opens.
+func startFaultyUpstreamFleetWrapped(t *testing.T, wrap func([2]string, net.Conn) net.Conn) (*fleet, *faultyUpstream) {
 	f := newFleet(t)
 	f.network.wrapConn = wrap
 	f.client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
@@ -317,7 +317,7 @@
 func TestOutcomeOfAPostingThatReachesItsOwnerLate(t *testing.T) {
 	g := NewWithT(t)
 	const oneWay = 100 * time.Millisecond
-	f, u := startFaultyUpstreamFleetOn(t, func(_ [2]string, c net.Conn) net.Conn { return newDelayedConn(c, oneWay) })
+	f, u := startFaultyUpstreamFleetWrapped(t, func(_ [2]string, c net.Conn) net.Conn { return newDelayedConn(c, oneWay) })
 	var running sync.WaitGroup
 	for i := range 4 {
 		running.Go(func() {
@@ -334,8 +334,8 @@
 	g.Consistently(func() int { return u.runCount("late") }, 3*oneWay).Should(BeNumerically("<=", 1))
 }
 
-// Guards against a wrong outcome when the handler's host crashes. If the host is
-// gone before the request reaches it, the outcome must be not-run. If an upstream
+// Guards against a wrong outcome when the handler's host crashes. If the host
+// crashes before the request reaches it, the outcome must be not-run. If an upstream
 // was running the request, the outcome must be may-have-run.
 func TestOutcomesWhenTheHandlerCrashes(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/daemon/paused_owner_test.go
+++ b/internal/daemon/paused_owner_test.go
@@ -90,7 +90,7 @@
 func TestPausedOwnerRunsThePostingOnce(t *testing.T) {
 	g := NewWithT(t)
 	p := &linkPause{link: [2]string{"vt-1", "me-1"}}
-	f, u := startFaultyUpstreamFleetOn(t, p.wrap)
+	f, u := startFaultyUpstreamFleetWrapped(t, p.wrap)
 	form := requestForms[5] // sent to vt-1, owned by me-1
 	shortTimeout := map[string]string{wire.HeaderTimeoutMs: "400"}
 	p.setPaused(true)
--- a/internal/daemon/posting_test.go
+++ b/internal/daemon/posting_test.go
@@ -22,7 +22,7 @@
 // Guards against losing the outcomes of postings at a planned stop. A host stops,
 // and retries at other hosts must get its stored responses. A posting id that was
 // never used must be reported as not-run, and nothing may run twice. The host that
-// took over the postings then stops too.
+// received the postings then stops too.
 func TestPlannedStopTransfersPostings(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
--- a/internal/daemon/postings.go
+++ b/internal/daemon/postings.go
@@ -22,8 +22,8 @@
 	// transferTimeout limits the transfer of all tables. The 80 parts of a full
 	// table take one second within a zone.
 	transferTimeout = 10 * time.Second
-	// maxTransferTargets limits the number of peers that are tried. A host that is
-	// partitioned from the network must not spend its planned stop on querying
+	// maxTransferTargets limits the number of peers that are tried. A host that
+	// is partitioned from the network must not spend its planned stop on trying
 	// every peer.
 	maxTransferTargets = 4
 	// postingOverhead is the estimated size of the fixed fields of a posting.
@@ -38,13 +38,14 @@
 	maxAssemblies = 8
 )
 
-// errDeclined reports that a peer had no room for a table.
-var errDeclined = errors.New("daemon: peer rejected the postings")
+// errTableNotAccepted reports that a peer did not accept a table, for example
+// because it has no room for the table.
+var errTableNotAccepted = errors.New("daemon: peer rejected the postings")
 
 // transferPostings closes the table of postings and transfers it to a peer of
-// the zone, which answers queries about this instance's postings from then on.
-// It is called at a planned stop, after the callers' and relay listeners have
-// finished all requests. A posting that still runs is transferred with an
+// the zone, which responds to queries about this instance's postings from then
+// on. It is called at a planned stop, after the callers' and relay listeners
+// have finished all requests. A posting that still runs is transferred with an
 // unknown outcome. If no peer of the zone accepts the table, a peer of another
 // zone may.
 func (d *Daemon) transferPostings(ctx context.Context) {
@@ -99,14 +100,14 @@
 		reply = response
 	}
 	if reply == nil || !reply.Taken {
-		return errDeclined
+		return errTableNotAccepted
 	}
 	return nil
 }
 
 // splitTable splits a table into parts. A part exceeds maxPartBytes only if a
-// single posting does. An empty table is transferred too: only with the table
-// can the successor report ids that never arrived as not-run.
+// single posting does. An empty table is transferred too, because the peer can
+// report ids that never arrived as not-run only if it has the table.
 func splitTable(table posting.Transfer) []*peer.PostingTable {
 	newPart := func() *peer.PostingTable {
 		return &peer.PostingTable{Instance: table.Instance, Epoch: table.Epoch, Total: uint64(len(table.Postings))}
@@ -153,15 +154,15 @@
 // are indexed by customer and id, so that a part that arrives twice counts
 // once.
 type assembly struct {
-	startedAt   time.Time
-	postings    map[postingKey]posting.TransferRecord
-	answerBytes int
+	startedAt     time.Time
+	postings      map[postingKey]posting.TransferRecord
+	responseBytes int
 }
 
 func (a *assembly) add(record posting.TransferRecord) {
 	k := postingKey{customer: record.Customer, id: record.ID}
 	if _, duplicate := a.postings[k]; !duplicate && record.Response != nil {
-		a.answerBytes += len(record.Response.Body)
+		a.responseBytes += len(record.Response.Body)
 	}
 	a.postings[k] = record
 }
@@ -176,8 +177,8 @@
 }
 
 // TakePostings receives one part of a table. The response says whether the full
-// table has been received. A daemon that answered for an instance with an
-// incomplete table would report the missing postings as not-run.
+// table has been accepted. A daemon that responded to queries about an instance
+// with an incomplete table would report the missing postings as not-run.
 func (r *postingReceiver) TakePostings(_ context.Context, in *peer.PostingTable) (*peer.HandoverReply, error) {
 	postings, err := postingsFromWire(in)
 	if err != nil {
@@ -192,7 +193,7 @@
 	for _, record := range postings {
 		a.add(record)
 	}
-	if a.answerBytes > posting.MaxTotalResponseBytes {
+	if a.responseBytes > posting.MaxTotalResponseBytes {
 		delete(r.assemblies, in.Instance)
 		return &peer.HandoverReply{}, nil
 	}
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -21,8 +21,8 @@
 	// request that waits for tokens of a quota wakes the planner at once.
 	planInterval     = 50 * time.Millisecond
 	dropIdleInterval = 10 * time.Second
-	// loanStreamIdleTimeout is the idle time after which a stream to a lender
-	// is closed.
+	// loanStreamIdleTimeout is the idle time after which a stream to a loan
+	// source is closed.
 	loanStreamIdleTimeout = 10 * time.Second
 	// maxQueuedRequests limits the loan requests that wait for a stream.
 	// Further requests fail at once, as if the network had lost them.
@@ -31,18 +31,18 @@
 
 // quotaState is the control thread's state for quotas.
 type quotaState struct {
-	partitions quota.SplitVersions
+	splitVersions quota.SplitVersions
 	// transferredAt maps each slot that was transferred together with its
 	// tokens to the time since which this daemon holds it.
 	transferredAt map[int]time.Time
-	shape         *quota.HeldSlots
+	heldSlots     *quota.HeldSlots
 	demandScores  map[string]float64
-	// partitionByQuota caches the partition of each quota over the slots, for
-	// the configuration version partitionVersion.
-	partitionByQuota map[string]quota.Split
-	partitionVersion uint64
-	nextScoreAt      time.Time
-	nextDropAt       time.Time
+	// splitByQuota caches the split of each quota over the slots, for the
+	// configuration version splitConfigVersion.
+	splitByQuota       map[string]quota.Split
+	splitConfigVersion uint64
+	nextScoreAt        time.Time
+	nextDropAt         time.Time
 }
 
 func newQuotaState() quotaState { return quotaState{transferredAt: map[int]time.Time{}} }
@@ -51,35 +51,36 @@
 // versions in force.
 func (c *control) publishShares(snap *view.Snapshot, now time.Time) {
 	members := append([]membership.Member{snap.Self}, snap.Members...)
-	shape := &quota.HeldSlots{
+	heldSlots := &quota.HeldSlots{
 		Zone:     snap.Self.Zone,
 		Slots:    c.spendableSlots(snap.Self.HeldSlots, now),
-		Versions: c.quota.partitions.Observe(snap.Config, members, now),
+		Versions: c.quota.splitVersions.Observe(snap.Config, members, now),
 	}
-	if previous := c.quota.shape; previous != nil && slices.Equal(previous.Slots, shape.Slots) && slices.Equal(previous.Versions, shape.Versions) {
+	if previous := c.quota.heldSlots; previous != nil && slices.Equal(previous.Slots, heldSlots.Slots) && slices.Equal(previous.Versions, heldSlots.Versions) {
 		return
 	}
-	c.quota.shape = shape
-	c.d.ledger.SetHeldSlots(shape, now)
+	c.quota.heldSlots = heldSlots
+	c.d.ledger.SetHeldSlots(heldSlots, now)
 }
 
 // spendableSlots returns the slots whose tokens may be spent. The previous
 // holder of a slot may have lent its share. Until those loans have ended, the
 // borrowers and this daemon could together exceed the quota, so a slot stays
 // unused for quota.Quarantine. A slot that was transferred together with its
-// free of loans: see quota.Ledger.ReleaseLevels.
+// tokens is free of loans and may be used at once: see
+// quota.Ledger.ReleaseLevels.
 func (c *control) spendableSlots(held []membership.HeldSlot, now time.Time) []int {
-	var out []int
+	var spendable []int
 	for _, h := range held {
 		if len(c.slots.pendingLevels[h.Slot].levels) > 0 {
 			c.quota.transferredAt[h.Slot] = h.Since
 		}
 		transferred := c.quota.transferredAt[h.Slot].Equal(h.Since)
 		if transferred || now.Sub(h.Since) >= quota.Quarantine {
-			out = append(out, h.Slot)
+			spendable = append(spendable, h.Slot)
 		}
 	}
-	return out
+	return spendable
 }
 
 func (c *control) tickQuota(now time.Time) {
@@ -96,7 +97,7 @@
 	}
 	members := c.members.table.Live(now)
 	for _, name := range c.d.ledger.Names() {
-		c.d.ledger.SetFleetState(name, c.situation(name, members))
+		c.d.ledger.SetFleetState(name, c.quotaFleetState(name, members))
 	}
 }
 
@@ -115,23 +116,24 @@
 	c.quota.demandScores = scores
 }
 
-// situation returns the hub, the lenders and the fleet's demand of a quota. A
-// leaving daemon reports no demand (see updateDemandScores), so it is not
-// elected.
+// quotaFleetState returns the hub, the loan sources and the fleet's demand of a
+// quota. A leaving daemon reports no demand (see updateDemandScores), so it is
+// not elected.
 //
-// A leaving daemon still needs a hub to take tokens from. Its share stays lent
-// to the hub until the term of the loan has ended, while callers that keep a
-// connection go on sending to it. Without a hub the leaving daemon would reject
-// their requests after MaxWait, although the callers are within their rate.
-func (c *control) situation(name string, members []membership.Member) quota.FleetState {
+// A leaving daemon still needs a hub to borrow tokens from. Its share stays
+// lent to the hub until the term of the loan has ended, while callers that keep
+// a connection continue to send requests to the leaving daemon. Without a hub,
+// it would reject these requests after MaxWait, although the callers are within
+// their rate.
+func (c *control) quotaFleetState(name string, members []membership.Member) quota.FleetState {
 	s := quota.FleetState{Self: c.d.identity.Instance, Leaving: c.state == membership.StateLeaving}
-	partition := c.quota.partition(c.activeConfig(), name)
+	split := c.quota.split(c.activeConfig(), name)
 	scores := []quota.Score{{Instance: s.Self, Value: c.quota.demandScores[name]}}
 	for _, m := range members {
-		if partition.HasShare(m.Zone, m.Slots) {
+		if split.HasShare(m.Zone, m.Slots) {
 			s.LoanSources = append(s.LoanSources, m.Instance)
 		}
-		// A leaving daemon ends its loans. A daemon that went on requesting
+		// A leaving daemon ends its loans. A daemon that continued to request
 		// tokens from it would wait for tokens that never arrive.
 		if m.State == membership.StateReady {
 			scores = append(scores, quota.Score{Instance: m.Instance, Value: m.Demand[name]})
@@ -141,16 +143,16 @@
 	return s
 }
 
-func (s *quotaState) partition(active *config.Active, name string) quota.Split {
-	if s.partitionByQuota == nil || s.partitionVersion != active.Version {
-		s.partitionByQuota, s.partitionVersion = map[string]quota.Split{}, active.Version
+func (s *quotaState) split(active *config.Active, name string) quota.Split {
+	if s.splitByQuota == nil || s.splitConfigVersion != active.Version {
+		s.splitByQuota, s.splitConfigVersion = map[string]quota.Split{}, active.Version
 	}
-	partition, ok := s.partitionByQuota[name]
+	split, ok := s.splitByQuota[name]
 	if !ok {
-		partition = quota.SplitOf(active.Config, name)
-		s.partitionByQuota[name] = partition
+		split = quota.SplitOf(active.Config, name)
+		s.splitByQuota[name] = split
 	}
-	return partition
+	return split
 }
 
 // runBorrower plans every quota at each interval, and plans a quota at once
@@ -180,7 +182,7 @@
 	streams map[string]*loanStream
 }
 
-// loanStream is a stream to one lender.
+// loanStream is a stream to one loan source.
 type loanStream struct {
 	requests chan quota.OutgoingRequest
 }
--- a/internal/daemon/quota_test.go
+++ b/internal/daemon/quota_test.go
@@ -18,13 +18,13 @@
 
 // arrivalRecorder is an upstream that records when requests arrive.
 type arrivalRecorder struct {
-	mu sync.Mutex
-	at []time.Time
+	mu        sync.Mutex
+	arrivedAt []time.Time
 }
 
 func (a *arrivalRecorder) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
-	a.at = append(a.at, time.Now())
+	a.arrivedAt = append(a.arrivedAt, time.Now())
 	a.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -32,7 +32,7 @@
 func (a *arrivalRecorder) times() []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.SortedFunc(slices.Values(a.at), time.Time.Compare)
+	return slices.SortedFunc(slices.Values(a.arrivedAt), time.Time.Compare)
 }
 
 // delayVariation is how much the delay between admission and the upstream may differ
@@ -55,8 +55,9 @@
 // five times its rate through three daemons; one is partitioned from the others and
 // from the platform, and another crashes. The upstreams must see no more than the
 // customer's rate and burst in any window, and requests must continue to arrive.
-// The rate is exceeded if a part of the quota is spent by both its lender and its
-// borrower, or if two daemons take over the slots of the crashed one.
+// The rate is exceeded if a part of the quota is spent by both the source and the
+// borrower of a loan, or if two daemons spend from the same slot of the crashed
+// daemon.
 func TestCustomerRateHoldsThroughCrashAndPartition(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
--- a/internal/daemon/regionlimiter.go
+++ b/internal/daemon/regionlimiter.go
@@ -34,11 +34,11 @@
 	if ok, wait := l.ledger.Take(name, 1, time.Now()); !ok {
 		return nil, wire.NotRunProblem(wire.TypeNoRoom, "the region is at its limit", max(wait, 0))
 	}
-	answer, problem := l.next.Run(ctx, call)
+	response, problem := l.next.Run(ctx, call)
 	if problem != nil && problem.Outcome == wire.OutcomeNotRun {
 		l.ledger.Refund(name, 1, time.Now())
 	}
-	return answer, problem
+	return response, problem
 }
 
 // regionQuota returns the name of the quota of the daemon's region, and whether
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -141,8 +141,8 @@
 	// renewedAt is when the call that renewed the lease was sent. It is zero if
 	// no renewal succeeded.
 	renewedAt time.Time
-	// reading is nil if the store could not be read.
-	reading *membership.SlotState
+	// state is nil if the store could not be read.
+	state *membership.SlotState
 }
 
 // readSlots is the first half of a round.
@@ -160,7 +160,7 @@
 		d.log.Warn("slots_not_listed", "err", err)
 		return result
 	}
-	result.reading = membership.ParseSlots(d.identity.Zone, l.Items)
+	result.state = membership.ParseSlots(d.identity.Zone, l.Items)
 	return result
 }
 
@@ -193,17 +193,17 @@
 	if !m.renewedAt.IsZero() {
 		c.ownership().LeaseRenewed(m.renewedAt)
 	}
-	if m.reading == nil {
+	if m.state == nil {
 		c.endSlotRound(now, false)
 		return
 	}
-	c.slots.holderAddresses = m.reading.HolderAddresses()
-	if dropped := c.ownership().Reconcile(m.reading); len(dropped) > 0 {
+	c.slots.holderAddresses = m.state.HolderAddresses()
+	if dropped := c.ownership().Reconcile(m.state); len(dropped) > 0 {
 		c.d.log.Error("slots_dropped", "slots", dropped)
 	}
-	steps := c.planSlots(m.reading, now)
-	writes := c.withdrawLevels(steps, now)
-	if len(steps) == 0 {
+	planned := c.planSlots(m.state, now)
+	writes := c.withdrawLevels(planned, now)
+	if len(planned) == 0 {
 		c.endSlotRound(now, true)
 		return
 	}
@@ -212,13 +212,13 @@
 
 // planSlots plans the slot changes of a round. From the start of a planned stop
 // until the last request has ended, the slots stay unchanged.
-func (c *control) planSlots(r *membership.SlotState, now time.Time) []membership.SlotWrite {
-	leaving := c.slots.released != nil
-	if c.state == membership.StateLeaving && !leaving {
+func (c *control) planSlots(state *membership.SlotState, now time.Time) []membership.SlotWrite {
+	releasing := c.slots.released != nil
+	if c.state == membership.StateLeaving && !releasing {
 		return nil
 	}
 	slots := c.activeConfig().Config.Zones[c.d.identity.Zone].Slots
-	return c.ownership().Plan(membership.PlanInput{State: r, SlotCount: slots, ZonePeers: c.zonePeers(), Leaving: leaving}, now)
+	return c.ownership().Plan(membership.PlanInput{State: state, SlotCount: slots, ZonePeers: c.zonePeers(), Leaving: releasing}, now)
 }
 
 // slotWrite is a planned write of a slot entry, with the bucket levels that are
@@ -230,11 +230,12 @@
 
 // withdrawLevels removes the levels from the buckets of a leaving daemon, so
 // that their tokens are no longer spent here, and divides them evenly among the
-// slots that it releases to peers. A slot that moves for balance is empty at
-// its new holder.
-func (c *control) withdrawLevels(steps []membership.SlotWrite, now time.Time) []slotWrite {
-	writes := make([]slotWrite, 0, len(steps))
-	for _, s := range steps {
+// slots that it releases. If parts of the shares are still lent, the levels are
+// lost (see quota.Ledger.ReleaseLevels). A slot that moves for balance is empty
+// at its new holder.
+func (c *control) withdrawLevels(planned []membership.SlotWrite, now time.Time) []slotWrite {
+	writes := make([]slotWrite, 0, len(planned))
+	for _, s := range planned {
 		writes = append(writes, slotWrite{SlotWrite: s})
 	}
 	if c.slots.released == nil || len(writes) == 0 {
@@ -259,7 +260,7 @@
 // slotWriteResult is the result of one write. revision is 0 if the store
 // rejected the write or its outcome is unknown.
 type slotWriteResult struct {
-	step     membership.SlotWrite
+	write    membership.SlotWrite
 	revision uint64
 }
 
@@ -270,10 +271,10 @@
 		revision, err := d.writeSlot(ctx, write)
 		if err != nil {
 			d.log.Warn("slot_not_written", "slot", write.Slot, "err", err)
-			round.results = append(round.results, slotWriteResult{step: write.SlotWrite})
+			round.results = append(round.results, slotWriteResult{write: write.SlotWrite})
 			continue
 		}
-		round.results = append(round.results, slotWriteResult{step: write.SlotWrite, revision: revision})
+		round.results = append(round.results, slotWriteResult{write: write.SlotWrite, revision: revision})
 		if write.Holder.Instance != "" && write.Holder.Instance != d.identity.Instance {
 			d.sendLevels(ctx, write)
 		}
@@ -308,12 +309,12 @@
 	now := time.Now()
 	started := 0
 	for _, r := range m.results {
-		if c.ownership().RecordWrite(r.step, r.revision, now) {
+		if c.ownership().RecordWrite(r.write, r.revision, now) {
 			started++
 		}
 	}
 	c.d.log.Info("slots_changed", "started", started, "held", len(c.ownership().Usable(now)))
-	// The next reading shows whether the writes succeeded.
+	// The next read of the store shows whether the writes succeeded.
 	c.endSlotRound(now, false)
 }
 
--- a/internal/daemon/slots_test.go
+++ b/internal/daemon/slots_test.go
@@ -64,7 +64,7 @@
 }
 
 // Guards against a reduced customer rate after a crash: the remaining daemon of the
-// zone must take over the slots of the crashed one.
+// zone must claim the slots of the crashed one.
 func TestSlotsOfACrashedDaemonAreReassigned(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/internal/daemon/steering.go
+++ b/internal/daemon/steering.go
@@ -20,7 +20,7 @@
 func newSteerState(zone string) steerState { return steerState{builder: steer.NewBuilder(zone)} }
 
 // publishSteering adds to a snapshot the tables from which traffic threads
-// steer requests and answer lookups.
+// steer requests and respond to lookups.
 func (c *control) publishSteering(snap *view.Snapshot, now time.Time) {
 	if c.steer.index == nil || c.steer.indexVersion != snap.Config.Version {
 		c.steer.index = lookup.NewIndex(snap.Config.Config)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -11,9 +11,10 @@
 )
 
 // leaveNoticeDelay is how long other daemons may still name this daemon in
-// their lookup responses: until they learn that it is leaving or consider it
-// gone. The lookup TTL runs from the last such response. Without this delay, a
-// caller that received the response could connect to a closed listener.
+// their lookup responses: until they learn that it is leaving or no longer
+// consider it live. The lookup TTL runs from the last such response. Without
+// this delay, a caller that received the response could connect to a closed
+// listener.
 const leaveNoticeDelay = membership.MemberTimeout
 
 // slotReleaseTimeout limits the release of the slots. It exceeds two rounds of
@@ -30,7 +31,7 @@
 // that request would be lost. While callers look up other hosts, every response
 // therefore carries "Connection: close", and the caller closes the connection
 // when no request is in transit. The server closes only connections that were
-// idle during all of that time.
+// idle during that entire time.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.log.Info("stopping")
 	leaving := make(chan struct{})
@@ -55,8 +56,8 @@
 // drainRequests waits for the running requests until only transferReserve
 // remains.
 func (d *Daemon) drainRequests(ctx context.Context) error {
-	deadline, bounded := ctx.Deadline()
-	if !bounded {
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
 		return d.shutDownServers(ctx)
 	}
 	reserve := min(transferReserve, time.Until(deadline)/2)
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -190,7 +190,7 @@
 	start := time.Now()
 	f.g.Expect(stopWithin(d, settleTimeout)).To(Succeed())
 	took := time.Since(start)
-	// Without a transfer, a zone peer would take the slots only after the full holder timeout.
+	// Without a transfer, a zone peer would claim the slots only after the full holder timeout.
 	f.g.Eventually(f.usedSlots, membership.HolderTimeout/2, 5*time.Millisecond).Should(Equal(allSlots))
 	return took
 }
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -13,8 +13,8 @@
 )
 
 // tlsRefreshInterval is the time between two reads of the TLS files. A
-// withdrawn certificate authority takes effect within seconds, at the cost of
-// three small reads.
+// removed certificate authority is no longer trusted after a few seconds, at
+// the cost of three small reads per interval.
 const tlsRefreshInterval = 2 * time.Second
 
 // fleetTLS protects the peers and relay listeners. The relay listener trusts
@@ -99,6 +99,6 @@
 	}
 	d.log.Info("tls_files_changed")
 	d.conns.CloseIdle()
-	d.peers.CloseConns()
+	d.peerListener.CloseConns()
 	d.relayClient.Close()
 }
