--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -68,7 +68,7 @@
 // safe for concurrent use.
 type Account struct {
 	name       string
-	own        Share
+	ownShare   Share
 	total      Share
 	lent       LentLoans
 	borrowed   BorrowedLoans
@@ -92,7 +92,7 @@
 // NewAccount returns an account with its own share of a total quota.
 func NewAccount(name string, own, total Share, level float64, now time.Time) *Account {
 	return &Account{
-		name: name, own: own, total: total, level: math.Min(level, own.Burst),
+		name: name, ownShare: own, total: total, level: math.Min(level, own.Burst),
 		updatedAt: now, demandUpdatedAt: now, lastUsed: now, roundTrip: initialRoundTrip,
 	}
 }
@@ -100,13 +100,13 @@
 // effectiveShare returns the current rate and capacity of the account, with
 // loans.
 func (a *Account) effectiveShare() Share {
-	s := a.own.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt))
+	s := a.ownShare.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt))
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
 // unlentShare returns the part of the own share that is not lent.
 func (a *Account) unlentShare() Share {
-	s := a.own.minus(a.lent.Sum())
+	s := a.ownShare.minus(a.lent.Sum())
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
@@ -140,7 +140,7 @@
 // SetShares sets the own share and the total quota. It never raises the level.
 func (a *Account) SetShares(own, total Share, now time.Time) {
 	a.advance(now)
-	a.own, a.total = own, total
+	a.ownShare, a.total = own, total
 	a.capLevel()
 }
 
@@ -158,9 +158,10 @@
 }
 
 // expectedWait returns the time after which a request that arrives now would
-// get its tokens. The total rate is used if the daemon's own rate is less than
-// half of it and the daemon borrows from a hub, or will do so as soon as its
-// first demand is known.
+// get its tokens. It is computed with the total rate if the account's current
+// rate is less than half of that and either a hub is known, from which the
+// daemon borrows, or the account has no rate at all: the daemon then borrows
+// as soon as its first demand is known.
 func (a *Account) expectedWait(cost float64) time.Duration {
 	if wait := a.blockedUntil.Sub(a.updatedAt); wait > 0 {
 		return wait
@@ -324,7 +325,7 @@
 func (a *Account) isIdle(now time.Time) bool {
 	a.advance(now)
 	inactive := len(a.lent.loans)+len(a.borrowed.loans)+len(a.borrowed.pending)+len(a.queue) == 0
-	return inactive && a.level >= a.own.Burst && now.Sub(a.lastUsed) > idleTimeout
+	return inactive && a.level >= a.ownShare.Burst && now.Sub(a.lastUsed) > idleTimeout
 }
 
 func seconds(s float64) time.Duration {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -48,8 +48,8 @@
 
 // epoch holds the slots that the daemon held from a time on.
 type epoch struct {
-	from time.Time
-	held *HeldSlots
+	from      time.Time
+	heldSlots *HeldSlots
 }
 
 // NewLedger returns a ledger without held slots, which admits nothing.
@@ -120,12 +120,12 @@
 	if len(l.epochs) == 0 {
 		return nil, false
 	}
-	if _, _, known := l.epochs[len(l.epochs)-1].held.Share(name); !known {
+	if _, _, known := l.epochs[len(l.epochs)-1].heldSlots.Share(name); !known {
 		return nil, false
 	}
 	a := NewAccount(name, Share{}, Share{}, 0, l.epochs[0].from)
 	for _, e := range l.epochs {
-		own, total, _ := e.held.Share(name)
+		own, total, _ := e.heldSlots.Share(name)
 		a.SetShares(own, total, e.from)
 	}
 	a.advance(now)
@@ -171,7 +171,8 @@
 	return t, wait
 }
 
-// requestPlan asks for a plan before the next tick.
+// requestPlan requests a plan for a quota before the next tick. If the channel
+// is full, the quota is planned at the next tick.
 func (l *Ledger) requestPlan(name string) {
 	select {
 	case l.planRequests <- name:
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -47,7 +47,7 @@
 	if a.fleet.Leaving {
 		return Grant{}
 	}
-	unlent := a.own.minus(a.lent.Sum())
+	unlent := a.ownShare.minus(a.lent.Sum())
 	if key.borrower != a.fleet.Hub || unlent.Rate < -roundingTolerance || unlent.Burst < -roundingTolerance {
 		return Grant{}
 	}
@@ -84,7 +84,7 @@
 // by its source.
 func (a *Account) lendTokens(key loanKey, tokens float64) Grant {
 	for term := TokenLoanTerm; term >= minTokenLoanTerm; term -= 50 * time.Millisecond {
-		backing := a.own.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt.Add(term + ExpiryMargin)))
+		backing := a.ownShare.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt.Add(term + ExpiryMargin)))
 		if backing.Burst < tokens {
 			continue
 		}
--- a/internal/quota/level.go
+++ b/internal/quota/level.go
@@ -47,7 +47,7 @@
 	if len(l.epochs) == 0 {
 		return nil
 	}
-	versions := l.epochs[len(l.epochs)-1].held.Versions
+	versions := l.epochs[len(l.epochs)-1].heldSlots.Versions
 	if len(versions) == 0 {
 		return nil
 	}
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -233,8 +233,8 @@
 func (a *Account) tokensNeeded(source string) float64 {
 	need := a.queuedCost + a.prefetch() - a.level
 	for _, p := range a.borrowed.pending {
-		// A previous hub may never respond to a pending request, because it
-		// has closed its loans.
+		// Only requests to this source count. A previous hub may never grant a
+		// pending request, because it has closed its loans.
 		if p.source == source {
 			need -= p.tokens
 		}
@@ -257,9 +257,9 @@
 	return math.Floor(math.Min(d*a.roundTrip.Seconds()*1.5, limit))
 }
 
-// closeSpentLoans closes the token loans from a source whose tokens are spent,
-// so that the source has their capacity back, and the loans that are about to
-// expire, with their unspent tokens.
+// closeSpentLoans closes two kinds of token loans from a source: those whose
+// tokens are spent, so that the source gets their capacity back, and those that
+// are about to expire, with their unspent tokens.
 func (a *Account) closeSpentLoans(source string) []LoanClosing {
 	var out []LoanClosing
 	for i := 0; i < len(a.borrowed.loans); {
@@ -280,7 +280,7 @@
 // back its token loans, the sources would spend the same capacity again before
 // the token loans end.
 func (a *Account) canClose(l borrowedLoan) bool {
-	remaining := a.own.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt)).minus(l.share)
+	remaining := a.ownShare.minus(a.lent.Sum()).plus(a.borrowed.SumAfter(a.updatedAt)).minus(l.share)
 	return remaining.Burst >= 0
 }
 
--- a/internal/quota/safety_test.go
+++ b/internal/quota/safety_test.go
@@ -129,21 +129,21 @@
 	if len(m.requests) == 0 {
 		t.Skip("no request in flight")
 	}
-	i := rapid.IntRange(0, len(m.requests)-1).Draw(t, "ask")
-	a := m.requests[i]
+	i := rapid.IntRange(0, len(m.requests)-1).Draw(t, "request")
+	request := m.requests[i]
 	if !rapid.Bool().Draw(t, "again") {
 		m.requests = slices.Delete(m.requests, i, i+1)
 	}
-	to := m.find(a.out.To)
+	to := m.find(request.out.To)
 	if to.crashed {
 		return
 	}
-	g, ticket := to.account.Lend(a.out.Request, m.now)
+	g, ticket := to.account.Lend(request.out.Request, m.now)
 	if ticket != nil {
-		to.remoteTickets = append(to.remoteTickets, modelTicket{a, ticket})
+		to.remoteTickets = append(to.remoteTickets, modelTicket{request, ticket})
 		return
 	}
-	m.grants = append(m.grants, modelGrant{a, g})
+	m.grants = append(m.grants, modelGrant{request, g})
 }
 
 func (m *fleetModel) deliverGrant(t *rapid.T) {
@@ -161,7 +161,7 @@
 }
 
 func (m *fleetModel) loseMessages(t *rapid.T) {
-	if len(m.requests) > 0 && rapid.Bool().Draw(t, "asks") {
+	if len(m.requests) > 0 && rapid.Bool().Draw(t, "requests") {
 		m.requests = m.requests[1:]
 	}
 	if len(m.grants) > 0 && rapid.Bool().Draw(t, "grants") {
@@ -184,7 +184,7 @@
 	} else {
 		n.crashed = true
 	}
-	successor.inherited, successor.inheritedFrom = n.account.own, m.now.Add(Quarantine)
+	successor.inherited, successor.inheritedFrom = n.account.ownShare, m.now.Add(Quarantine)
 }
 
 // refund returns a token that was taken but not used.
@@ -211,7 +211,7 @@
 			continue
 		}
 		if n.inherited != (Share{}) && !m.now.Before(n.inheritedFrom) {
-			n.account.SetShares(n.account.own.plus(n.inherited), m.total, m.now)
+			n.account.SetShares(n.account.ownShare.plus(n.inherited), m.total, m.now)
 			n.inherited = Share{}
 		}
 		n.account.ServeQueue(m.now)
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -85,9 +85,9 @@
 type Split map[slotKey]float64
 
 // HasShare reports whether any of the given slots of a zone has a share.
-func (c Split) HasShare(zone string, slots []int) bool {
+func (s Split) HasShare(zone string, slots []int) bool {
 	for _, slot := range slots {
-		if c[slotKey{zone, slot}] > 0 {
+		if s[slotKey{zone, slot}] > 0 {
 			return true
 		}
 	}
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -47,19 +47,19 @@
 var policyNames = []string{"hub and loans", "even split", "shares by demand", "leased allocator", "store tokens"}
 
 type simEvent struct {
-	at  time.Time
-	seq int
-	run func()
+	dueAt time.Time
+	seq   int
+	run   func()
 }
 
 type eventHeap []simEvent
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	if h[i].at.Equal(h[j].at) {
+	if h[i].dueAt.Equal(h[j].dueAt) {
 		return h[i].seq < h[j].seq
 	}
-	return h[i].at.Before(h[j].at)
+	return h[i].dueAt.Before(h[j].dueAt)
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(simEvent)) }
@@ -71,7 +71,7 @@
 }
 
 type simNode struct {
-	s             *sim
+	sim           *sim
 	name          string
 	region        int
 	account       *Account
@@ -123,7 +123,7 @@
 				own = total
 			}
 		}
-		n := &simNode{s: s, name: fmt.Sprint("d", i), region: region, scores: map[string]float64{}}
+		n := &simNode{sim: s, name: fmt.Sprint("d", i), region: region, scores: map[string]float64{}}
 		n.account = NewAccount("q", own, total, own.Burst, s.now)
 		s.nodes = append(s.nodes, n)
 		s.after(time.Duration(i)*5*time.Millisecond, n.tick)
@@ -139,9 +139,9 @@
 
 func (s *sim) run(until time.Duration) {
 	end := s.start.Add(until)
-	for len(s.events) > 0 && !s.events[0].at.After(end) {
+	for len(s.events) > 0 && !s.events[0].dueAt.After(end) {
 		e := heap.Pop(&s.events).(simEvent)
-		s.now = e.at
+		s.now = e.dueAt
 		e.run()
 	}
 	s.now = end
@@ -184,7 +184,7 @@
 func (s *sim) second() int { return int(s.now.Sub(s.start) / time.Second) }
 
 func (n *simNode) arrive(retry bool) {
-	s := n.s
+	s := n.sim
 	central, _ := s.central.Take(1, s.now)
 	if s.measured() && !retry {
 		s.sent++
@@ -218,7 +218,7 @@
 // fetchToken requests the token of each request from the single allocator (or
 // the store).
 func (n *simNode) fetchToken(w *simWaiter) {
-	s, hub := n.s, n.s.nodes[0]
+	s, hub := n.sim, n.sim.nodes[0]
 	oneWay := s.delay(n, hub)
 	s.countMessages(2, 60)
 	s.after(oneWay, func() {
@@ -241,7 +241,7 @@
 }
 
 func (w *simWaiter) admitted(n *simNode) {
-	s := n.s
+	s := n.sim
 	if s.policy != policyAllocator && s.policy != policyStore {
 		if ok, _ := s.reference.Take(1-1e-6, s.now); !ok {
 			s.overshoot++
@@ -258,7 +258,7 @@
 }
 
 func (w *simWaiter) refused(n *simNode, wait time.Duration) {
-	s := n.s
+	s := n.sim
 	if w.retry || !s.measured() {
 		return
 	}
@@ -304,19 +304,19 @@
 	if len(n.account.queue) > 0 {
 		wait = n.account.ServeDelay(n.account.queue[0])
 	}
-	at := n.s.now.Add(wait)
-	if wait == unknownWait || (n.wakeAt.After(n.s.now) && !n.wakeAt.After(at)) {
+	at := n.sim.now.Add(wait)
+	if wait == unknownWait || (n.wakeAt.After(n.sim.now) && !n.wakeAt.After(at)) {
 		return
 	}
 	n.wakeAt = at
-	n.s.after(wait, func() {
-		n.account.ServeQueue(n.s.now)
+	n.sim.after(wait, func() {
+		n.account.ServeQueue(n.sim.now)
 		n.handleTickets()
 	})
 }
 
 func (n *simNode) tick() {
-	s := n.s
+	s := n.sim
 	s.after(50*time.Millisecond, n.tick)
 	if n.down {
 		return
@@ -336,7 +336,7 @@
 }
 
 func (n *simNode) updateFleetState() {
-	s := n.s
+	s := n.sim
 	var scores []Score
 	var sources []string
 	for _, p := range s.nodes {
@@ -353,7 +353,7 @@
 // to the demand last reported. The policy is simulated without the delays of a
 // protocol, to its advantage.
 func (n *simNode) splitByDemand() {
-	s := n.s
+	s := n.sim
 	sum := 0.0
 	for _, p := range s.nodes {
 		sum += n.scores[p.name] + 0.01*s.total.Rate
@@ -363,7 +363,7 @@
 }
 
 func (n *simNode) heartbeat() {
-	s := n.s
+	s := n.sim
 	s.after(500*time.Millisecond, n.heartbeat)
 	if n.down {
 		return
@@ -378,8 +378,8 @@
 }
 
 func (n *simNode) plan() {
-	if n.s.policy == policyLoans {
-		for _, out := range n.account.Plan(n.s.now) {
+	if n.sim.policy == policyLoans {
+		for _, out := range n.account.Plan(n.sim.now) {
 			n.send(out)
 		}
 	}
@@ -400,7 +400,7 @@
 const requestBytes, grantBytes = 60, 45
 
 func (n *simNode) send(out OutgoingRequest) {
-	s, to := n.s, n.s.find(out.To)
+	s, to := n.sim, n.sim.find(out.To)
 	s.countMessages(1, requestBytes)
 	if s.rng.Float64() < s.loss {
 		return
@@ -421,7 +421,7 @@
 }
 
 func (n *simNode) respond(to *simNode, out OutgoingRequest, g Grant) {
-	s := n.s
+	s := n.sim
 	s.countMessages(1, grantBytes)
 	if s.rng.Float64() < s.loss {
 		return
--- a/internal/quota/splitversions.go
+++ b/internal/quota/splitversions.go
@@ -38,33 +38,33 @@
 // Observe records the version in force on this daemon and the versions
 // reported by members, including this daemon. It returns the versions that
 // apply to the splits, the newest last.
-func (c *SplitVersions) Observe(active *config.Active, members []membership.Member, now time.Time) []*config.Active {
-	c.add(active)
-	if len(c.versions) == 1 {
-		return c.versions
+func (s *SplitVersions) Observe(active *config.Active, members []membership.Member, now time.Time) []*config.Active {
+	s.add(active)
+	if len(s.versions) == 1 {
+		return s.versions
 	}
 	if !allHoldersHave(active, members) {
-		c.confirmedAt = time.Time{}
-		return c.versions
+		s.confirmedAt = time.Time{}
+		return s.versions
 	}
-	if c.confirmedAt.IsZero() {
-		c.confirmedAt = now
+	if s.confirmedAt.IsZero() {
+		s.confirmedAt = now
 	}
-	if now.Sub(c.confirmedAt) >= Quarantine {
-		c.versions = []*config.Active{active}
+	if now.Sub(s.confirmedAt) >= Quarantine {
+		s.versions = []*config.Active{active}
 	}
-	return c.versions
+	return s.versions
 }
 
 // add appends a version, or replaces the newest one if both split quotas
 // equally.
-func (c *SplitVersions) add(active *config.Active) {
-	n := len(c.versions)
-	if n > 0 && c.versions[n-1].Version == active.Version {
+func (s *SplitVersions) add(active *config.Active) {
+	n := len(s.versions)
+	if n > 0 && s.versions[n-1].Version == active.Version {
 		return
 	}
-	c.confirmedAt = time.Time{}
-	next := append([]*config.Active(nil), c.versions...)
+	s.confirmedAt = time.Time{}
+	next := append([]*config.Active(nil), s.versions...)
 	if n > 0 && sameSplit(next[n-1].Config, active.Config) {
 		next[n-1] = active
 	} else {
@@ -73,7 +73,7 @@
 	if len(next) > maxVersions {
 		next = next[1:]
 	}
-	c.versions = next
+	s.versions = next
 }
 
 // allHoldersHave reports whether every slot of every zone is held by a member
--- a/internal/quota/splitversions_test.go
+++ b/internal/quota/splitversions_test.go
@@ -24,8 +24,8 @@
 func newTestLedger(tb testing.TB, c *config.Config) *Ledger {
 	tb.Helper()
 	l := NewLedger()
-	shape := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1, 2, 3}, Versions: []*config.Active{config.NewActive(1, c)}}
-	l.SetHeldSlots(shape, time.Now().Add(-time.Hour))
+	held := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1, 2, 3}, Versions: []*config.Active{config.NewActive(1, c)}}
+	l.SetHeldSlots(held, time.Now().Add(-time.Hour))
 	return l
 }
 
@@ -46,8 +46,8 @@
 	var vt, me SplitVersions
 	vt.Observe(v1, nil, start)
 	me.Observe(v1, nil, start)
-	share := func(c *SplitVersions, v *config.Active, zone string, at time.Duration, members ...membership.Member) float64 {
-		s := HeldSlots{Zone: zone, Slots: all, Versions: c.Observe(v, members, start.Add(at))}
+	share := func(versions *SplitVersions, v *config.Active, zone string, at time.Duration, members ...membership.Member) float64 {
+		s := HeldSlots{Zone: zone, Slots: all, Versions: versions.Observe(v, members, start.Add(at))}
 		own, _, _ := s.Share(CustomerQuota("farm"))
 		return own.Rate
 	}
@@ -90,8 +90,8 @@
 func TestAccountsAreCreatedOnUseAndDroppedWhenIdle(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLedger()
-	shape := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1}, Versions: []*config.Active{config.NewActive(1, twoZones(100, 40))}}
-	l.SetHeldSlots(shape, start)
+	held := &HeldSlots{Zone: "vt-a", Slots: []int{0, 1}, Versions: []*config.Active{config.NewActive(1, twoZones(100, 40))}}
+	l.SetHeldSlots(held, start)
 	farm := CustomerQuota("farm")
 	ok, _ := l.Take(farm, 5, start.Add(100*time.Millisecond))
 	g.Expect(ok).To(BeFalse(), "25/s for 0.1 s is 2.5")
