--- a/internal/steer/choose.go
+++ b/internal/steer/choose.go
@@ -65,7 +65,7 @@
 	if s == nil {
 		return nil
 	}
-	c := chooser{t: t, s: s, r: r, now: now, rng: rng, position: position(r)}
+	c := chooser{table: t, service: s, request: r, now: now, rng: rng, position: position(r)}
 	c.targets = make([]Target, 0, MaxTargets)
 	c.fill()
 	return c.targets
@@ -83,9 +83,9 @@
 
 // chooser builds the list of targets for one request.
 type chooser struct {
-	t        *Table
-	s        *serviceTable
-	r        Request
+	table    *Table
+	service  *serviceTable
+	request  Request
 	now      time.Time
 	rng      *rand.Rand
 	position float64
@@ -97,7 +97,7 @@
 // assigned.
 func (c *chooser) fill() {
 	first, drain := c.plannedShift()
-	if first == nil && c.position >= 1-c.s.spillover {
+	if first == nil && c.position >= 1-c.service.spillover {
 		first = c.leastUsedRegion()
 	}
 	if first != nil {
@@ -116,7 +116,7 @@
 // region sends this request, and the drain's quota.
 func (c *chooser) plannedShift() (*regionTable, string) {
 	lower := 0.0
-	for _, m := range c.s.moves {
+	for _, m := range c.service.moves {
 		upper := lower + m.move.Share*ramp(m.move.StartUnixMs, m.move.RampSeconds, c.now)
 		if c.position >= lower && c.position < upper {
 			if r := c.remoteRegion(m.to); r != nil {
@@ -125,7 +125,7 @@
 		}
 		lower = upper
 	}
-	if d := c.s.localDrain; d != nil && c.position < ramp(d.StartUnixMs, d.RampSeconds, c.now) {
+	if d := c.service.localDrain; d != nil && c.position < ramp(d.StartUnixMs, d.RampSeconds, c.now) {
 		return c.leastUsedRegion(), drainQuota(*d)
 	}
 	return nil, ""
@@ -146,12 +146,12 @@
 
 // localAllowed reports whether both service and customer may be served in the
 // local region.
-func (c *chooser) localAllowed() bool { return c.allowed(c.t.region) }
+func (c *chooser) localAllowed() bool { return c.allowed(c.table.region) }
 
 // allowed reports whether both service and customer may be served in a region.
 func (c *chooser) allowed(region string) bool {
-	cfg := c.t.active.Config
-	return allowsRegion(cfg.Services[c.r.Service].Regions, region) && allowsRegion(cfg.Customers[c.r.Customer].Regions, region)
+	cfg := c.table.active.Config
+	return allowsRegion(cfg.Services[c.request.Service].Regions, region) && allowsRegion(cfg.Customers[c.request.Customer].Regions, region)
 }
 
 func allowsRegion(list []string, region string) bool {
@@ -161,9 +161,9 @@
 // remoteRegion returns the table of another region, or nil if that region has
 // no handler or may not serve the request.
 func (c *chooser) remoteRegion(name string) *regionTable {
-	for i := range c.s.remote {
-		if c.s.remote[i].name == name && c.allowed(name) {
-			return &c.s.remote[i]
+	for i := range c.service.remote {
+		if c.service.remote[i].name == name && c.allowed(name) {
+			return &c.service.remote[i]
 		}
 	}
 	return nil
@@ -174,12 +174,12 @@
 // random pick keeps entry hosts from all selecting the same region.
 func (c *chooser) leastUsedRegion() *regionTable {
 	var best *regionTable
-	n := len(c.s.remote)
+	n := len(c.service.remote)
 	if n == 0 {
 		return nil
 	}
 	for i, start := 0, c.rng.IntN(n); i < n; i++ {
-		r := &c.s.remote[(start+i)%n]
+		r := &c.service.remote[(start+i)%n]
 		if !c.allowed(r.name) || c.draining(r.name) {
 			continue
 		}
@@ -196,19 +196,19 @@
 }
 
 func (c *chooser) draining(region string) bool {
-	_, found := c.t.regionDrains[region]
+	_, found := c.table.regionDrains[region]
 	return found
 }
 
 // addOtherRegions appends targets in the remaining regions, in case the
 // earlier targets reject the request.
 func (c *chooser) addOtherRegions(first *regionTable) {
-	n := len(c.s.remote)
+	n := len(c.service.remote)
 	if n == 0 {
 		return
 	}
 	for i, start := 0, c.rng.IntN(n); i < n && len(c.targets) < MaxTargets; i++ {
-		r := &c.s.remote[(start+i)%n]
+		r := &c.service.remote[(start+i)%n]
 		if r != first && c.allowed(r.name) && !c.draining(r.name) {
 			c.addRemote(r, "")
 		}
@@ -220,17 +220,17 @@
 // for another region.
 func (c *chooser) addLocal() {
 	remaining := MaxTargets - len(c.targets)
-	if len(c.s.remote) > 0 {
+	if len(c.service.remote) > 0 {
 		remaining = max(remaining-1, 1)
 	}
-	zones := c.s.local.zones
+	zones := c.service.local.zones
 	for _, drained := range []bool{false, true} {
 		for i := range zones {
 			if remaining == 0 {
 				return
 			}
 			if c.zoneDrained(zones[i].name) == drained {
-				c.targets = append(c.targets, Target{Handler: pickHandler(zones[i].handlers, c.rng), feedback: c.s.feedback})
+				c.targets = append(c.targets, Target{Handler: pickHandler(zones[i].handlers, c.rng), feedback: c.service.feedback})
 				remaining--
 			}
 		}
@@ -240,20 +240,20 @@
 // addUnassigned appends a handler of the local region that the assignment does
 // not name, in case the assigned handler does not know of its assignment yet.
 func (c *chooser) addUnassigned() {
-	if unassigned := c.s.local.unassigned; len(unassigned) > 0 {
-		c.targets = append(c.targets, Target{Handler: pickHandler(unassigned, c.rng), feedback: c.s.feedback})
+	if unassigned := c.service.local.unassigned; len(unassigned) > 0 {
+		c.targets = append(c.targets, Target{Handler: pickHandler(unassigned, c.rng), feedback: c.service.feedback})
 	}
 }
 
 // addRemote appends a handler of another region, picked from all of its zones.
-// All zones of another region are equally near, and one of them alone would
-// fill up first.
+// All zones of another region are equally near, and if every request went to
+// the same zone, that zone would fill up first.
 func (c *chooser) addRemote(r *regionTable, drain string) {
 	t := Target{Handler: pickHandler(r.handlers, c.rng), DrainQuota: drain}
-	t.ShiftQuota = config.ShiftQuota(c.r.Service, c.t.region, r.name)
-	if c.t.linkedRegions[r.name] {
-		t.LinkQuota = config.LinkQuota(c.t.region, r.name)
-		t.LinkBits = bitsPerByte * c.r.SizeBytes
+	t.ShiftQuota = config.ShiftQuota(c.request.Service, c.table.region, r.name)
+	if c.table.linkedRegions[r.name] {
+		t.LinkQuota = config.LinkQuota(c.table.region, r.name)
+		t.LinkBits = bitsPerByte * c.request.SizeBytes
 	}
 	c.targets = append(c.targets, t)
 }
@@ -261,12 +261,12 @@
 // zoneDrained reports whether a drain of the zone has already moved this
 // request.
 func (c *chooser) zoneDrained(zone string) bool {
-	d, ok := c.t.zoneDrains[zone]
+	d, ok := c.table.zoneDrains[zone]
 	return ok && c.position < ramp(d.StartUnixMs, d.RampSeconds, c.now)
 }
 
-// pickHandler returns the one with more estimated free slots of two handlers
-// picked at random.
+// pickHandler picks two handlers at random and returns the one with more
+// estimated free slots.
 func pickHandler(handlers []*Handler, rng *rand.Rand) *Handler {
 	n := len(handlers)
 	if n == 1 {
--- a/internal/steer/sim_test.go
+++ b/internal/steer/sim_test.go
@@ -55,8 +55,8 @@
 // has an entry host and a handler; handlers have slots and a bounded queue,
 // headroom arrives late, and requests arrive at random times.
 type sim struct {
-	d             deployment
-	c             *config.Config
+	deployment    deployment
+	config        *config.Config
 	headroomDelay time.Duration
 	rng           *rand.Rand
 	now           time.Duration
@@ -92,7 +92,7 @@
 
 func newSim(d deployment, c *config.Config, headroomDelay time.Duration, p policy) *sim {
 	s := &sim{
-		d: d, c: c, headroomDelay: headroomDelay, policy: p, rng: rand.New(rand.NewPCG(20261202, 1)),
+		deployment: d, config: c, headroomDelay: headroomDelay, policy: p, rng: rand.New(rand.NewPCG(20261202, 1)),
 		handlers: map[string]*simHandler{}, builders: map[string]*steer.Builder{}, tables: map[string]*steer.Table{},
 		lost: map[string]bool{}, caps: map[string]*quota.Bucket{}, responses: map[time.Duration][]simResponse{},
 	}
@@ -109,7 +109,7 @@
 func (s *sim) clock() time.Time { return start.Add(s.now) }
 
 func (s *sim) run(length time.Duration, eachSecond func(now time.Duration)) simResult {
-	regions := sortedKeys(s.c.Regions)
+	regions := sortedKeys(s.config.Regions)
 	for ; s.now < length; s.now += simStep {
 		if s.now%time.Second == 0 {
 			s.result.perSecond = append(s.result.perSecond, map[string]int{})
@@ -139,8 +139,8 @@
 }
 
 func (s *sim) deliverResponses() {
-	for _, a := range s.responses[s.now] {
-		a.target.RecordResult(a.queueing, a.noHeadroom)
+	for _, response := range s.responses[s.now] {
+		response.target.RecordResult(response.queueing, response.noHeadroom)
 	}
 	delete(s.responses, s.now)
 }
@@ -164,8 +164,8 @@
 	s.advertised = append(s.advertised, headrooms)
 	visible := s.advertised[max(0, len(s.advertised)-1-int(s.headroomDelay/heartbeatInterval))]
 	var ready []membership.Member
-	for _, z := range sortedKeys(s.c.Zones) {
-		if s.lost[s.c.Zones[z].Region] || s.lost[z] {
+	for _, z := range sortedKeys(s.config.Zones) {
+		if s.lost[s.config.Zones[z].Region] || s.lost[z] {
 			continue
 		}
 		m := member(z, visible[z])
@@ -178,7 +178,7 @@
 // buildTables builds the table of every daemon, as the control thread does on
 // each tick.
 func (s *sim) buildTables() {
-	active := config.NewActive(1, s.c)
+	active := config.NewActive(1, s.config)
 	for z, b := range s.builders {
 		s.tables[z] = b.Build(active, s.ready, noSlots{}, s.clock())
 	}
@@ -205,7 +205,7 @@
 			if ok, _ := s.caps[t.ShiftQuota].Take(1, s.clock()); !ok {
 				continue
 			}
-			latency += 2 * s.d.oneWay
+			latency += 2 * s.deployment.oneWay
 		}
 		t.RecordSent()
 		h := s.handlers[t.Handler.Member.Zone]
@@ -219,7 +219,7 @@
 		if !ok {
 			continue
 		}
-		second[s.c.Zones[h.zone].Region]++
+		second[s.config.Zones[h.zone].Region]++
 		s.result.ran++
 		s.result.latency = append(s.result.latency, latency+wait)
 		return
@@ -351,7 +351,7 @@
 				highest, mean, deviation := r.loadStats("me", 60)
 				swing[name] = deviation / mean
 				r.logLine(t, d, "two regions, headroom 5 s late", name)
-				t.Logf("    neighbour's load per second: mean %.0f, most %d, deviation %.1f%%, capacity %.0f", mean, highest, 100*swing[name], d.capacity())
+				t.Logf("    other region's load per second: mean %.0f, maximum %d, deviation %.1f%%, capacity %.0f", mean, highest, 100*swing[name], d.capacity())
 				if name == "steered" {
 					g.Expect(float64(r.ran) / float64(r.sent)).To(BeNumerically(">", 0.97))
 					g.Expect(float64(highest)).To(BeNumerically("<", d.capacity()))
@@ -389,7 +389,7 @@
 				})
 				r.logLine(t, d, "a region lost, caches cold", name)
 				highest, _, _ := r.loadStats("shift/lookup/me/ma", 0)
-				t.Logf("    most shifted in a second: %d, cap %.0f", highest, limit)
+				t.Logf("    maximum shifted in a second: %d, cap %.0f", highest, limit)
 				if name == "steered" {
 					g.Expect(float64(highest)).To(BeNumerically("<=", limit))
 				}
@@ -420,7 +420,7 @@
 			r := s.run(90*time.Second, noEvents)
 			highest, mean, _ := r.loadStats("shift/lookup/vt/me", 60)
 			r.logLine(t, d, "move and drain under one cap", "steered")
-			t.Logf("    shifted per second: mean %.1f, most %d, cap %.0f", mean, highest, limit)
+			t.Logf("    shifted per second: mean %.1f, maximum %d, cap %.0f", mean, highest, limit)
 			highestOverall, _, _ := r.loadStats("shift/lookup/vt/me", 0)
 			g.Expect(float64(highestOverall)).To(BeNumerically("<=", limit))
 			g.Expect(mean).To(BeNumerically(">", 0.8*limit))
@@ -453,7 +453,7 @@
 			r.logLine(t, d, "drain, then another region lost", "steered")
 			for _, to := range []string{"me", "ma"} {
 				highest, _, _ := r.loadStats("shift/lookup/vt/"+to, 0)
-				t.Logf("    most shifted to %s in a second: %d, cap %.0f", to, highest, limit)
+				t.Logf("    maximum shifted to %s in a second: %d, cap %.0f", to, highest, limit)
 				g.Expect(float64(highest)).To(BeNumerically("<=", limit))
 			}
 			load, _, _ := r.loadStats("ma", 0)
@@ -480,7 +480,7 @@
 				})
 				r.logLine(t, d, "a zone lost", name)
 				highest, _, _ := r.loadStats("shift/lookup/vt/me", 0)
-				t.Logf("    most shifted in a second: %d, cap %.0f", highest, 0.5*d.capacity())
+				t.Logf("    maximum shifted in a second: %d, cap %.0f", highest, 0.5*d.capacity())
 				if name == "steered" {
 					g.Expect(float64(highest)).To(BeNumerically("<=", 0.5*d.capacity()))
 				}
--- a/internal/steer/spillover.go
+++ b/internal/steer/spillover.go
@@ -45,8 +45,8 @@
 // A region may lack headroom for minutes while the advertised headroom of
 // other regions is up to 5 s old. Without a slowly changing fraction, all
 // entry hosts would move their traffic to the same region at once, and back
-// again. The fraction grows only with the queueing that the daemon's own
-// requests met, and shrinks with the advertised utilization. Growth by the
+// again. The fraction grows only with the queueing delay of the daemon's own
+// requests, and shrinks with the advertised utilization. Growth by the
 // advertised utilization overshot: with headroom 5 s old, the fraction reached
 // 0.5 where 0.23 was needed, and the other region filled up.
 type Spillover struct {
--- a/internal/steer/table.go
+++ b/internal/steer/table.go
@@ -33,7 +33,7 @@
 	handlers []*Handler
 	// unassigned lists daemons that still advertise headroom although the
 	// assignment does not name them. They may know a newer set of ready
-	// daemons than this one.
+	// daemons than this daemon does.
 	unassigned []*Handler
 }
 
@@ -111,9 +111,9 @@
 //
 // A daemon that has just become a handler has not advertised its headroom yet.
 // With advertised headroom alone, requests would be rejected for lack of a
-// handler until its next heartbeat, which is half a second after every start
-// and stop of a daemon. The number of slots assigned to the daemon is used
-// instead of its headroom until then.
+// handler until the next heartbeat of that daemon, for half a second after every
+// start and stop of a daemon. Until then, the number of slots assigned to the
+// daemon is used instead of its headroom.
 func (b *Builder) Build(a *config.Active, ready []membership.Member, assigned Assignment, now time.Time) *Table {
 	t := &Table{
 		active: a, zone: b.zone, region: a.Region(b.zone), services: map[string]*serviceTable{},
