--- a/internal/posting/table.go
+++ b/internal/posting/table.go
@@ -124,12 +124,12 @@
 // records that stopped instances transferred to it. It is safe for concurrent
 // use.
 type Table struct {
-	mu       sync.Mutex
-	instance string
-	start    time.Time
-	limits   Limits
-	own      instanceRecords
-	imported map[string]*importedRecords
+	mu         sync.Mutex
+	instance   string
+	start      time.Time
+	limits     Limits
+	ownRecords instanceRecords
+	imported   map[string]*importedRecords
 	// records and responseBytes are the totals of own and imported.
 	records       int
 	responseBytes int
@@ -140,7 +140,7 @@
 func NewTable(instance string, start time.Time, limits Limits) *Table {
 	return &Table{
 		instance: instance, start: start, limits: limits,
-		own: newInstanceRecords(0), imported: map[string]*importedRecords{},
+		ownRecords: newInstanceRecords(0), imported: map[string]*importedRecords{},
 	}
 }
 
@@ -154,7 +154,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.removeExpired(now)
-	return t.own.currentEpoch
+	return t.ownRecords.currentEpoch
 }
 
 // Begin adds a record for a new posting, or returns the state of a posting that
@@ -166,7 +166,7 @@
 	if req.ID.Instance != t.instance {
 		return t.lookupImported(req)
 	}
-	if result, found := lookup(&t.own, req); found {
+	if result, found := lookup(&t.ownRecords, req); found {
 		return result
 	}
 	if t.sealed {
@@ -179,7 +179,7 @@
 	// header to be garbage-collected.
 	req.ID.Suffix = strings.Clone(req.ID.Suffix)
 	r := &record{digest: req.Digest, state: StateRunning, done: make(chan struct{})}
-	t.own.add(req.ID.Epoch, req.key(), r)
+	t.ownRecords.add(req.ID.Epoch, req.key(), r)
 	t.records++
 	return BeginResult{Decision: DecisionRun, Run: &Run{table: t, epoch: req.ID.Epoch, key: req.key(), record: r}}
 }
@@ -210,8 +210,8 @@
 
 // removeExpired removes the records of the epochs that have expired at now.
 func (t *Table) removeExpired(now time.Time) {
-	t.own.advance(epochAt(t.start, now))
-	t.subtract(t.own.removeExpired())
+	t.ownRecords.advance(epochAt(t.start, now))
+	t.subtract(t.ownRecords.removeExpired())
 	for instance, imported := range t.imported {
 		imported.advanceAt(now)
 		t.subtract(imported.removeExpired())
@@ -231,7 +231,7 @@
 
 // timeToExpiry returns the time until the oldest epoch expires.
 func (t *Table) timeToExpiry(now time.Time) time.Duration {
-	end := t.start.Add(time.Duration(t.own.oldestEpoch()+RetainedEpochs+1) * EpochLength)
+	end := t.start.Add(time.Duration(t.ownRecords.oldestEpoch()+RetainedEpochs+1) * EpochLength)
 	return max(end.Sub(now), 0)
 }
 
@@ -248,7 +248,7 @@
 // not run by this attempt, so a retry runs it.
 func (r *Run) FinishNotRun() {
 	r.complete(func(t *Table) {
-		delete(t.own.epochs[r.epoch].records, r.key)
+		delete(t.ownRecords.epochs[r.epoch].records, r.key)
 		t.records--
 	})
 }
@@ -257,7 +257,7 @@
 // not known. The caller must not modify response afterwards.
 func (r *Run) Finish(state State, response *Response) {
 	stored := newStoredResponse(response)
-	r.complete(func(t *Table) { t.storeOutcome(t.own.epochs[r.epoch], r.record, state, stored) })
+	r.complete(func(t *Table) { t.storeOutcome(t.ownRecords.epochs[r.epoch], r.record, state, stored) })
 }
 
 // complete calls update and wakes the requests that wait for the posting. It does
@@ -269,7 +269,7 @@
 	if r.record.done == nil {
 		return
 	}
-	if t.own.find(r.epoch, r.key) == r.record {
+	if t.ownRecords.find(r.epoch, r.key) == r.record {
 		update(t)
 	}
 	close(r.record.done)
--- a/internal/posting/transfer.go
+++ b/internal/posting/transfer.go
@@ -33,7 +33,7 @@
 	defer t.mu.Unlock()
 	t.removeExpired(now)
 	t.sealed = true
-	transfers := []Transfer{exportRecords(t.instance, &t.own)}
+	transfers := []Transfer{exportRecords(t.instance, &t.ownRecords)}
 	for _, instance := range slices.Sorted(maps.Keys(t.imported)) {
 		transfers = append(transfers, exportRecords(instance, &t.imported[instance].instanceRecords))
 	}
