--- a/internal/entry/authenticate_test.go
+++ b/internal/entry/authenticate_test.go
@@ -33,8 +33,8 @@
 // lookup of the key.
 type hookBody struct{ onRead func() }
 
-func (o hookBody) Read([]byte) (int, error) {
-	o.onRead()
+func (b hookBody) Read([]byte) (int, error) {
+	b.onRead()
 	return 0, io.EOF
 }
 
--- a/internal/entry/read_test.go
+++ b/internal/entry/read_test.go
@@ -33,26 +33,26 @@
 	calls []*wire.Call
 }
 
-func (w *fakeUpstream) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
+func (u *fakeUpstream) Run(_ context.Context, call *wire.Call) (*wire.Response, *wire.Problem) {
 	body, _ := call.Body.Reader()
 	_, err := io.Copy(io.Discard, body)
-	w.mu.Lock()
-	w.calls = append(w.calls, call)
-	w.mu.Unlock()
+	u.mu.Lock()
+	u.calls = append(u.calls, call)
+	u.mu.Unlock()
 	if err != nil {
 		return nil, wire.MayHaveRunProblem(wire.TypeUpstreamFailed, err.Error())
 	}
 	return &wire.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("complete"))}, nil
 }
 
-func (w *fakeUpstream) received() []*wire.Call {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.calls
+func (u *fakeUpstream) received() []*wire.Call {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.calls
 }
 
 // newEntryServer starts a server with the customer "farm" and its key "secret".
-func newEntryServer(t *testing.T) (address string, w *fakeUpstream) {
+func newEntryServer(t *testing.T) (address string, fake *fakeUpstream) {
 	t.Helper()
 	c := &config.Config{
 		Regions:  map[string]config.Region{"vermont": {}},
@@ -74,14 +74,14 @@
 	ledger := quota.NewLedger()
 	ledger.Fence.Extend(time.Now().Add(time.Hour))
 	ledger.SetHeldSlots(&quota.HeldSlots{Zone: "vt-a", Slots: []int{0}, Versions: []*config.Active{snap.Config}}, time.Now().Add(-time.Minute))
-	w = &fakeUpstream{}
+	fake = &fakeUpstream{}
 	server := httptest.NewServer(entry.New(entry.Deps{
-		View: published, Ledger: ledger, LocalHandler: w, MaxBodyBytes: 200 << 10, BodyTimeout: 100 * time.Millisecond,
+		View: published, Ledger: ledger, LocalHandler: fake, MaxBodyBytes: 200 << 10, BodyTimeout: 100 * time.Millisecond,
 		Postings: posting.NewTable("vt-1-ab", time.Now(), posting.DefaultLimits()),
 		Tracer:   noop.NewTracerProvider().Tracer(""),
 	}))
 	t.Cleanup(server.Close)
-	return strings.TrimPrefix(server.URL, "http://"), w
+	return strings.TrimPrefix(server.URL, "http://"), fake
 }
 
 // sendRaw sends a request as raw bytes and reads one response.
@@ -123,13 +123,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			address, w := newEntryServer(t)
+			address, fake := newEntryServer(t)
 			resp := sendRaw(t, address, c.request)
 			g.Expect(resp.StatusCode).To(Equal(c.status))
 			if name != "two lengths" { // net/http rejects this request itself
 				g.Expect(resp.Header.Get(wire.HeaderOutcome)).To(Equal(string(wire.OutcomeNotRun)))
 			}
-			g.Expect(w.received()).To(BeEmpty())
+			g.Expect(fake.received()).To(BeEmpty())
 		})
 	}
 }
@@ -148,13 +148,13 @@
 // host, however they are written. The posting id must be forwarded.
 func TestKeyIsRemovedAtEntryHost(t *testing.T) {
 	g := NewWithT(t)
-	address, w := newEntryServer(t)
+	address, fake := newEntryServer(t)
 	resp := sendRaw(t, address, "POST /svc/posting/x HTTP/1.1\r\nHost: x\r\nauthorization: Bearer secret\r\n"+
 		"Connection: Authorization, Idempotency-Key\r\nProxy-Authorization: Bearer secret\r\nBalsam-Customer: other\r\n"+
 		"Idempotency-Key: vt-1-ab-0.1\r\nCookie: c=1\r\nExpect: 100-continue\r\nContent-Length: 0\r\n\r\n")
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
-	g.Expect(w.received()).To(HaveLen(1))
-	call := w.received()[0]
+	g.Expect(fake.received()).To(HaveLen(1))
+	call := fake.received()[0]
 	g.Expect(call.Customer).To(Equal("farm"))
 	g.Expect(fmt.Sprint(call.Header)).NotTo(Or(ContainSubstring("secret"), ContainSubstring("other"), ContainSubstring("Expect")))
 	g.Expect(call.Header).To(And(HaveKey("Cookie"), HaveKey("Idempotency-Key")))
@@ -164,7 +164,7 @@
 // once, and all requests must get its response.
 func TestConcurrentRetriesRunOnce(t *testing.T) {
 	g := NewWithT(t)
-	address, w := newEntryServer(t)
+	address, fake := newEntryServer(t)
 	var callers sync.WaitGroup
 	for range 16 {
 		callers.Go(func() {
@@ -175,5 +175,5 @@
 		})
 	}
 	callers.Wait()
-	g.Expect(w.received()).To(HaveLen(1))
+	g.Expect(fake.received()).To(HaveLen(1))
 }
