--- a/internal/relay/pace_test.go
+++ b/internal/relay/pace_test.go
@@ -16,12 +16,12 @@
 // fakeTokenTaker grants a fixed number of tokens.
 type fakeTokenTaker struct{ remaining, taken float64 }
 
-func (l *fakeTokenTaker) Take(_ string, cost float64, _ time.Time) (bool, time.Duration) {
-	if cost > l.remaining {
+func (f *fakeTokenTaker) Take(_ string, cost float64, _ time.Time) (bool, time.Duration) {
+	if cost > f.remaining {
 		return false, time.Millisecond
 	}
-	l.remaining -= cost
-	l.taken += cost
+	f.remaining -= cost
+	f.taken += cost
 	return true, 0
 }
 
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -29,8 +29,9 @@
 	// MaxBodyBytes limits the size of a request body. It is the same limit as
 	// for callers.
 	MaxBodyBytes int64
-	// PaceResponse limits the rate of a response body that is sent to the
-	// instance from. There is no limit if it is nil.
+	// PaceResponse limits the rate of a response body. Its parameter from is
+	// the instance that sent the call and receives the response. There is no
+	// limit if PaceResponse is nil.
 	PaceResponse func(ctx context.Context, from string, body io.ReadCloser) io.ReadCloser
 }
 
