--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -26,7 +26,7 @@
 // Region is a group of zones close to each other.
 type Region struct {
 	// MaxRequestsPerSecond limits the requests that are sent into the region,
-	// from this and other regions. Default 0: no limit.
+	// from its own entry hosts and those of other regions. Default 0: no limit.
 	MaxRequestsPerSecond float64 `json:"max_requests_per_second,omitempty"`
 }
 
@@ -80,8 +80,8 @@
 	// ExpectedMs is the service time assumed until one has been measured.
 	// Default 10.
 	ExpectedMs float64 `json:"expected_ms,omitempty"`
-	// ExpectedBytes is the response size assumed for link quotas until one has
-	// been measured. Default 4096.
+	// ExpectedBytes is the expected response size. It is validated, but nothing
+	// uses it: link quotas count the bytes that are sent. Default 4096.
 	ExpectedBytes float64 `json:"expected_bytes,omitempty"`
 	// ShiftCapPerSecond limits the requests per second that start in one region
 	// and run in another, for each pair of regions for which no move sets a
@@ -141,8 +141,9 @@
 	// Share is the final fraction of the traffic of From that goes to To, 0 to
 	// 1.
 	Share float64 `json:"share"`
-	// CapPerSecond limits the requests per second that are shifted by this move
-	// and by spillover of the same (service, from, to) together.
+	// CapPerSecond limits the requests per second that moves, drains and
+	// spillover of the same (service, from, to) shift together. If several moves
+	// set a cap, the lowest applies.
 	CapPerSecond float64 `json:"cap_per_second"`
 	// RampSeconds is the time in which the shifted fraction rises from 0 to
 	// Share. Default 60.
@@ -168,7 +169,7 @@
 	Kind   DrainKind `json:"kind"`
 	Target string    `json:"target"`
 	// CapPerSecond limits the requests per second that the drain sends to other
-	// targets. Default 0: limited only by the caps of moves and links.
+	// targets. Default 0: limited only by the caps of shifts and links.
 	CapPerSecond float64 `json:"cap_per_second,omitempty"`
 	// RampSeconds is the time until the target receives no new requests.
 	// Default 0.
--- a/internal/config/quotas.go
+++ b/internal/config/quotas.go
@@ -16,7 +16,8 @@
 	Name string
 	// Rate (per second) and Burst are in requests, or in bits for links.
 	Rate, Burst float64
-	// Zones are the zones over whose slots the quota is divided.
+	// Zones are the zones over whose slots the quota is split; all zones if
+	// empty.
 	Zones []string
 }
 
@@ -33,7 +34,7 @@
 func DrainQuota(kind DrainKind, target string) string { return "drain/" + string(kind) + "/" + target }
 
 // Quotas returns all quotas other than those of customers, ordered by name. The
-// quotas of shifts and links are divided over the zones of the sending region,
+// quotas of shifts and links are split over the zones of the sending region,
 // because its daemons spend them.
 func (c *Config) Quotas() []Quota {
 	var quotas []Quota
