--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -43,7 +43,7 @@
 	Free  int `json:"free"`
 	Limit int `json:"limit"`
 	// ShiftQuota and LinkQuota name the quotas that a request to another region
-	// is charged to. Both are empty in the home region.
+	// is charged to. Both are empty in the region of the entry zone.
 	ShiftQuota string `json:"shift,omitempty"`
 	LinkQuota  string `json:"link,omitempty"`
 }
