--- a/internal/fairqueue/doc.go
+++ b/internal/fairqueue/doc.go
@@ -1,6 +1,6 @@
-// Package fairqueue schedules the requests of one service at one handling
-// daemon: it decides which request is served next, which ones wait and which
-// ones are refused. The package has no side effects: callers pass the current
+// Package fairqueue schedules the requests of one service at one handler, a
+// daemon that sends requests to upstreams: it decides which request is served
+// next, which ones wait and which ones are refused. The package has no side effects: callers pass the current
 // time, and it starts no goroutines or timers. It is not safe for concurrent
 // use.
 //
@@ -8,8 +8,8 @@
 // (figures are in docs/UNDER-LOAD.md):
 //
 //   - A customer sends several times its rate. In a FIFO queue its requests
-//     are ahead of all others, and the other customers wait as long as it
-//     does. Here each customer is served in proportion to its weight by
+//     are ahead of all others, and every other customer waits as long as
+//     that customer does. Here each customer is served in proportion to its weight by
 //     start-time fair queueing (Goyal, Vin and Cheng 1996), measured by the
 //     service time of its requests and not by their number.
 //   - One API key of a customer has the same effect on the customer's other
--- a/internal/fairqueue/flow.go
+++ b/internal/fairqueue/flow.go
@@ -135,8 +135,8 @@
 	c.count++
 }
 
-// remove removes a queued request. A request removed to be served is charged
-// to its flow.
+// remove removes a queued request. If the request is removed to be served, its
+// cost is charged to its flow.
 func (c *customer) remove(it *Item, served bool, now time.Time) {
 	f := it.flow
 	f.unlink(it)
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -5,7 +5,7 @@
 // Limits of queueing.
 const (
 	// MaxWaiting is the maximum number of queued requests of one service at
-	// one handling daemon. With 12 slots, that many requests take 1.7 s at 5
+	// one handler. With 12 slots, that many requests take 1.7 s at 5
 	// ms each, and 3.4 s of a 5-second budget at 10 ms each. The queue uses
 	// less than 1 MB of memory.
 	MaxWaiting = 4096
@@ -36,7 +36,7 @@
 	maxRetryAfter = time.Minute
 )
 
-// Queue is the queue of one service at one handling daemon.
+// Queue is the queue of one service at one handler.
 type Queue struct {
 	classes          [classCount]*classQueue
 	running          [classCount]int
@@ -91,9 +91,9 @@
 }
 
 // contended reports whether a request competes with others for a slot.
-// Without competition a request runs whatever its budget: estimates can be
-// wrong, and one that exceeds every budget after a slow period could never be
-// corrected if no request ran.
+// Without competition a request runs even if its budget seems too short:
+// estimates can be wrong, and an estimate that exceeds every budget after a
+// slow period could never be corrected if no request ran.
 func (q *Queue) contended() bool {
 	return q.Len() > 0 || q.running[Short]+q.running[Long] >= q.slots
 }
@@ -109,11 +109,11 @@
 }
 
 // newRefusal returns a refusal with the delay after which a retry makes
-// sense. drain is the time until the queue has a place. All refused callers
+// sense. delay is the time until the queue has a place. All refused callers
 // are expected to retry, so each receives a later time than the previous one,
 // spaced at the rate at which the customer's share can serve them.
-func (q *Queue) newRefusal(reason Reason, it *Item, c *customer, drain time.Duration, now time.Time) *Refusal {
-	retryAt := now.Add(max(drain, it.Cost))
+func (q *Queue) newRefusal(reason Reason, it *Item, c *customer, delay time.Duration, now time.Time) *Refusal {
+	retryAt := now.Add(max(delay, it.Cost))
 	if c.nextRetryAt.After(retryAt) {
 		retryAt = c.nextRetryAt
 	}
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -84,9 +84,10 @@
 	g.Expect(q.Len()).To(BeZero())
 }
 
-// Guards against an estimate that can no longer be corrected: after a slow
-// period the estimate exceeds every budget. On a free slot requests must run
-// anyway, so that new samples lower the estimate.
+// Guards against an estimate that can no longer be corrected: an upstream took
+// a second instead of 10 ms for a while, and the estimate now exceeds every
+// budget. If a slot is free, requests must run anyway, so that new samples lower
+// the estimate.
 func TestRequestRunsOnFreeSlotDespiteHighEstimate(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
