--- a/internal/upstream/handler_test.go
+++ b/internal/upstream/handler_test.go
@@ -17,11 +17,11 @@
 }
 
 func lookupUpstreams(names ...string) map[string]config.Upstream {
-	mine := map[string]config.Upstream{}
+	upstreams := map[string]config.Upstream{}
 	for _, name := range names {
-		mine[name] = config.Upstream{Service: "lookup", Slots: 2, Address: name}
+		upstreams[name] = config.Upstream{Service: "lookup", Slots: 2, Address: name}
 	}
-	return mine
+	return upstreams
 }
 
 func lookupRequest(customer string) Request {
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -137,8 +137,9 @@
 	h.probePassed = false
 }
 
-// TrialDue reports whether the upstream may receive a trial request now. When
-// the ejection time has passed it moves the upstream to onTrial. A request
+// TrialDue reports whether the upstream may receive a trial request now. It
+// sets the condition of the upstream to onTrial once the ejection time has
+// passed. A request
 // that must not be retried elsewhere (safe is false) is used as a trial only
 // after a successful probe: otherwise a service of postings would lose a
 // request with each failed trial.
--- a/internal/upstream/limit.go
+++ b/internal/upstream/limit.go
@@ -4,9 +4,9 @@
 
 // Timing of changes of a limit.
 const (
-	// minDecreaseInterval is the shortest time between two decreases:
-	// requests that were already sent at the first one say nothing about the
-	// new limit.
+	// minDecreaseInterval is the shortest time between two decreases: the
+	// results of requests that were sent before the first decrease do not
+	// reflect the new limit.
 	minDecreaseInterval = 100 * time.Millisecond
 	// initialGrowthDelay is the time from a decrease until one more slot is
 	// tried. The delay doubles each time the additional slot turns out to be
--- a/internal/upstream/loadtables_test.go
+++ b/internal/upstream/loadtables_test.go
@@ -74,7 +74,7 @@
 func printRetries(d deployment, retryFraction float64) {
 	o := simulate(d.overloadThenHalfLoad(3, 10*time.Second, retryFraction), seed, newPoolDiscipline)
 	median, longest := o.retryAfterStats()
-	fmt.Printf("\nOverload 3x for 10 s, then half load, %.0f%% of the refused come back when told (median %v, most %v): "+
+	fmt.Printf("\nOverload 3x for 10 s, then half load, %.0f%% of the refused callers retry at the announced time (median %v, maximum %v): "+
 		"%d after the overload, %.1f%% of them served.\n",
 		100*retryFraction, median.Round(time.Millisecond), longest.Round(time.Millisecond), o.returned, 100*fraction(o.returnedServed, o.returned))
 }
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -61,9 +61,9 @@
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// shedProblem returns the problem of a 503 response. The status alone does
-// not show whether the upstream ran the request; only its header that
-// declares so does.
+// shedProblem returns the problem of a 503 response. The status does not show
+// whether the upstream ran the request. The outcome is not-run only if the
+// upstream declares it in the header wire.HeaderShed.
 func shedProblem(resp *http.Response) *wire.Problem {
 	p := wire.NotRunProblem(wire.TypeUpstreamShed, "the upstream shed the request", retryAfter(resp))
 	if resp.Header.Get(wire.HeaderShed) != wire.ShedNotRun {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -148,9 +148,10 @@
 	p.ejectIfUnhealthy(s, now)
 }
 
-// recordAbandoned records a request whose caller stopped waiting. A response
-// that took many times the expected time counts as slow; after a shorter wait
-// the result says nothing about the upstream.
+// recordAbandoned records a request whose caller stopped waiting. If the caller
+// waited for many times the expected response time, the request counts as a
+// slow response. Otherwise the result is ignored, because it does not show that
+// the upstream is slow.
 func (p *pool) recordAbandoned(t *Ticket, r Result, now time.Time) {
 	slowness := slownessOf(r, t.expectedResponseTime)
 	if slowness < maxSlowness {
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -15,8 +15,8 @@
 )
 
 // Timing of probes. An upstream is probed only by its handler, and only while
-// its responses say nothing about it: it is ejected, or it has received no
-// requests recently.
+// there are no recent responses to judge it by: it is ejected, or it has received
+// no requests recently.
 const (
 	// probeInterval is the time between two probes of one upstream. A probe
 	// of 6 ms every 2 s takes 0.3% of the upstream's time. A total of 1% is
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -68,8 +68,8 @@
 	return call.Body.CanSend() && (p.Outcome == wire.OutcomeNotRun || call.Safe())
 }
 
-// attempt sends the call to one upstream and returns its name. avoid is the
-// upstream of the previous attempt.
+// attempt sends the call to one upstream and returns the name of that upstream.
+// avoid is the upstream of the previous attempt.
 func (r *Runner) attempt(ctx context.Context, call *wire.Call, avoid string) (*wire.Response, string, *wire.Problem) {
 	queuedAt := time.Now()
 	ticket, problem := r.acquire(ctx, call, avoid)
--- a/internal/upstream/scenarios_test.go
+++ b/internal/upstream/scenarios_test.go
@@ -111,10 +111,10 @@
 	return sc
 }
 
-func (d deployment) lookupsAndReports(end time.Duration, with bool) scenario {
+func (d deployment) lookupsAndReports(end time.Duration, withReports bool) scenario {
 	sc := d.scenario("lookups alone at 35%", 0.35, end)
 	sc.measureFrom = 5 * time.Second
-	if with {
+	if withReports {
 		sc.name = "the same and 35% reports of 2 s"
 		sc.kinds = append(sc.kinds, kindOfWork{meanTime: reportMeanTime, timeout: reportTimeout, load: 0.35})
 	}
--- a/internal/upstream/sim_test.go
+++ b/internal/upstream/sim_test.go
@@ -76,16 +76,16 @@
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	run func()
+	dueAt time.Duration
+	seq   int
+	run   func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+	return e[i].dueAt < e[j].dueAt || e[i].dueAt == e[j].dueAt && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -159,7 +159,7 @@
 	})
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
-		s.elapsed = e.at
+		s.elapsed = e.dueAt
 		e.run()
 	}
 	return s.outcome
@@ -309,7 +309,7 @@
 
 // poolDiscipline is the discipline under test.
 type poolDiscipline struct {
-	s         *sim
+	sim       *sim
 	pool      *pool
 	byName    map[string]*machine
 	requestOf map[*Ticket]*request
@@ -318,7 +318,7 @@
 
 func newPoolDiscipline(s *sim, machines []*machine) discipline {
 	d := &poolDiscipline{
-		s: s, byName: map[string]*machine{}, requestOf: map[*Ticket]*request{}, ticketOf: map[*request]*Ticket{},
+		sim: s, byName: map[string]*machine{}, requestOf: map[*Ticket]*request{}, ticketOf: map[*request]*Ticket{},
 		pool: newPool(config.Service{ExpectedMs: milliseconds(s.kinds[0].meanTime)}, s.rng),
 	}
 	for _, m := range machines {
@@ -335,7 +335,7 @@
 		Customer: fmt.Sprint(r.customer), Key: uint64(r.key), Kind: uint64(r.kind),
 		Deadline: r.deadline, Safe: true, Avoid: r.avoid,
 	}, 1)
-	if refusal := d.pool.enqueue(t, d.s.now()); refusal != nil {
+	if refusal := d.pool.enqueue(t, d.sim.now()); refusal != nil {
 		return false, refusal.RetryAfter
 	}
 	d.requestOf[t], d.ticketOf[r] = r, t
@@ -344,11 +344,11 @@
 }
 
 func (d *poolDiscipline) dispatch() {
-	d.pool.dispatch(d.s.now(), func(t *Ticket) { d.s.start(d.requestOf[t], d.byName[t.Upstream]) }, func(t *Ticket) {
+	d.pool.dispatch(d.sim.now(), func(t *Ticket) { d.sim.start(d.requestOf[t], d.byName[t.Upstream]) }, func(t *Ticket) {
 		r := d.requestOf[t]
 		r.finished = true
 		d.remove(r)
-		d.s.outcome.recordUnserved(d.s, r, Result{Abandoned: true})
+		d.sim.outcome.recordUnserved(d.sim, r, Result{Abandoned: true})
 	})
 }
 
@@ -358,20 +358,20 @@
 }
 
 func (d *poolDiscipline) finished(r *request, result Result) {
-	d.pool.finish(d.ticketOf[r], result, d.s.now())
+	d.pool.finish(d.ticketOf[r], result, d.sim.now())
 	d.remove(r)
 	d.dispatch()
 }
 
 func (d *poolDiscipline) cancel(r *request) {
-	d.pool.queue.Remove(&d.ticketOf[r].item, d.s.now())
+	d.pool.queue.Remove(&d.ticketOf[r].item, d.sim.now())
 	d.remove(r)
 }
 
 // fifoDiscipline is the baseline: a FIFO queue of fifoQueueLimit requests,
 // which leave it at their deadline, and a fixed concurrency limit or none.
 type fifoDiscipline struct {
-	s         *sim
+	sim       *sim
 	machines  []*machine
 	running   map[*machine]int
 	waiting   []*request
@@ -392,7 +392,7 @@
 
 func newFIFODiscipline(policy balancing) func(*sim, []*machine) discipline {
 	return func(s *sim, machines []*machine) discipline {
-		return &fifoDiscipline{s: s, machines: machines, running: map[*machine]int{}, balancing: policy}
+		return &fifoDiscipline{sim: s, machines: machines, running: map[*machine]int{}, balancing: policy}
 	}
 }
 
@@ -419,7 +419,7 @@
 			continue
 		}
 		d.running[m]++
-		d.s.start(r, m)
+		d.sim.start(r, m)
 	}
 }
 
@@ -434,7 +434,7 @@
 		case d.balancing == leastReported:
 			load = m.reported
 		case d.balancing == roundRobinUnlimited:
-		case d.running[m] >= d.s.slots(m.index):
+		case d.running[m] >= d.sim.slots(m.index):
 			continue
 		case d.balancing == leastRunning, d.balancing == leastRunningUnbounded:
 			load = d.running[m]
--- a/internal/upstream/simresult_test.go
+++ b/internal/upstream/simresult_test.go
@@ -231,11 +231,11 @@
 	return time.Duration(o.latency[kind].ValueAtQuantile(50)) * time.Microsecond
 }
 
-func fraction(n, of int) float64 {
-	if of == 0 {
+func fraction(n, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(n) / float64(of)
+	return float64(n) / float64(total)
 }
 
 // String returns a row of the table in docs/UNDER-LOAD.md.
