--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -110,7 +110,8 @@
 	return Share{Rate: max(0, s.Rate), Burst: max(0, s.Burst)}
 }
 
-// advance accrues tokens up to now and ends the loans that expire on the way.
+// advance accrues tokens up to now and ends each loan that expires before now
+// at the time of its expiry.
 func (a *Account) advance(now time.Time) {
 	for {
 		next := a.borrowed.nextExpiry(a.lent.nextExpiry(now))
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,6 +1,6 @@
-// Package quota enforces limits that count over the whole fleet: the rate and
-// burst of a customer, the bits per second of a link, the cap of a shift and
-// the limit of a region.
+// Package quota enforces limits that apply to the fleet as a unit: the rate and
+// burst of a customer, the bits per second of a link, the caps of a shift and a
+// drain, and the limit of a region.
 //
 // Each quota is split over the slots of all zones (Split, HeldSlots). A daemon
 // spends from an Account that holds the shares of its slots, less the loans it
