--- a/internal/steer/doc.go
+++ b/internal/steer/doc.go
@@ -14,6 +14,6 @@
 // changes slowly (Spillover). A hash selects the requests that leave, so the
 // same keys move each time and the caches of the other region become warm.
 // Each request that leaves takes a token from the cap of its (service, from,
-// to) triple, a quota of the whole fleet, so moves, drains and spillover
-// together never exceed the cap, whatever state an individual daemon assumes.
+// to) triple. The cap is a fleet-wide quota, so moves, drains and spillover
+// together never exceed it, even if a daemon has an outdated view of the fleet.
 package steer
