--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -103,11 +103,11 @@
 }
 
 // Customer is a tenant. It authenticates with keys, and has a rate and a burst
-// for the whole fleet.
+// that apply to the entire fleet.
 type Customer struct {
-	// Rate is the limit in requests per second over the whole fleet.
+	// Rate is the limit in requests per second for the entire fleet.
 	Rate float64 `json:"rate"`
-	// Burst is the burst size in requests over the whole fleet.
+	// Burst is the burst size in requests for the entire fleet.
 	Burst float64 `json:"burst"`
 	// Weight is its share of a saturated service, relative to the other
 	// customers. Default 1.
--- a/internal/config/quotas.go
+++ b/internal/config/quotas.go
@@ -10,7 +10,7 @@
 // no window of one second exceeds it.
 const burstFraction = 0.1
 
-// Quota is a limit over the whole fleet that does not belong to a customer: the
+// Quota is a fleet-wide limit that does not belong to a customer: the
 // capacity of a link, the cap of a shift or a drain, or the limit of a region.
 type Quota struct {
 	Name string
