--- a/internal/upstream/handler.go
+++ b/internal/upstream/handler.go
@@ -35,8 +35,8 @@
 
 // Assign replaces the set of upstreams that this daemon handles. Requests
 // running on a removed upstream finish, and are counted again if the upstream
-// is assigned to this daemon again. hasPeers states that there are other
-// daemons: one of them may have handled a newly assigned upstream and may
+// is assigned to this daemon again. hasPeers reports whether there are
+// other daemons: one of them may have handled a newly assigned upstream and may
 // still run requests on it.
 func (h *Handler) Assign(c *config.Config, assigned map[string]config.Upstream, hasPeers bool) {
 	h.mu.Lock()
