--- a/internal/config/quotas.go
+++ b/internal/config/quotas.go
@@ -10,13 +10,14 @@
 // no window of one second exceeds it.
 const burstFraction = 0.1
 
-// Quota is a limit over the whole fleet that does not belong to a customer: the
+// Quota is a fleet-wide limit that does not belong to a customer: the
 // capacity of a link, the cap of a shift or a drain, or the limit of a region.
 type Quota struct {
 	Name string
 	// Rate (per second) and Burst are in requests, or in bits for links.
 	Rate, Burst float64
-	// Zones are the zones over whose slots the quota is divided.
+	// Zones are the zones over whose slots the quota is split; all zones if
+	// empty.
 	Zones []string
 }
 
@@ -33,7 +34,7 @@
 func DrainQuota(kind DrainKind, target string) string { return "drain/" + string(kind) + "/" + target }
 
 // Quotas returns all quotas other than those of customers, ordered by name. The
-// quotas of shifts and links are divided over the zones of the sending region,
+// quotas of shifts and links are split over the zones of the sending region,
 // because its daemons spend them.
 func (c *Config) Quotas() []Quota {
 	var quotas []Quota
