--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -2,7 +2,7 @@
 //
 // A host may be suspended. CLOCK_MONOTONIC does not advance during a suspension, so a
 // resumed daemon would consider its configuration and leases as recent as before, and
-// would accept a key that was revoked meanwhile. The wall clock advances, but jumps
+// would accept a key that was withdrawn meanwhile. The wall clock advances, but jumps
 // when it is set. CLOCK_BOOTTIME advances during a suspension and never jumps.
 package clock
 
--- a/internal/config/active.go
+++ b/internal/config/active.go
@@ -58,7 +58,7 @@
 	return a
 }
 
-// Owner returns the owner of the key with this digest. A revoked key has no
+// Owner returns the owner of the key with this digest. A withdrawn key has no
 // owner.
 func (a *Active) Owner(d Digest) (KeyOwner, bool) {
 	o, ok := a.keyOwners[d]
--- a/internal/daemon/config_confirmation_test.go
+++ b/internal/daemon/config_confirmation_test.go
@@ -61,7 +61,7 @@
 	return kv.Changes{Revision: after}, nil
 }
 
-// Guards against confirming a version that hides a revoked key. The store drops its
+// Guards against confirming a version that hides a withdrawn key. The store drops its
 // history, so its watches miss the changes of the last second (watchMaxLag). A watch
 // that reports no change must not confirm the version for that second.
 func TestWatchDoesNotConfirmItsLastSecond(t *testing.T) {
@@ -75,8 +75,8 @@
 	g.Expect(read.validAt).To(BeTemporally("<=", time.Now().Add(-watchMaxLag)))
 }
 
-// Guards against admitting a revoked key after a pause. A host is suspended for ten
-// seconds, and a key may have been revoked meanwhile. The daemon must admit no
+// Guards against admitting a withdrawn key after a pause. A host is suspended for ten
+// seconds, and a key may have been withdrawn meanwhile. The daemon must admit no
 // request until it has verified its version; a check that began before the pause
 // does not count.
 func TestPausedDaemonAdmitsNoRequestsUntilVerified(t *testing.T) {
--- a/internal/daemon/config_measure_test.go
+++ b/internal/daemon/config_measure_test.go
@@ -104,21 +104,21 @@
 	t.Logf("FIGURE written directly to the store: acceptance to active everywhere %s", quantiles(everywhere))
 }
 
-// TestMeasureKeyRevocation measures how long a new key takes to work, and a
-// revoked key to be rejected, on all hosts.
-func TestMeasureKeyRevocation(t *testing.T) {
+// TestMeasureKeyWithdrawal measures how long a new key takes to work, and a
+// withdrawn key to be rejected, on all hosts.
+func TestMeasureKeyWithdrawal(t *testing.T) {
 	requireMeasureEnv(t)
 	f := startTenHosts(t, map[string]config.Customer{"farm": customer("farm", 1000, 1000)})
-	var revoked, added []time.Duration
+	var withdrawn, added []time.Duration
 	for i := range 20 {
 		id, key := fmt.Sprintf("x%d", i), fmt.Sprintf("extra-%d", i)
 		f.patch("vt-a-1", fmt.Sprintf(`{"customers":{"farm":{"keys":{%q:{"sha256":%q}}}}}`, id, config.DigestOf(key).String()))
 		added = append(added, f.waitForAllHosts(key, func(r reply) bool { return r.Outcome == wire.OutcomeRan }))
 		f.patch("vt-a-1", fmt.Sprintf(`{"customers":{"farm":{"keys":{%q:null}}}}`, id))
-		revoked = append(revoked, f.waitForAllHosts(key, func(r reply) bool { return r.Problem.Type == wire.TypeUnknownKey }))
+		withdrawn = append(withdrawn, f.waitForAllHosts(key, func(r reply) bool { return r.Problem.Type == wire.TypeUnknownKey }))
 	}
 	t.Logf("FIGURE new key works on all hosts: %s after acceptance", quantiles(added))
-	t.Logf("FIGURE revoked key rejected on all hosts: %s after acceptance", quantiles(revoked))
+	t.Logf("FIGURE revoked key rejected on all hosts: %s after acceptance", quantiles(withdrawn))
 }
 
 // waitForAllHosts sends requests to every host until each response is as wanted,
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -125,7 +125,7 @@
 	return d
 }
 
-// Guards against starting with a version that accepts a revoked key. The store is
+// Guards against starting with a version that accepts a withdrawn key. The store is
 // down, and of two daemons that cannot reach each other only one has the latest
 // change. A third daemon starts and gets heartbeats only from the older one. It
 // must poll both and use the higher version. If the host list is unavailable too,
--- a/internal/daemon/keys_test.go
+++ b/internal/daemon/keys_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	revokeKeyPatch = `{"customers":{"farm":{"keys":{"k1":null}}}}`
-	allowed        = "allowed"
+	withdrawKeyPatch = `{"customers":{"farm":{"keys":{"k1":null}}}}`
+	allowed          = "allowed"
 )
 
 // startTwoZones starts a daemon in each of two regions, and a "lookup" upstream in
@@ -47,11 +47,11 @@
 }
 
 // Guards against key changes that reach only some hosts or break open connections.
-// An operator adds a key and then revokes the first one, while callers keep
+// An operator adds a key and then withdraws the first one, while callers keep
 // connections to both regions. The new key must work and the old one must be
 // rejected on all hosts and on the same connections. A response that was streaming
-// when its key was revoked must arrive completely.
-func TestKeysAreAddedAndRevokedUnderTraffic(t *testing.T) {
+// when its key was withdrawn must arrive completely.
+func TestKeysAreAddedAndWithdrawnUnderTraffic(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := startTwoZones(t, standin.UpstreamOptions{Slots: 4, ServiceTime: time.Millisecond})
@@ -64,7 +64,7 @@
 	resp := f.openResponse("vt-1", "lookup/report?size=8388608", "secret")
 	_, err := io.ReadFull(resp.Body, make([]byte, 1024))
 	g.Expect(err).NotTo(HaveOccurred())
-	f.patch("me-1", revokeKeyPatch)
+	f.patch("me-1", withdrawKeyPatch)
 	for _, host := range []string{"vt-1", "me-1"} {
 		g.Eventually(f.outcome(host, "secret"), settleTimeout).Should(Equal(wire.TypeUnknownKey))
 		g.Expect(f.outcome(host, "second")()).To(Equal(allowed))
@@ -85,11 +85,11 @@
 	return resp
 }
 
-// Guards against running a queued request whose key is revoked. The only slot of
+// Guards against running a queued request whose key is withdrawn. The only slot of
 // the upstream is in use, and a second request waits at the handler when its key
-// is revoked. The request must be rejected when its turn comes and must not reach
+// is withdrawn. The request must be rejected when its turn comes and must not reach
 // the upstream.
-func TestKeyRevokedWhileRelayedRequestIsQueued(t *testing.T) {
+func TestKeyWithdrawnWhileRelayedRequestIsQueued(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := startTwoZones(t, standin.UpstreamOptions{Slots: 1, ServiceTime: 3 * time.Second})
@@ -102,7 +102,7 @@
 		m, _ := f.daemons["vt-1"].View().Find(f.daemons["me-1"].Identity().Instance)
 		return m.Headroom["lookup"].Queued
 	}, settleTimeout, 10*time.Millisecond).Should(Equal(1))
-	version := f.patch("vt-1", revokeKeyPatch)
+	version := f.patch("vt-1", withdrawKeyPatch)
 	g.Eventually(f.configVersion("me-1"), settleTimeout, 10*time.Millisecond).Should(Equal(version))
 
 	types := []string{(<-replies).Problem.Type, (<-replies).Problem.Type}
@@ -111,14 +111,14 @@
 }
 
 // Guards against a handler that trusts the entry host's key check. The entry host
-// does not have the version that revokes the key yet and relays a request. The
+// does not have the version that withdraws the key yet and relays a request. The
 // handler has the version: it must reject the request without calling the upstream.
 func TestHandlerRejectsAKeyThatTheEntryHostStillAccepts(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	f := startTwoZones(t, fastUpstream)
 	before := f.upstreams["lookup-1"].Stats().Total
-	version := f.patch("vt-1", revokeKeyPatch)
+	version := f.patch("vt-1", withdrawKeyPatch)
 	g.Eventually(f.configVersion("me-1"), settleTimeout).Should(Equal(version))
 	client := upstream.NewClient(nil)
 	t.Cleanup(client.Close)
--- a/internal/daemon/outcomes_test.go
+++ b/internal/daemon/outcomes_test.go
@@ -458,8 +458,8 @@
 	}
 }
 
-// revokeKey removes a customer's key and waits until a host has the new version.
-func (f *fleet) revokeKey(g *WithT, host, customer, key string) {
+// withdrawKey removes a customer's key and waits until a host has the new version.
+func (f *fleet) withdrawKey(g *WithT, host, customer, key string) {
 	client := ctl.NewClient(f.daemons[host].OperatorsAddress())
 	now, err := client.Config()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -469,9 +469,9 @@
 	g.Eventually(func() uint64 { return f.daemons[host].View().Self.ConfigVersion }, settleTimeout).Should(Equal(changed.Version))
 }
 
-// Guards against running a queued request whose API key is revoked while the
+// Guards against running a queued request whose API key is withdrawn while the
 // request waits for a slot.
-func TestKeyRevokedWhilePostingIsQueued(t *testing.T) {
+func TestKeyWithdrawnWhilePostingIsQueued(t *testing.T) {
 	g := NewWithT(t)
 	f, u := startFaultyUpstreamFleet(t)
 	var running sync.WaitGroup
@@ -484,7 +484,7 @@
 	queued := make(chan reply, 1)
 	go func() { queued <- f.send(requestForms[2], "slow", "waiting", nil) }()
 	g.Eventually(func() int { return f.daemons["me-1"].View().Self.Headroom["posting"].Queued }, settleTimeout).Should(Equal(1))
-	f.revokeKey(g, "me-1", "farm", "k1")
+	f.withdrawKey(g, "me-1", "farm", "k1")
 	close(u.release)
 	r := <-queued
 	g.Expect(r.Problem.Type).To(Equal(wire.TypeUnknownKey))
--- a/internal/entry/authenticate.go
+++ b/internal/entry/authenticate.go
@@ -51,11 +51,11 @@
 	return call, nil
 }
 
-// recheckKey rejects a call whose key was revoked after authentication, while the
+// recheckKey rejects a call whose key was withdrawn after authentication, while the
 // call was queued for its customer's rate. It checks the current configuration
 // version instead of the version at authentication. The handler checks the key
 // again with its own version, so the call is rejected if either daemon has
-// received the revocation.
+// received the withdrawal.
 func (s *Server) recheckKey(call *wire.Call) *wire.Problem {
 	digest, ok := config.ParseDigest(call.KeyDigest)
 	if ok && s.View.Load().OwnsKey(digest, call.Customer) {
--- a/internal/entry/authenticate_test.go
+++ b/internal/entry/authenticate_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A key is revoked between the authentication and the dispatch of a request, while
+// A key is withdrawn between the authentication and the dispatch of a request, while
 // the request may be queued for its customer's rate. A host that resumes after a
 // pause has a configuration of unknown age. In both cases, the host must reject
 // the request and must not send it to a handler.
@@ -73,7 +73,7 @@
 		wantCalls           int
 	}{
 		"valid key": {wantType: wire.TypeNoRoom, wantCalls: 1},
-		"revoked after authentication": {
+		"withdrawn after authentication": {
 			afterAuthentication: func(p *view.Publisher) { p.Store(newSnapshot(configWithKeys(nil), 2)) }, wantType: wire.TypeUnknownKey,
 		},
 		"moved to another customer after authentication": {
--- a/internal/entryhost/activehosts.go
+++ b/internal/entryhost/activehosts.go
@@ -15,7 +15,7 @@
 
 // How a large number of hosts starts at the same time.
 //
-// After a power loss all hosts start together, and each would list the whole store. The
+// After a power loss all hosts start together, and each would list the full store. The
 // listings exceed the capacity of the store's link, and the hosts that are to be active wait
 // behind all the others. The fleet therefore keeps a small key in the store, the active-hosts
 // hint, which names the active hosts. A host that is much weaker than the hosts in the hint
--- a/internal/entryhost/confirm.go
+++ b/internal/entryhost/confirm.go
@@ -103,8 +103,8 @@
 // isOwnRegion reports whether a region is the region of this host.
 func (c *control) isOwnRegion(region string) bool { return region == c.d.self.Region }
 
-// secondPeer returns an active host other than the watcher that reaches the store, as far as
-// this host knows. Hosts of other regions are preferred, since they are less likely to share a
+// secondPeer returns an active host other than the watcher that reaches the store, according to
+// this host's view. Hosts of other regions are preferred, since they are less likely to share a
 // failure with the watcher. It is "" if there is none.
 func (c *control) secondPeer(watcher string) string {
 	d := c.d.directory.Load()
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -22,8 +22,8 @@
 	// reviewInterval is how often settings and loads, which change without notification, are
 	// taken into account.
 	reviewInterval = time.Second
-	// tickInterval is how often the control goroutine handles what depends on time alone. It is
-	// a tenth of the shortest bound that the control goroutine enforces.
+	// tickInterval is how often the control thread handles what depends on time alone. It is
+	// a tenth of the shortest bound that the control thread enforces.
 	tickInterval = 100 * time.Millisecond
 	// standbyTickInterval is the tickInterval of a standby.
 	standbyTickInterval = 250 * time.Millisecond
@@ -34,7 +34,7 @@
 	keyCheckMargin = 400 * time.Millisecond
 )
 
-// message is a function that the control goroutine runs.
+// message is a function that the control thread runs.
 type message func(*control)
 
 // control holds the host's view of its peers, of the store and of the upstreams. Only its own
@@ -89,7 +89,7 @@
 	watcherCache          watcherCache
 	// snapshotReadAt is when the snapshot of the fleet's learned state was last read.
 	snapshotReadAt time.Time
-	// storedHint is the active-hosts hint in the store, as far as this host knows. hintedPeers
+	// storedHint is the active-hosts hint in the store, as last known to this host. hintedPeers
 	// are the addresses to which this host sends heartbeats until it knows an active host.
 	storedHint  []byte
 	hintedPeers []string
@@ -105,7 +105,7 @@
 	}
 }
 
-// send queues a message for the control goroutine. The message is dropped when the daemon ends.
+// send queues a message for the control thread. The message is dropped when the daemon ends.
 func (c *control) send(m message) {
 	select {
 	case c.inbox <- m:
--- a/internal/entryhost/publish.go
+++ b/internal/entryhost/publish.go
@@ -8,7 +8,7 @@
 	"balsambarrow/internal/place"
 )
 
-// published is the state that the control goroutine has published to the other goroutines.
+// published is the state that the control thread has published to the other goroutines.
 type published struct {
 	// expiredAt is when hosts were last checked for expiry, and reviewedAt and demandAt are when
 	// the hosts and the demand were last published.
--- a/internal/entryhost/register.go
+++ b/internal/entryhost/register.go
@@ -226,7 +226,7 @@
 }
 
 // noteRenewed records that the registration was renewed by a call that was sent at sentAt, and
-// notifies the control goroutine.
+// notifies the control thread.
 func (r *registrar) noteRenewed(sentAt time.Time) {
 	r.renewedAt = sentAt
 	renewed := registration{writtenAt: r.writtenAt, renewedAt: sentAt, lease: r.leaseTTL(), holdsShares: r.holdsShares}
--- a/internal/entryhost/snapshot.go
+++ b/internal/entryhost/snapshot.go
@@ -19,7 +19,7 @@
 const snapshotWriterKey = "snapshot"
 
 // restoreSnapshot restores the learned state of the fleet from a snapshot. A snapshot that
-// cannot be decoded is ignored, and the host learns the state anew.
+// cannot be decoded is ignored, and the host learns the state again.
 func (c *control) restoreSnapshot(now time.Time, items []kv.Item) {
 	i := slices.IndexFunc(items, func(item kv.Item) bool { return item.Key == platform.SnapshotKey })
 	if i < 0 {
--- a/internal/fanout/limiter.go
+++ b/internal/fanout/limiter.go
@@ -16,7 +16,7 @@
 	// maxReferrals is the maximum number of patch sources that a host is referred to.
 	maxReferrals = 2
 	// referralDelay is the time after a patch was sent to a host before other hosts are
-	// referred to that host: the network delay and one run of its control loop.
+	// referred to that host: the network delay and one pass of its control thread.
 	referralDelay = 20 * time.Millisecond
 	// maxSources is the maximum number of patch sources that are kept.
 	maxSources = 256
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -80,7 +80,7 @@
 	return m.peers(func(k *Member) bool { return !k.isActive() && (all || k.Region == m.region) })
 }
 
-// isActive reports whether the host is active, as far as is known. A host that has
+// isActive reports whether the host is active in this host's view. A host that has
 // registered to hold rate shares and has not sent a heartbeat yet counts as active: it
 // may not know of this host yet.
 func (k *Member) isActive() bool { return k.Ready || k.holdsShares && k.sequence == 0 }
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -22,7 +22,7 @@
 // The context of the request is not enough: the server detects a closed
 // connection in a separate goroutine. An overloaded host may read a request
 // whose caller disconnected long before, and forward it before that goroutine
-// has run. Upstreams at full capacity then do work whose result nobody receives.
+// has run. Upstreams at full capacity then do work whose result no caller receives.
 func callerDisconnected(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -6,7 +6,7 @@
 	"balsambarrow/internal/catalog"
 )
 
-// State is an immutable snapshot of what the control goroutine knows.
+// State is an immutable snapshot of what the control thread knows.
 type State struct {
 	// Catalog is the configuration in force; nil until one is loaded.
 	Catalog *catalog.Catalog
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -100,8 +100,8 @@
 // DetectIsolation suspends a daemon that receives no heartbeats at all and
 // whose lease may have expired, if its zone has other daemons: they may be
 // claiming its slots. It reports whether slots were dropped. A daemon that
-// knows of no other daemon in its zone continues, because nobody could claim
-// its slots.
+// knows of no other daemon in its zone continues, because no other daemon could
+// claim its slots.
 func (o *SlotOwnership) DetectIsolation(lastHeartbeat time.Time, zonePeers int, now time.Time) (isolated bool) {
 	if zonePeers == 0 || now.Before(o.leaseExpiry) || now.Sub(lastHeartbeat) <= IsolationTimeout {
 		return false
@@ -119,7 +119,7 @@
 // expired drops it at once, without waiting for its next read of the store. The
 // conflict arises only if two daemons of one zone could not reach each other: a
 // daemon without known zone peers cannot distinguish its own isolation from
-// that of its whole zone, and continues to spend.
+// that of its entire zone, and continues to spend.
 func (o *SlotOwnership) ResolveConflicts(m Member, now time.Time) (dropped []int) {
 	if now.Before(o.leaseExpiry) {
 		return nil
--- a/internal/operator/ctl/ctl_test.go
+++ b/internal/operator/ctl/ctl_test.go
@@ -95,7 +95,7 @@
 	return s
 }
 
-// applyRecord publishes a record like the daemon's control loop does.
+// applyRecord publishes a record like the daemon's control thread does.
 func (s *testServer) applyRecord(r *config.Record, sentAt time.Time) {
 	active, err := r.Activate()
 	if err != nil {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -23,7 +23,7 @@
 type Deps struct {
 	View       *view.Publisher
 	Repository *config.Repository
-	// ApplyRecord passes a record to the daemon's control loop. The record was
+	// ApplyRecord passes a record to the daemon's control thread. The record was
 	// written to the store, or read from it, by a call that started at sentAt.
 	ApplyRecord func(record *config.Record, sentAt time.Time)
 	// Metrics is the metrics set of this daemon.
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -274,7 +274,7 @@
 }
 
 // The load report counts the request that it was received with. If the host counted the
-// request again, every upstream would seem to have a request that nobody sent, and
+// request again, every upstream would seem to have a request that was not sent, and
 // requests would go to cold upstreams while the warm one is idle.
 func TestAnsweredRequestIsNotCountedTwice(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/place/servicetime.go
+++ b/internal/place/servicetime.go
@@ -71,7 +71,7 @@
 // warm there; 0 if none.
 func (s *serviceTime) affinityGain() time.Duration { return s.estimate(false) - s.estimate(true) }
 
-// gainsFromAffinity reports whether warm requests are faster, as far as is known.
+// gainsFromAffinity reports whether warm requests are faster, according to the samples so far.
 func (s *serviceTime) gainsFromAffinity() bool {
 	if s.warm.samples < minAffinitySamples || s.cold.samples < minAffinitySamples {
 		return true
--- a/internal/quota/loan.go
+++ b/internal/quota/loan.go
@@ -124,7 +124,7 @@
 // close ends a loan before its expiry and returns the tokens to take back. A
 // closing that is delivered twice, or after the expiry, finds no record and
 // returns nothing. A closing that follows a repeated LoanRequest finds a
-// record from which nobody spends; the tokens returned are limited to what
+// record from which no daemon spends; the tokens returned are limited to what
 // that record can hold, so no token is created.
 func (l *LentLoans) close(key loanKey, tokens float64, now time.Time) float64 {
 	for i := range l.loans {
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -112,8 +112,9 @@
 	a.serve()
 	switch {
 	case a.fleet.Hub == "":
-		// There is no demand, or this daemon is leaving. Its sources need
-		// their shares.
+		// No ready daemon reports demand for the quota. The loan sources need
+		// their shares. While there is demand, a leaving daemon has a hub too:
+		// it serves its last callers with tokens borrowed from the hub.
 		return a.closeLoansWhere(func(borrowedLoan) bool { return true })
 	case a.isHub():
 		return a.planHub()
--- a/internal/quota/splitversions.go
+++ b/internal/quota/splitversions.go
@@ -13,8 +13,8 @@
 // weights or slots than this while a zone is partitioned.
 const maxVersions = 16
 
-// SplitVersions tracks the configuration versions that may be in force
-// somewhere, as far as they split quotas differently. A share that a new split
+// SplitVersions tracks the configuration versions that split quotas differently
+// and may be in force on some daemon. A share that a new split
 // raises is used only when the holder of every slot has the new version and
 // its loans under the old version have ended. A share that a new split lowers
 // applies at once. Otherwise a zone that applies new weights early and a zone
--- a/internal/share/shares.go
+++ b/internal/share/shares.go
@@ -29,7 +29,7 @@
 	// rest of the slack covers demand that moves between owners before they learn of it.
 	slackFraction = 0.5
 	// announceDelay is the time until the other hosts apply announced demand: the
-	// network delay between regions and one run of the control loop.
+	// network delay between regions and one pass of the control thread.
 	announceDelay = 180 * time.Millisecond
 	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller should
 	// retry.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -103,7 +103,7 @@
 	g.Expect(objects).To(BeNumerically("<=", maxObjects))
 }
 
-// Guards against a snapshot that is written in each run of the control loop, whether the
+// Guards against a snapshot that is written in each pass of the control thread, whether the
 // store accepts or rejects the writes.
 func TestPacerIntervalDependsOnSize(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -26,7 +26,7 @@
 	Client  *Client
 	// KeyValid reports whether an API key is still valid for the customer. It
 	// is checked again after the queueing delay: a request must not run if
-	// its key was revoked while the request was queued.
+	// its key was withdrawn while the request was queued.
 	KeyValid func(digest config.Digest, customer string) bool
 	Tracer   trace.Tracer
 	// RetryBudgets limits the retries of each service. A nil value allows all
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,5 @@
 // Package view holds the immutable snapshot of the control state that the control
-// goroutine publishes and the goroutines that serve requests read.
+// thread publishes and the goroutines that serve requests read.
 package view
 
 import (
@@ -21,7 +21,7 @@
 	// ConfirmedAt is the latest time at which Config was known to be the version in
 	// the store.
 	ConfirmedAt time.Time
-	// PublishedAt is when the control goroutine made this snapshot.
+	// PublishedAt is when the control thread made this snapshot.
 	PublishedAt time.Time
 	// ConfigVerified is true if Config has been compared with the version of the
 	// store or the peers since the daemon started or was last suspended.
@@ -60,7 +60,7 @@
 	KnownSince time.Time
 }
 
-// Publisher holds the latest snapshot of the control goroutine. It is safe for
+// Publisher holds the latest snapshot of the control thread. It is safe for
 // concurrent use.
 type Publisher struct {
 	p atomic.Pointer[Snapshot]
@@ -78,7 +78,7 @@
 }
 
 // MaxAge is the age from which a snapshot is no longer current. The control
-// goroutine publishes one at least every 100 ms, so an older snapshot means that the
+// thread publishes one at least every 100 ms, so an older snapshot means that the
 // process was suspended. The bound is thirty publication intervals, which a host does
 // not miss even under load, and not longer than a change takes to propagate.
 const MaxAge = 3 * time.Second
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -30,7 +30,7 @@
 // requests of callers.
 const (
 	// HeaderKeyDigest is the SHA-256 digest of the caller's key. With it, the
-	// handler can reject a key that was revoked after authentication. The key
+	// handler can reject a key that was withdrawn after authentication. The key
 	// itself is never sent.
 	HeaderKeyDigest = "Balsam-Key-Digest"
 	// HeaderRole is the role of the receiver, one of the Role constants.
