--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -139,10 +139,9 @@
 
 // TrialDue reports whether the upstream may receive a trial request now. It
 // sets the condition of the upstream to onTrial once the ejection time has
-// passed. A request
-// that must not be retried elsewhere (safe is false) is used as a trial only
-// after a successful probe: otherwise a service of postings would lose a
-// request with each failed trial.
+// passed. A request that must not be retried elsewhere (safe is false) is used
+// as a trial only after a successful probe: otherwise a service of postings
+// would lose a request with each failed trial.
 func (h *Health) TrialDue(safe bool, now time.Time) bool {
 	if h.condition == ejected && !now.Before(h.ejectedUntil) {
 		h.condition = onTrial
