--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"net"
 	"net/http"
+	"os"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -172,12 +174,26 @@
 }
 
 func freeAddress(g *WithT) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	g.Expect(err).NotTo(HaveOccurred())
-	defer func() { _ = l.Close() }()
-	return l.Addr().String()
+	// Ports below the ephemeral range: the listeners of parallel tests, which let the
+	// system pick a port, cannot take this one before the daemon binds it.
+	const first, count = 20000, 10000
+	for range count {
+		port := first + (os.Getpid()*16+int(fixedPorts.Add(1)))%count
+		l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port))
+		if err != nil {
+			continue
+		}
+		g.Expect(l.Close()).To(Succeed())
+		return l.Addr().String()
+	}
+	g.Expect("no free port").To(BeEmpty())
+	return ""
 }
 
+// fixedPorts counts the ports that freeAddress has tried, so that parallel tests get
+// different ones.
+var fixedPorts atomic.Int32
+
 // Guards against serving without a configuration. A host starts while the platform
 // is down and no other host can be reached. It must stay in the starting state and
 // reject requests, and become ready once the platform is back.
